--- a/src/sassafrasdale/decisions/admission.py
+++ b/src/sassafrasdale/decisions/admission.py
@@ -1,8 +1,8 @@
-"""Admission of requests to one service on one entry.
+"""Admission control for one service on one entry.
 
-Each service has an ``Admission`` of its own, so lookups never queue behind
-generations. Entries share no counter: the limit on requests in flight comes
-from the entry's share of the capacity, corrected by what endpoints refuse.
+Each service has its own ``Admission``, so that lookups don't queue behind generations.
+Entries share no counter: the concurrency limit starts at the entry's share of the
+capacity and is adjusted when endpoints refuse requests.
 """
 
 from collections import Counter
@@ -17,7 +17,7 @@
 from sassafrasdale.decisions.fairness import FairQueue
 from sassafrasdale.decisions.limits import ConcurrencyLimit
 from sassafrasdale.decisions.occupancy import Occupancy
-from sassafrasdale.decisions.returns import Returns
+from sassafrasdale.decisions.retry_times import RetryTimes
 from sassafrasdale.decisions.shares import DemandShares
 from sassafrasdale.decisions.tickets import (
     Admit,
@@ -42,24 +42,24 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Constants of admission; docs/ADMISSION.md has the sweep of each.
-
-    :param queue_per_slot: waiting requests allowed per request in flight.
-    :param latency_smoothing: weight of a new latency in the moving means.
-    :param latency_window: latencies kept for the quantile.
-    :param latency_quantile: quantile of the latencies that must still fit before
-        the deadline when a request leaves the queue.
-    :param wait_share: largest share of the time until its deadline for which a
-        request waits once the queue is standing.
-    :param standing: time for which the queue was never empty after which it is
-        standing, as a share of the time that a request has.
+    """Constants of admission control; docs/ADMISSION.md has the sweep of each.
+
+    :param queue_per_slot: queued requests allowed per request in flight.
+    :param latency_smoothing: weight of a new latency in the moving averages.
+    :param latency_window: number of latencies kept for the quantile.
+    :param latency_quantile: quantile of the latencies that must still fit before the
+        deadline when a request leaves the queue.
+    :param wait_share: maximum fraction of its time to the deadline that a request waits
+        once there is a standing queue.
+    :param standing: time without an empty queue after which the queue counts as
+        standing, as a fraction of the time that a request has.
     :param demand_window: time over which arrivals are counted, in mean latencies.
-    :param longest_retry_after: longest time to come back, before the spread.
-    :param retry_after_spread: width of the random part of the time to come back,
-        as a multiple of it.
-    :param spare_share: requests in flight, as a share of the entry's share of the
-        capacity, up to which there is room to send a request twice.
-    :param initial_latency: latency assumed before the first answer.
+    :param longest_retry_after: maximum retry-after time, before jitter.
+    :param retry_after_spread: width of the jitter of the retry-after time, as a
+        multiple of it.
+    :param spare_share: number of requests in flight, as a fraction of the entry's share
+        of the capacity, up to which a request may be hedged.
+    :param initial_latency: latency assumed before the first response.
     """
 
     queue_per_slot: float = 4.0
@@ -77,11 +77,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _WaitBound:
-    """How long requests may wait before they are turned away.
+    """Maximum time that requests may wait before they are shed.
 
-    A short burst may use all the time that the answer does not need. Once the
-    queue stands, long waits gain no throughput, and whatever varies makes
-    answers late; then the wait is bounded.
+    A short burst may use all the time that the response does not need. With a standing
+    queue, long waits gain no throughput, and any variation in latency makes responses
+    miss their deadlines; the wait is therefore bounded.
 
     :param needed: time that a request must have left when it starts.
     :param standing_for: time since the queue was last empty.
@@ -92,7 +92,7 @@
     settings: AdmissionSettings
 
     def of(self, ticket: Ticket) -> timedelta:
-        """Return the bound of one request."""
+        """Return the maximum wait of one request."""
         allowed = ticket.deadline - ticket.offered_at
         useful = allowed - self.needed
         if self.standing_for < allowed * self.settings.standing:
@@ -101,7 +101,7 @@
 
 
 class Admission:
-    """Admission to one service on one entry: fair, bounded and by priority.
+    """Admission control for one service on one entry: fair, bounded, by priority.
 
     Usage::
 
@@ -110,14 +110,15 @@
             case Wait(ticket): ...  # until next_admitted or expire return it
             case Shed(retry_after=after, reason=reason): ...
 
-    After each ``offer``, ``finish``, ``refuse`` and ``cancel``, and now and then,
-    the caller drains ``expire`` (requests turned away while they waited) and then
+    After each ``offer``, ``finish``, ``refuse`` and ``cancel``, and periodically, the
+    caller drains ``expire`` (requests shed while they waited) and then
     ``next_admitted``.
 
-    :param limit: limit on requests in flight, owned by this admission.
-    :param rng: source of randomness, to spread the times to come back.
-    :param customers: what each customer is entitled to.
-    :param make_queue: makes the queue, given a customer's weight as a function.
+    :param limit: concurrency limit, owned by this admission.
+    :param rng: source of randomness for the retry-after jitter.
+    :param customers: limits and weight of each customer.
+    :param make_queue: creates the queue from a function that returns a customer's
+        weight.
     """
 
     def __init__(
@@ -133,7 +134,7 @@
         self._customers = Entitlements(customers or {})
         self._queue = make_queue(self._customers.weight)
         self._demand = Demand()
-        self._returns = Returns(
+        self._retry_times = RetryTimes(
             rng, self._settings.longest_retry_after, self._settings.retry_after_spread
         )
         self._occupancy = Occupancy(
@@ -143,53 +144,53 @@
         )
         self._running: dict[int, timedelta] = {}
         self._running_by_customer: Counter[str] = Counter()
-        self._displaced: dict[int, Shed] = {}
+        self._evicted: dict[int, Shed] = {}
         self._offered = 0
         self._empty_at = timedelta()
         self._paused_until = timedelta()
 
     @property
     def in_flight(self) -> int:
-        """Requests that were admitted and haven't finished."""
+        """Requests that were admitted and have not finished."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Requests in the queue."""
         return len(self._queue)
 
     @property
     def limit(self) -> int:
-        """Requests that may be in flight."""
+        """Maximum number of requests in flight."""
         return self._limit.value
 
     @property
     def has_spare_room(self) -> bool:
-        """Whether few enough requests are in flight to send one of them twice."""
-        most = self._limit.share * self._settings.spare_share
-        return not self._queue and self.in_flight <= most
+        """Whether few enough requests are in flight to hedge one."""
+        maximum = self._limit.share * self._settings.spare_share
+        return not self._queue and self.in_flight <= maximum
 
     @property
     def shares(self) -> DemandShares:
-        """What peers report of the customers' demand; divides the rate limits."""
+        """Customer demand reported by peers; divides the rate limits."""
         return self._customers.shares
 
     def set_customers(self, customers: Mapping[str, CustomerShare]) -> None:
-        """Take the customers of a new revision of the text."""
+        """Replace the customers after a configuration change."""
         self._customers.set_customers(customers)
 
     def set_share(self, capacity: int, live_entries: int) -> None:
-        """Take the endpoints' capacity and the number of live entries."""
+        """Set the endpoints' capacity and the number of live entries."""
         self._customers.set_live_entries(live_entries)
         self._limit.set_share(capacity, live_entries)
 
     def offer(
         self, customer: str, priority: int, now: timedelta, remaining: timedelta
     ) -> Admit | Wait | Shed:
-        """Decide on a new request.
+        """Admit, queue or shed a new request.
 
-        :param customer: who calls.
-        :param priority: 0 first to 7 last.
+        :param customer: name of the customer.
+        :param priority: 0 is the most urgent, 7 the least.
         :param now: elapsed time.
         :param remaining: time until the deadline.
         """
@@ -200,16 +201,16 @@
         exceeded = self._customers.try_take(name, now)
         if exceeded is not None:
             return Shed(ticket, exceeded, ShedReason.RATE_LIMIT)
-        if not self._queue and self._has_slot(now) and self._may_start(name, now):
+        if not self._queue and self._has_free_slot(now) and self._may_start(name, now):
             self._start(ticket, now)
             return Admit(ticket)
         return self._enqueue(ticket, now)
 
     def next_admitted(self, now: timedelta) -> Ticket | None:
-        """Return the next waiting request that may go to an endpoint, if any."""
+        """Return the next queued request that may be sent, if any."""
         if not self._queue:
             self._empty_at = now
-        if not self._has_slot(now):
+        if not self._has_free_slot(now):
             return None
         ticket = self._queue.take(lambda name: self._may_start(name, now))
         if ticket is not None:
@@ -222,7 +223,7 @@
         """Record the end of an admitted request.
 
         :param ok: False if the endpoint was overloaded.
-        :param latency: time that the request took; time in the queue is left out.
+        :param latency: time that the request took, without its time in the queue.
         """
         started_at = self._stop(ticket)
         if started_at is None:
@@ -236,43 +237,43 @@
         self._occupancy.add(ticket.customer, occupied)
 
     def refuse(self, ticket: Ticket, now: timedelta) -> Wait | Shed:
-        """Take back an admitted request that an endpoint refused to start.
+        """Requeue an admitted request that an endpoint refused to start.
 
-        It goes first among those of its priority. The queue holds still until
-        the next success or for a part of the usual latency: endpoints that
-        refuse would otherwise be asked again at once, by every entry.
+        It is placed ahead of the others of its priority. Nothing is admitted until the
+        next success or for the limit's cooldown: otherwise every entry would
+        immediately send to the refusing endpoints again.
         """
         self._stop(ticket)
         self._limit.on_refusal(now)
         self._paused_until = now + self._limit.cooldown
-        if now - ticket.offered_at > self._longest_wait(ticket, now):
+        if now - ticket.offered_at > self._max_wait(ticket, now):
             return self._shed(ticket, now, ShedReason.DEADLINE)
-        return Wait(ticket, self._queue.put_back(ticket))
+        return Wait(ticket, self._queue.requeue(ticket))
 
     def cancel(self, ticket: Ticket) -> None:
-        """Forget a request, waiting or admitted, that the caller gave up."""
+        """Remove a request, queued or admitted, that the caller cancelled."""
         self._stop(ticket)
         self._queue.discard(ticket)
-        self._displaced.pop(ticket.number, None)
+        self._evicted.pop(ticket.number, None)
 
     def expire(self, now: timedelta) -> tuple[Shed, ...]:
-        """Return the waiting requests that are turned away and must be answered."""
+        """Return the queued requests that were shed and must be answered."""
         bound = self._wait_bound(now)
         for ticket in self._queue:
             if now - ticket.offered_at > bound.of(ticket):
                 self._queue.discard(ticket)
                 shed = self._shed(ticket, now, ShedReason.DEADLINE)
-                self._displaced[ticket.number] = shed
-        displaced, self._displaced = self._displaced, {}
-        return tuple(displaced.values())
+                self._evicted[ticket.number] = shed
+        evicted, self._evicted = self._evicted, {}
+        return tuple(evicted.values())
 
     def retry_after(self, now: timedelta) -> timedelta:
-        """Return when it is worth coming back after a failure."""
-        return self._returns.book(now, len(self._queue), self._rate)
+        """Return the retry-after time for a request that failed."""
+        return self._retry_times.reserve(now, len(self._queue), self._rate)
 
     @property
     def _rate(self) -> float:
-        """Requests that this entry finishes per second when it is busy."""
+        """Requests per second that this entry completes at full load."""
         return self._limit.value / self._occupancy.mean.total_seconds()
 
     @property
@@ -281,24 +282,24 @@
 
     def _enqueue(self, ticket: Ticket, now: timedelta) -> Wait | Shed:
         position = self._queue.position(ticket)
-        if self._expected_wait(ticket, position) > self._longest_wait(ticket, now):
+        if self._expected_wait(ticket, position) > self._max_wait(ticket, now):
             return self._shed(ticket, now, ShedReason.DEADLINE)
         self._queue.add(ticket, position)
-        if len(self._queue) <= self._longest_queue():
+        if len(self._queue) <= self._max_queue_length():
             return Wait(ticket, position)
-        worst = self._queue.displace()
+        worst = self._queue.evict()
         shed = self._shed(worst, now, ShedReason.QUEUE_FULL)
         if worst is ticket:
             return shed
-        self._displaced[worst.number] = shed
+        self._evicted[worst.number] = shed
         return Wait(ticket, position)
 
-    def _has_slot(self, now: timedelta) -> bool:
+    def _has_free_slot(self, now: timedelta) -> bool:
         return now >= self._paused_until and self.in_flight < self._limit.value
 
     def _may_start(self, customer: str, now: timedelta) -> bool:
-        most = self._customers.most_in_flight(customer, now)
-        return most is None or self._running_by_customer[customer] < most
+        maximum = self._customers.max_in_flight(customer, now)
+        return maximum is None or self._running_by_customer[customer] < maximum
 
     def _start(self, ticket: Ticket, now: timedelta) -> None:
         cost = self._occupancy.of(ticket.customer).total_seconds()
@@ -312,10 +313,10 @@
             self._running_by_customer[ticket.customer] -= 1
         return started_at
 
-    def _longest_queue(self) -> int:
+    def _max_queue_length(self) -> int:
         return max(int(self._limit.value * self._settings.queue_per_slot), 1)
 
-    def _longest_wait(self, ticket: Ticket, now: timedelta) -> timedelta:
+    def _max_wait(self, ticket: Ticket, now: timedelta) -> timedelta:
         if not self._queue:
             self._empty_at = now
         return self._wait_bound(now).of(ticket)
@@ -329,15 +330,15 @@
         )
 
     def _expected_wait(self, ticket: Ticket, ahead: int) -> timedelta:
-        """Return how long a request would wait, more urgent arrivals included."""
+        """Return the expected wait of a request, with later, more urgent arrivals."""
         cost = self._occupancy.of(ticket.customer).total_seconds()
         share = self._limit.value / cost * self._queue.share(ticket.customer)
-        urgent = self._demand.rate_above(ticket, self._demand_window)
+        urgent = self._demand.more_urgent_rate(ticket, self._demand_window)
         if urgent >= share:
             return timedelta.max
         work = self._queue.work_before(ticket, ahead, self._cost) + cost
         seconds = work / self._limit.value / (1 - urgent / share)
-        # With all but no share left, the quotient is beyond what a time can be.
+        # If almost no share is left, the quotient exceeds timedelta's range.
         if seconds >= timedelta.max.total_seconds():
             return timedelta.max
         return timedelta(seconds=seconds)
--- a/src/sassafrasdale/decisions/demand.py
+++ b/src/sassafrasdale/decisions/demand.py
@@ -1,4 +1,4 @@
-"""How fast each customer's requests of each priority arrive."""
+"""Arrival rates of requests by customer and priority."""
 
 from datetime import timedelta
 from math import exp
@@ -10,7 +10,7 @@
 
 
 class Demand:
-    """Arrival rates by customer and priority, with exponential decay."""
+    """Exponentially decaying arrival rates by customer and priority."""
 
     def __init__(self) -> None:
         self._counts: dict[str, list[float]] = {}
@@ -29,7 +29,7 @@
         counts[ticket.priority] += 1
         self._updated[ticket.customer] = ticket.offered_at
 
-    def rate_above(self, ticket: Ticket, window: timedelta) -> float:
-        """Return arrivals per second of the customer that go before a ticket."""
+    def more_urgent_rate(self, ticket: Ticket, window: timedelta) -> float:
+        """Return the customer's arrivals per second that precede a ticket."""
         counts = self._counts[ticket.customer]
         return sum(counts[: ticket.priority]) / window.total_seconds()
--- a/src/sassafrasdale/decisions/fairness.py
+++ b/src/sassafrasdale/decisions/fairness.py
@@ -1,8 +1,8 @@
-"""Waiting requests, in the order of weighted fair queueing.
+"""Queue of waiting requests with weighted fair queueing.
 
-Customers take turns by the time that their requests occupy, divided by their
-weight. Within a customer the order is by priority, then by arrival: a customer
-that marks everything as urgent gains nothing over the others.
+Customers are served by the slot time that their requests occupy, divided by their
+weight. Within a customer the order is by priority, then by arrival, so that a customer
+gains nothing over others by marking everything as urgent.
 """
 
 from collections.abc import Callable, Iterator
@@ -11,7 +11,7 @@
 
 
 class FairQueue:
-    """Waiting requests of one service.
+    """Queued requests of one service.
 
     :param weight: returns a customer's weight.
     """
@@ -20,8 +20,8 @@
         self._weight = weight
         self._queues: dict[str, list[Ticket]] = {}
         self._size = 0
-        self._virtual: dict[str, float] = {}
-        self._virtual_now = 0.0
+        self._virtual_finish: dict[str, float] = {}
+        self._virtual_time = 0.0
 
     def __len__(self) -> int:
         return self._size
@@ -31,21 +31,21 @@
             yield from list(queue)
 
     def position(self, ticket: Ticket) -> int:
-        """Return how many requests of the customer would go before a new one."""
+        """Return how many of the customer's requests are ahead of a new one."""
         queue = self._queues.get(ticket.customer, ())
         return sum(other.priority <= ticket.priority for other in queue)
 
     def share(self, customer: str) -> float:
-        """Return the customer's part of the slots while the present ones wait."""
+        """Return the customer's fraction of the slots among the queued customers."""
         names = {customer, *self._queues}
         return self._weight(customer) / sum(self._weight(name) for name in names)
 
     def work_before(
         self, ticket: Ticket, position: int, cost: Callable[[str], float]
     ) -> float:
-        """Return the seconds of slots that go before a new request.
+        """Return the slot time, in seconds, that is served before a new request.
 
-        :param position: position that it would have in its customer's queue.
+        :param position: position of the request in its customer's queue.
         :param cost: returns the seconds that a customer's request occupies a slot.
         """
         own = ticket.customer
@@ -55,8 +55,8 @@
             if name == own:
                 continue
             lead = max(start - self._start_of(name), 0.0)
-            turns = lead * self._weight(name) / cost(name) + 1
-            work += min(turns, len(queue)) * cost(name)
+            count = lead * self._weight(name) / cost(name) + 1
+            work += min(count, len(queue)) * cost(name)
         return work
 
     def add(self, ticket: Ticket, position: int) -> None:
@@ -64,23 +64,23 @@
         self._queues.setdefault(ticket.customer, []).insert(position, ticket)
         self._size += 1
 
-    def put_back(self, ticket: Ticket) -> int:
-        """Insert a request first among its priority; return its position."""
+    def requeue(self, ticket: Ticket) -> int:
+        """Insert a request ahead of its priority; return its position."""
         queue = self._queues.get(ticket.customer, ())
         position = sum(other.priority < ticket.priority for other in queue)
         self.add(ticket, position)
         return position
 
     def take(self, allowed: Callable[[str], bool]) -> Ticket | None:
-        """Remove and return the next request of the customers that are allowed."""
+        """Remove and return the next request of a customer that is allowed."""
         ready = [name for name in self._queues if allowed(name)]
         if not ready:
             return None
         customer = min(ready, key=lambda name: (self._start_of(name), name))
         return self._pop(customer, 0)
 
-    def displace(self) -> Ticket:
-        """Remove and return the last request of the longest queue by weight."""
+    def evict(self) -> Ticket:
+        """Remove and return the last request of the longest weighted queue."""
 
         def backlog(name: str) -> tuple[float, str]:
             return len(self._queues[name]) / self._weight(name), name
@@ -88,22 +88,22 @@
         return self._pop(max(self._queues, key=backlog), -1)
 
     def discard(self, ticket: Ticket) -> None:
-        """Remove a request if it waits."""
+        """Remove a request if it is queued."""
         queue = self._queues.get(ticket.customer, [])
         if ticket in queue:
             self._pop(ticket.customer, queue.index(ticket))
 
     def charge(self, customer: str, cost: float) -> None:
-        """Count a request that starts against its customer.
+        """Charge a request that starts to its customer.
 
         :param cost: seconds that it is expected to occupy a slot.
         """
         start = self._start_of(customer)
-        self._virtual_now = start
-        self._virtual[customer] = start + cost / self._weight(customer)
+        self._virtual_time = start
+        self._virtual_finish[customer] = start + cost / self._weight(customer)
 
     def _start_of(self, customer: str) -> float:
-        return max(self._virtual.get(customer, 0.0), self._virtual_now)
+        return max(self._virtual_finish.get(customer, 0.0), self._virtual_time)
 
     def _pop(self, customer: str, index: int) -> Ticket:
         ticket = self._queues[customer].pop(index)
--- a/src/sassafrasdale/decisions/occupancy.py
+++ b/src/sassafrasdale/decisions/occupancy.py
@@ -1,4 +1,4 @@
-"""How long requests occupy a slot of their service."""
+"""Time that requests occupy a slot of their service."""
 
 from datetime import timedelta
 
@@ -6,11 +6,11 @@
 
 
 class Occupancy:
-    """Moving mean and quantiles of the time from admission to the end.
+    """Moving averages and quantiles of the time from admission to completion.
 
-    :param initial: time assumed before the first answer.
-    :param smoothing: weight of a new time in the moving means.
-    :param window: times kept for the quantiles.
+    :param initial: time assumed before the first response.
+    :param smoothing: weight of a new time in the moving averages.
+    :param window: number of times kept for the quantiles.
     """
 
     def __init__(self, initial: timedelta, smoothing: float, window: int) -> None:
@@ -30,11 +30,11 @@
         return self._by_customer.get(customer, self._mean)
 
     def quantile(self, share: float) -> timedelta:
-        """Return the time below which ``share`` of the latest lie."""
+        """Return the time that a fraction ``share`` of the recent times lie below."""
         return self._recent.quantile(share)
 
     def add(self, customer: str, time: timedelta) -> None:
-        """Record the time of a success."""
+        """Record the time of a successful request."""
         own = self.of(customer)
         self._by_customer[customer] = own + (time - own) * self._smoothing
         self._mean += (time - self._mean) * self._smoothing
--- a/src/sassafrasdale/decisions/structures.py
+++ b/src/sassafrasdale/decisions/structures.py
@@ -1,4 +1,4 @@
-"""Data that the decisions take in and give out."""
+"""Inputs and results of the decision functions."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -6,27 +6,28 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointView:
-    """What one entry knows of an endpoint at the moment of a choice.
+    """What one entry knows of an endpoint when it routes a request.
 
     :param name: the endpoint's instance name.
-    :param availability_zone: where it runs.
-    :param instance_class: the platform's class of machine.
-    :param in_flight: requests of this entry that it holds now.
-    :param own_tokens: prompt tokens, not expected to be cached, of those of them
-        that have no first token yet.
-    :param reported_load: running and waiting requests of all entries, as last
-        reported.
-    :param own_at_report: this entry's share of ``reported_load``: its requests in
-        flight there when the report was measured.
+    :param availability_zone: zone that the endpoint runs in.
+    :param instance_class: the platform's machine class.
+    :param in_flight: requests that this entry has in flight there now.
+    :param prefill_tokens: prompt tokens of these requests that the endpoint has yet to
+        process: not expected in its cache, and no first token received yet.
+    :param reported_load: running and queued requests of all entries, as last reported.
+    :param own_load_at_report: requests that this entry had in flight there when the
+        report was measured; included in ``reported_load``.
     :param report_age: time since the report was measured; None without a report.
-    :param max_in_flight: requests that it runs at once; more of them wait.
+    :param max_in_flight: requests that the endpoint runs concurrently; further ones
+        queue there.
     :param price_per_hour: price of the instance.
-    :param distance: one-way delay from this entry.
-    :param cached_tokens: prompt tokens of the request expected in its cache.
-    :param leaving: whether a reclaim of it was announced.
-    :param queueing: time that requests are seen to queue there.
-    :param slowness: recent time for a token over the median of its service; 1 is
-        usual.
+    :param network_delay: one-way network delay from this entry.
+    :param cached_tokens: prompt tokens of the request that are expected in its cache.
+    :param leaving: whether the platform has announced that it will reclaim the
+        instance.
+    :param queue_time: observed queueing time of requests at the endpoint.
+    :param slowness: recent time per token divided by the median of its service; 1 is
+        normal.
     """
 
     name: str
@@ -48,18 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingRequest:
-    """What a choice needs to know of a request.
-
-    :param prompt_tokens: length of the prompt; 0 for a plain service.
-    :param max_tokens: most tokens that it may generate.
-    :param priority: 0 goes first, 7 last.
-    :param remaining: time until its deadline.
-    :param home_availability_zone: where the entry that holds it runs.
-    :param home: endpoint that the hash of the conversation names, on every entry
-        alike; empty if the request continues none.
-    :param second_home: where it goes when the home is too busy, likewise.
-    :param home_share: share of the prompt expected in the home's cache while
-        nothing better is known.
+    """Properties of a request that affect routing.
+
+    :param prompt_tokens: length of the prompt; 0 for a service of kind plain.
+    :param max_tokens: maximum number of tokens to generate.
+    :param priority: 0 is the most urgent, 7 the least.
+    :param remaining: time until the deadline.
+    :param entry_availability_zone: zone of the entry that routes the request.
+    :param owner: endpoint that the hash ring assigns to the conversation, the same on
+        every entry; empty if the request continues no conversation.
+    :param fallback_owner: endpoint that the ring assigns when the owner is overloaded,
+        also the same on every entry.
+    :param owner_cached_share: fraction of the prompt that is assumed to be in the
+        owner's cache, without better information.
     """
 
     prompt_tokens: int = 0
@@ -74,26 +76,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingPolicy:
-    """Weights of a service and constants of the choice of an endpoint.
+    """Weights and constants of endpoint selection.
 
     docs/ROUTING.md has the sweep behind each default.
 
     :param latency_cost: weight of the time to the first token.
-    :param recomputed_tokens: weight of prompt tokens computed again.
-    :param prefill_rate: prompt tokens that an endpoint computes in a second.
+    :param recomputed_tokens: weight of prompt tokens that are computed again.
+    :param prefill_rate: prompt tokens that an endpoint processes per second.
     :param queue_delay: seconds that each request in flight adds while it runs.
     :param wait_delay: seconds that each request above ``max_in_flight`` adds.
-    :param price_delay: seconds of delay that are worth one unit of price an hour.
-    :param report_half_life: age at which a report counts half, and the mean of
-        all reports the other half.
-    :param second_home_share: share expected in the second home's cache, as a part
-        of the home's.
-    :param mirrored_entries: other entries that are expected to have changed their
-        requests at an endpoint as this one did since the report.
-    :param queueing_trust: part of the queueing seen that is expected again.
-    :param sampled_above: endpoints up to which all are candidates.
+    :param price_delay: seconds of delay that are considered equal to one unit of price
+        per hour.
+    :param report_half_life: age at which a load report and the mean over all reports
+        are weighted equally.
+    :param second_home_share: fraction of the prompt assumed in the fallback owner's
+        cache, relative to the owner's.
+    :param mirrored_entries: number of other entries that are assumed to have changed
+        their load on an endpoint by the same amount as this one since the report.
+    :param queueing_trust: fraction of the observed queueing time that is expected for
+        the next request.
+    :param sampled_above: number of endpoints up to which all are candidates.
     :param sample_size: candidates drawn at random when there are more.
-    :param best_matches: candidates drawn for their cached tokens besides.
+    :param best_matches: candidates added for the length of their cached prefix.
     """
 
     latency_cost: float = 1.0
@@ -113,11 +117,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamView:
-    """A stream in flight on an endpoint that is leaving.
+    """A stream in flight on an endpoint that is being reclaimed.
 
-    :param request_id: the stream's id.
-    :param context_tokens: prompt and generated tokens so far, which the cache holds.
-    :param remaining_tokens: tokens that it may still generate.
+    :param request_id: the request's id.
+    :param context_tokens: prompt and generated tokens so far, all of them in the KV
+        cache.
+    :param remaining_tokens: maximum number of tokens still to generate.
     :param token_delay: recent time between its tokens.
     """
 
@@ -129,10 +134,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamTarget:
-    """Endpoint that could go on with a stream.
+    """Endpoint that could continue a stream.
 
     :param name: its instance name.
-    :param cached_tokens: tokens of the stream's context that it already holds.
+    :param cached_tokens: tokens of the stream's context that are already in its cache.
     """
 
     name: str
@@ -141,11 +146,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReclaimPolicy:
-    """Constants of what is done with streams on a leaving endpoint.
+    """Constants for moving streams off an endpoint that is being reclaimed.
 
-    :param margin: time kept free before the endpoint leaves.
+    :param margin: time reserved before the reclaim.
     :param move_setup: fixed time to export and import a cache.
-    :param move_rate: cached tokens that an endpoint exports in a second.
+    :param move_rate: cached tokens that an endpoint exports per second.
     """
 
     margin: timedelta = timedelta(seconds=1)
@@ -155,9 +160,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitOut:
-    """Leave the stream where it is.
+    """Leave the stream on its endpoint.
 
-    :param fits: whether it is expected to end before the endpoint leaves.
+    :param finishes_in_time: whether the stream is expected to end before the reclaim.
     """
 
     fits: bool = True
@@ -167,7 +172,7 @@
 class MoveCache:
     """Export the KV cache and continue on another endpoint.
 
-    :param target: name of the endpoint to continue on.
+    :param target: endpoint to continue on.
     """
 
     target: str
@@ -177,7 +182,7 @@
 class Recompute:
     """Continue on another endpoint, which computes the context again.
 
-    :param target: name of the endpoint to continue on.
+    :param target: endpoint to continue on.
     :param tokens: context tokens that it computes again.
     """
 
@@ -192,12 +197,12 @@
 class InstanceOffer:
     """A kind of instance that the cloud offers.
 
-    :param availability_zone: where it would run.
-    :param instance_class: the platform's class of machine.
-    :param reclaimable: whether the platform may take it back.
+    :param availability_zone: zone that it would run in.
+    :param instance_class: the platform's machine class.
+    :param reclaimable: whether the platform may reclaim it.
     :param price_per_hour: its price.
-    :param capacity: load that one carries at the latency target, in requests in
-        flight.
+    :param capacity: load that one instance carries at the latency target, in requests
+        in flight.
     """
 
     availability_zone: str
@@ -209,13 +214,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusedStart:
-    """Starts that the cloud refused, for one kind of instance.
+    """Starts of one kind of instance that the cloud refused.
 
-    :param availability_zone: where it would have run.
-    :param instance_class: the platform's class of machine.
-    :param reclaimable: whether it was to be reclaimable.
-    :param refusals: refusals in a row.
-    :param age: time since the last of them.
+    :param availability_zone: zone that was requested.
+    :param instance_class: the platform's machine class.
+    :param reclaimable: whether a reclaimable instance was requested.
+    :param refusals: consecutive refusals.
+    :param age: time since the last refusal.
     """
 
     availability_zone: str
@@ -227,15 +232,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningInstance:
-    """An instance of a service that runs, starts or leaves.
+    """An instance of a service that is starting, running or being reclaimed.
 
     :param name: the platform's identifier.
-    :param availability_zone: where it runs.
-    :param instance_class: the platform's class of machine.
-    :param reclaimable: whether the platform may take it back.
+    :param availability_zone: zone that it runs in.
+    :param instance_class: the platform's machine class.
+    :param reclaimable: whether the platform may reclaim it.
     :param in_flight: its requests in flight.
-    :param leaving: whether a reclaim of it was announced.
-    :param serving: whether it has come up.
+    :param leaving: whether the platform has announced that it will reclaim it.
+    :param serving: whether it has started and serves requests.
     """
 
     name: str
@@ -249,13 +254,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceDemand:
-    """What a service needs of its instances.
+    """Load of a service and constraints on its instances.
 
     :param service: name of the service.
-    :param load: requests in flight, as a mean over the last minute.
-    :param growth: change of the load in a second.
-    :param availability_zones: where its instances may run.
-    :param least_instances: number never to go below.
+    :param load: requests in flight, averaged over the last minute.
+    :param growth: change of the load per second.
+    :param availability_zones: zones that its instances may run in.
+    :param min_instances: minimum number of instances.
     """
 
     service: str
@@ -267,16 +272,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityPolicy:
-    """Constants of the capacity plan.
-
-    :param headroom: load planned for, as a multiple of the present load.
-    :param start_time: time from an order to an instance that serves.
-    :param refusal_backoff: pause after one refused start; it doubles each time.
-    :param longest_backoff: longest such pause.
-    :param give_back_margin: spare capacity, as a share of what is needed, that is
-        kept before an instance is given back.
-    :param dear: multiple of the cheapest price of capacity from which an instance
-        is replaced by a cheaper one.
+    """Constants of capacity planning.
+
+    :param headroom: capacity to provide, as a multiple of the present load.
+    :param start_time: time from a start order until the instance serves.
+    :param refusal_backoff: delay after one refused start; it doubles with each further
+        refusal.
+    :param longest_backoff: upper bound of that delay.
+    :param give_back_margin: spare capacity to keep when an instance is released, as a
+        fraction of the required capacity.
+    :param dear: multiple of the cheapest price per capacity above which an instance is
+        replaced by a cheaper one.
     """
 
     headroom: float = 1.25
@@ -291,11 +297,12 @@
 class StartInstance:
     """Order to start one instance.
 
-    :param request_id: the same for the same want, so that it starts only once.
+    :param request_id: idempotency key; derived from the order, so that a repeated order
+        starts only one instance.
     :param service: name of the service.
-    :param availability_zone: where it shall run.
-    :param instance_class: the platform's class of machine.
-    :param reclaimable: whether the platform may take it back.
+    :param availability_zone: zone to run in.
+    :param instance_class: the platform's machine class.
+    :param reclaimable: whether the platform may reclaim it.
     """
 
     request_id: str
@@ -307,7 +314,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveBack:
-    """Order to give one instance back.
+    """Order to release one instance.
 
     :param name: the platform's identifier.
     """
@@ -320,10 +327,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityPlan:
-    """Orders of one round of planning, and what they leave short.
+    """Orders of one planning round.
 
-    :param orders: starts and give-backs, in the order to send them.
-    :param shortfall: load that no permitted offer can carry now.
+    :param orders: starts and releases, in the order to send them.
+    :param shortfall: load that no available offer can carry now.
     """
 
     orders: tuple[CapacityOrder, ...] = field(default=())
--- a/src/sassafrasdale/decisions/tickets.py
+++ b/src/sassafrasdale/decisions/tickets.py
@@ -1,15 +1,15 @@
-"""Requests as admission sees them, and what it decides on them."""
+"""Requests in admission control, and its decisions."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import StrEnum
 
 DEFAULT_WEIGHT = 1.0
-"""Weight of a customer that the text doesn't name."""
+"""Weight of a customer that the configuration does not list."""
 
 
 class ShedReason(StrEnum):
-    """Why a request was turned away before it ran."""
+    """Why a request was refused before it ran."""
 
     QUEUE_FULL = "queue_full"
     DEADLINE = "deadline"
@@ -19,11 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerShare:
-    """What a customer is entitled to.
+    """Configured limits and weight of a customer.
 
     :param weight: share of a busy service, relative to other customers.
-    :param requests_per_second: rate limit over all entries, None for none.
-    :param max_in_flight: most requests in flight over all entries, None for none.
+    :param requests_per_second: rate limit over all entries; None if unlimited.
+    :param max_in_flight: maximum requests in flight over all entries; None if
+        unlimited.
     """
 
     weight: float = DEFAULT_WEIGHT
@@ -33,13 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """One request known to the admission.
+    """One request in admission control.
 
-    :param number: number of the request, in the order of offers.
+    :param number: sequence number of the request.
     :param customer: name of the customer.
-    :param priority: RFC 9218 urgency, 0 first to 7 last.
-    :param offered_at: elapsed time of the offer.
-    :param deadline: elapsed time by which the answer is due.
+    :param priority: RFC 9218 urgency; 0 is the most urgent, 7 the least.
+    :param offered_at: elapsed time at which it was offered.
+    :param deadline: elapsed time by which the response is due.
     """
 
     number: int
@@ -51,16 +52,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Admit:
-    """The request may go to an endpoint now."""
+    """The request may be sent to an endpoint now."""
 
     ticket: Ticket
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """The request waits; ``next_admitted`` returns its ticket later.
+    """The request is queued; ``next_admitted`` returns its ticket later.
 
-    :param position: requests of the same customer that go before it.
+    :param position: requests of the same customer ahead of it.
     """
 
     ticket: Ticket
@@ -69,9 +70,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """The request did not run and won't.
+    """The request was refused and will not run.
 
-    :param retry_after: when it is worth coming back.
+    :param retry_after: time after which a retry is worthwhile.
     """
 
     ticket: Ticket
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of admission."""
+"""Tests of admission control."""
 
 from datetime import timedelta
 from random import Random
@@ -26,7 +26,7 @@
 
 
 def serve(admission: Admission, ticket: Ticket, at: timedelta) -> Ticket | None:
-    """End a request and return the one that takes its place."""
+    """Finish a request and return the one that is admitted next."""
     admission.finish(ticket, at, True, 100 * MILLISECOND)
     return admission.next_admitted(at)
 
@@ -41,7 +41,7 @@
     assert serve(admission, first.ticket, SECOND) == second.ticket
 
 
-def test_sheds_at_once_what_cannot_meet_its_deadline():
+def test_sheds_a_new_request_that_cannot_meet_its_deadline():
     admission = make_admission()
     admission.offer("large", 3, NOW, 10 * SECOND)
     shed = admission.offer("large", 3, NOW, 50 * MILLISECOND)
@@ -50,11 +50,11 @@
     assert shed.retry_after > timedelta()
 
 
-def test_expires_what_can_no_longer_meet_its_deadline_before_it_is_reached():
-    """A caller is told of a refusal only when its own time has run out.
+def test_expires_requests_before_a_deadline_they_cannot_meet():
+    """Guards against requests that are shed only once their deadline has passed.
 
-    The request waited behind a slow one, the queue looked at deadlines alone,
-    and nothing was left in which the caller could try elsewhere.
+    The queue checked only the deadline, not the time that the response needs, so a
+    request behind a slow one left its caller no time to retry elsewhere.
     """
     admission = make_admission()
     admission.offer("large", 3, NOW, 10 * SECOND)
@@ -66,10 +66,10 @@
 
 
 def test_large_customer_does_not_starve_a_small_one():
-    """A small customer's requests time out while a large one floods the service.
+    """Guards against timeouts of a small customer while a large one floods a service.
 
-    The large one queues forty requests, then the small one sends its first. In
-    order of arrival it would be served last.
+    The large customer queues forty requests before the small one sends its first. In
+    order of arrival the small one would be served last.
     """
     admission = make_admission(capacity=16)
     running = [admission.offer("large", 0, NOW, 60 * SECOND) for _ in range(56)]
@@ -78,7 +78,7 @@
     assert serve(admission, running[0].ticket, SECOND) == small.ticket
 
 
-def test_weights_divide_a_busy_service():
+def test_busy_service_is_divided_by_weight():
     customers = {"large": CustomerShare(weight=3.0), "small": CustomerShare()}
     admission = make_admission(customers=customers)
     current = admission.offer("large", 3, NOW, 60 * SECOND).ticket
@@ -101,7 +101,7 @@
     assert serve(admission, current, SECOND) == urgent.ticket
 
 
-def test_full_queue_sheds_the_least_urgent_of_the_longest():
+def test_full_queue_sheds_the_least_urgent_of_the_longest_queue():
     admission = make_admission()
     admission.offer("large", 3, NOW, 60 * SECOND)
     queued = [admission.offer("large", 5, NOW, 60 * SECOND) for _ in range(4)]
@@ -112,11 +112,11 @@
     assert shed.reason is ShedReason.QUEUE_FULL
 
 
-def test_refused_request_keeps_its_place_and_waits_for_a_success():
-    """Under overload an urgent request fails while others behind it succeed.
+def test_refused_request_goes_first_but_waits_for_a_success():
+    """Guards against failures of urgent requests under overload.
 
-    Its endpoint refused to start it, and it was retried behind requests that
-    came later; meanwhile every entry asked the full endpoints again at once.
+    A request that its endpoint refused to start was requeued behind later ones, while
+    every entry immediately retried the full endpoints.
     """
     admission = make_admission(capacity=4)
     running = [admission.offer("large", 3, NOW, 60 * SECOND) for _ in range(4)]
@@ -129,11 +129,11 @@
     assert later.ticket.number != running[0].ticket.number
 
 
-def test_callers_are_not_told_to_come_back_together():
-    """After a burst the service is overloaded again a second later.
+def test_retry_after_times_are_spread():
+    """Guards against synchronized retries after a burst.
 
-    All who were turned away had been told the same second; they came together,
-    were turned away once more and gave up, while the service idled in between.
+    With the same retry-after time for all, the callers retried together, were shed
+    again and gave up, while the service was idle in between.
     """
     admission = make_admission()
     admission.offer("large", 3, NOW, 10 * SECOND)
@@ -143,10 +143,10 @@
     assert times[75] > 2 * times[25]
 
 
-def test_made_up_names_share_one_place():
-    """A caller gets most of the service by sending a new customer name each time.
+def test_unknown_customers_share_one_place_in_the_queue():
+    """Guards against a caller that gains a larger share with invented customer names.
 
-    Each name was a customer of its own and had a share of its own.
+    Each unknown name was treated as a customer with a share of its own.
     """
     admission = make_admission()
     current = admission.offer("small", 3, NOW, 60 * SECOND).ticket
@@ -160,7 +160,7 @@
     assert served.count("small") == 2
 
 
-def test_rate_limit_counts_before_the_queue():
+def test_rate_limit_applies_before_the_queue():
     customers = {"small": CustomerShare(requests_per_second=0.2)}
     admission = make_admission(capacity=9, customers=customers)
     assert isinstance(admission.offer("small", 3, NOW, SECOND), Admit)
@@ -169,7 +169,7 @@
     assert shed.retry_after == 5 * SECOND
 
 
-def test_in_flight_limit_holds_one_customer_alone():
+def test_in_flight_limit_affects_only_its_customer():
     customers = {"large": CustomerShare(max_in_flight=1), "small": CustomerShare()}
     admission = make_admission(capacity=9, customers=customers)
     admission.offer("large", 3, NOW, 10 * SECOND)
@@ -179,7 +179,7 @@
     assert admission.next_admitted(NOW) is None
 
 
-def test_cancel_frees_the_place():
+def test_cancel_frees_the_slot():
     admission = make_admission()
     first = admission.offer("large", 3, NOW, 10 * SECOND)
     second = admission.offer("large", 3, NOW, 10 * SECOND)
@@ -188,11 +188,11 @@
     assert (admission.waiting, admission.in_flight) == (0, 0)
 
 
-def test_time_in_the_queue_is_no_latency():
-    """Requests are turned away though their answers take a tenth of their time.
+def test_queueing_time_is_not_counted_as_latency():
+    """Guards against shed requests that had ample time.
 
-    The time in the queue was counted as the time that answers take, so that a
-    short queue made the next requests look hopeless.
+    Queueing time was included in the latency, so that a short queue made later requests
+    appear unable to meet their deadlines.
     """
     admission = make_admission()
     current = admission.offer("large", 3, NOW, 60 * SECOND).ticket
@@ -204,10 +204,10 @@
     assert isinstance(admission.offer("large", 3, SECOND, SECOND), Wait)
 
 
-def test_cancelled_request_is_not_shed_as_well():
-    """A caller hangs up, and the entry then answers a request it has forgotten.
+def test_cancelled_request_is_not_shed():
+    """Guards against answering a request that its caller has already cancelled.
 
-    The request had been displaced from a full queue and was not yet reported.
+    The request had been evicted from a full queue and not yet been reported.
     """
     admission = make_admission()
     admission.offer("large", 3, NOW, 60 * SECOND)
--- a/tests/decisions/test_admission_invariants.py
+++ b/tests/decisions/test_admission_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of admission under arbitrary orders of events."""
+"""Invariants of admission control under arbitrary sequences of events."""
 
 from datetime import timedelta
 from random import Random
@@ -24,7 +24,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Every request is decided once, and is waiting, running or over."""
+    """Every request gets one decision and is queued, running or finished."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -90,7 +90,7 @@
     @invariant()
     def counts_agree(self):
         assert self.admission.in_flight == len(self.running)
-        # A request that was displaced waits for expire to return it.
+        # An evicted request remains in `waiting` until expire returns it.
         assert self.admission.waiting <= len(self.waiting)
         assert self.admission.limit >= 1
 
@@ -109,7 +109,7 @@
 
 
 class Drawn:
-    """Data of a sequence that hypothesis once found, drawn again."""
+    """Replays drawn numbers of a sequence that Hypothesis found."""
 
     def __init__(self, number: int) -> None:
         self._number = number
@@ -118,11 +118,11 @@
         return self._number
 
 
-def test_a_wait_beyond_all_times_is_the_longest_time():
-    """A caller would get an internal error in place of a refusal.
+def test_wait_beyond_the_range_of_timedelta_is_capped():
+    """Guards against an internal error in place of a refusal.
 
-    Customers with a rate of their own take all but no share of the service, and the
-    expected wait of the next request is larger than a time can be.
+    Customers with a rate limit leave almost no share of the service to others, so that
+    the expected wait of the next request exceeds the range of timedelta.
     """
     machine = AdmissionMachine()
     machine.offer("a", 0, 1)
--- a/tests/decisions/test_admission_outcomes.py
+++ b/tests/decisions/test_admission_outcomes.py
@@ -1,4 +1,4 @@
-"""The replays of admission against their stated outcomes."""
+"""Tests of the simulated admission scenarios against their expected outcomes."""
 
 import pytest
 
