--- a/src/sassafrasdale/decisions/limits.py
+++ b/src/sassafrasdale/decisions/limits.py
@@ -1,11 +1,11 @@
-"""Limits that each entry adapts by itself, without a counter shared by entries."""
+"""Limits that each entry adapts on its own, without a shared counter."""
 
 from dataclasses import dataclass
 from datetime import timedelta
 from math import inf
 
 DEFAULT_COOLDOWN = timedelta(milliseconds=100)
-"""Shortest time between two decreases while no latency is known."""
+"""Minimum time between two decreases while no latency is known."""
 
 BURST = timedelta(seconds=5)
 """Time for which a customer's unused tokens are kept."""
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """Constants of an adaptive concurrency limit.
+    """Constants of the adaptive concurrency limit.
 
-    :param smallest: requests in flight that are always allowed.
-    :param increase: growth per full limit's worth of successes, as a part of the
+    :param smallest: minimum of the limit.
+    :param increase: growth per full limit's worth of successes, as a fraction of the
         entry's share.
-    :param decrease: factor applied on a refusal.
-    :param borrow: largest multiple of the entry's share that it may grow to.
-    :param tolerance: multiple of the usual latency at which what was borrowed is
-        given back, for endpoints that queue instead of refusing.
-    :param samples: answers over which a latency is averaged.
-    :param ageing: growth of the usual latency per average above it, so that a
-        lasting change of the work is learned.
-    :param cooldown: shortest time between two decreases, in usual latencies.
+    :param decrease: factor applied after a refusal.
+    :param borrow: maximum of the limit, as a multiple of the entry's share.
+    :param tolerance: multiple of the baseline latency above which growth beyond the
+        share is reverted, for endpoints that queue instead of refusing.
+    :param samples: number of responses over which a latency is averaged.
+    :param ageing: growth of the baseline latency per average above it, so that it
+        adapts to a lasting change of the workload.
+    :param cooldown: minimum time between two decreases, in baseline latencies.
     """
 
     smallest: int = 1
@@ -41,10 +41,10 @@
 class ConcurrencyLimit:
     """Additive-increase, multiplicative-decrease limit on requests in flight.
 
-    It starts at the entry's share of the capacity (capacity / live entries),
-    grows while requests succeed and the limit is in use, and falls on refusals.
+    It starts at the entry's share of the capacity (capacity / live entries), grows
+    while requests succeed and the limit is in use, and shrinks on refusals.
 
-    :param capacity: requests that all endpoints of the service run at once.
+    :param capacity: requests that all endpoints of the service run concurrently.
     :param live_entries: entries that share the endpoints.
     """
 
@@ -60,20 +60,20 @@
         self._next_decrease = timedelta()
         self._sum = 0.0
         self._count = 0
-        self._usual = inf
+        self._baseline = inf
 
     @property
     def value(self) -> int:
-        """Requests that may be in flight from this entry."""
+        """Maximum number of requests in flight from this entry."""
         return max(round(self._value), self._settings.smallest)
 
     @property
     def share(self) -> float:
-        """Even share of the capacity that falls to the entry."""
+        """The entry's equal share of the capacity."""
         return self._share
 
     def set_share(self, capacity: int, live_entries: int) -> None:
-        """Take a new capacity or number of entries; keep the learned ratio."""
+        """Set the capacity and the number of entries; keep the learned ratio."""
         share = max(capacity / max(live_entries, 1), self._settings.smallest)
         self._value *= share / self._share
         self._share = share
@@ -83,33 +83,36 @@
 
         :param in_flight: requests still in flight after this one.
         """
-        self._average(latency.total_seconds())
+        self._update_average(latency.total_seconds())
         if in_flight + 1 < self.value:
             return
         step = self._settings.increase * self._share
         grown = self._value + step / self._value
         self._value = min(grown, self._share * self._settings.borrow)
 
-    def _average(self, seconds: float) -> None:
+    def _update_average(self, seconds: float) -> None:
         self._sum += seconds
         self._count += 1
         if self._count < self._settings.samples:
             return
         mean = self._sum / self._count
         self._sum, self._count = 0.0, 0
-        if mean > self._usual * self._settings.tolerance and self._value > self._share:
+        if (
+            mean > self._baseline * self._settings.tolerance
+            and self._value > self._share
+        ):
             self._value = max(self._value * self._settings.decrease, self._share)
-        self._usual = min(mean, self._usual * (1 + self._settings.ageing))
+        self._baseline = min(mean, self._baseline * (1 + self._settings.ageing))
 
     @property
     def cooldown(self) -> timedelta:
-        """Shortest time between two decreases."""
-        if self._usual == inf:
+        """Minimum time between two decreases."""
+        if self._baseline == inf:
             return DEFAULT_COOLDOWN
-        return timedelta(seconds=self._usual * self._settings.cooldown)
+        return timedelta(seconds=self._baseline * self._settings.cooldown)
 
     def on_refusal(self, now: timedelta) -> None:
-        """Shrink, at most once per cooldown, since an endpoint refused."""
+        """Shrink after a refusal, at most once per cooldown."""
         if now < self._next_decrease:
             return
         self._next_decrease = now + self.cooldown
@@ -136,12 +139,12 @@
         return self._rate
 
     def set_rate(self, rate: float) -> None:
-        """Take a new rate, in requests per second on this entry."""
+        """Set the rate, in requests per second on this entry."""
         self._rate = rate
         self._depth = max(rate * self._burst.total_seconds(), 1.0)
 
     def try_take(self, now: timedelta) -> bool:
-        """Take a token if there is one."""
+        """Take a token if one is available."""
         self._refill(now)
         if self._tokens < 1:
             return False
@@ -149,7 +152,7 @@
         return True
 
     def wait(self, now: timedelta) -> timedelta:
-        """Return the time until there is a token."""
+        """Return the time until a token is available."""
         self._refill(now)
         missing = max(1 - self._tokens, 0.0)
         return timedelta(seconds=missing / self._rate)
--- a/src/sassafrasdale/decisions/quotas.py
+++ b/src/sassafrasdale/decisions/quotas.py
@@ -1,20 +1,21 @@
-"""Admission under a customer's rate limit that many gateways enforce together.
-
-Pattern of load: few requests with sizes that differ a hundredfold, spread unevenly by
-a balancer over up to hundreds of gateways, each of which sees a customer now and then.
-A fixed part of the limit at each gateway refuses a customer far below its limit, and
-where a part may be overdrawn by one request, two hundred parts let in two hundred
-requests beyond it. So each gateway keeps its own view of the whole limit: it takes out
-its own spending at once and the others' as their sums come, and expects of each group
-the same rate until its next word. While that view has more left than may be spent
-unseen, any gateway lets in what comes, as long as what the others can't know of yet is
-within its part of what is left. Near the limit each lets the same part of its requests
-in, whatever their size: that by which all together spend what the limit fills up by.
-
-Fixed parts refused 6.5 of 100 requests of a customer at half of its limit, this refuses
-none (eight gateways, 600 requests of 1,000 to 50,000 tokens). Of a customer at 7.5
-times its limit, parts that one request may overdraw let in 2.1 times the limit at sixty
-gateways (models in ``tests/gateway/test_quotas.py``).
+"""Distributed enforcement of a customer's rate limit across gateways.
+
+Workload: few requests whose sizes differ by a factor of a hundred, distributed unevenly
+by a load balancer over up to hundreds of gateways, each of which sees a customer only
+occasionally. A fixed fraction of the limit per gateway refuses a customer far below its
+limit; and if a fraction may be overdrawn by one request, two hundred gateways admit two
+hundred requests too many. Each gateway therefore tracks the whole limit: it subtracts
+its own usage immediately and that of the other groups when their totals arrive, and
+extrapolates each group's rate until its next report. While more remains than may be
+used before it is reported, any gateway admits requests as long as its own unreported
+usage is within its share of what remains. Near the limit every gateway admits the same
+fraction of its requests, whatever their size, such that gateways they use what the
+limit is refilled by.
+
+Fixed fractions refused 6.5 of 100 requests of a customer at half of its limit, this
+scheme refuses none (eight gateways, 600 requests of 1,000 to 50,000 tokens). For a
+customer at 7.5 times its limit, fractions that one request may overdraw admitted 2.1
+times the limit with sixty gateways (models in ``tests/gateway/test_quotas.py``).
 """
 
 from collections import deque
@@ -24,33 +25,34 @@
 
 from sassafrasdale.decisions.aggregators import FRESH, LIFETIME
 
-# Time over which a group's spending is averaged to expect what it spends unseen.
-SPENDING_WINDOW = timedelta(seconds=2)
-# Time that a spending takes to be known everywhere where nothing else is said.
+# Time over which a group's usage rate is averaged, to estimate its unreported usage.
+USAGE_WINDOW = timedelta(seconds=2)
+# Default time until usage is known at all gateways.
 UNSEEN_TIME = timedelta(milliseconds=500)
-# Requests from which a rise of demand is taken: two may come together by chance.
-FEWEST_ASKED = 3
-# Gateways that a rise is taken to come to at the same time, at the most. One caller's
-# few requests would look like a rise at each of two hundred.
-MOST_TOGETHER = 8
-# Time over which the limit's view is brought back to the limit. It must be longer than
-# the way of a spending to all gateways, a second in fleets of hundreds.
+# Minimum number of requests for a surge: two may coincide by chance.
+MIN_SURGE_REQUESTS = 3
+# Maximum number of gateways assumed to see a surge at the same time. Otherwise one
+# caller's few requests would count as a surge at each of two hundred gateways.
+MAX_SURGE_GATEWAYS = 8
+# Time over which deviations from the limit are corrected. It must be longer than usage
+# takes to reach all gateways, which is a second in fleets of hundreds.
 SPREAD = timedelta(seconds=2)
-# When a refused caller is told to come back. Sooner it meets the same view of the
-# limit; later it has most likely given up.
-SHORTEST_RETURN = timedelta(milliseconds=300)
-LONGEST_RETURN = timedelta(seconds=10)
-# The count of a group that is gone is kept for this long: it may have been cut off.
+# Bounds of the retry-after time. A caller that retries sooner meets the same state of
+# the limit; later it has most likely given up.
+MIN_RETRY_AFTER = timedelta(milliseconds=300)
+MAX_RETRY_AFTER = timedelta(seconds=10)
+# Retention of the totals of a group that is gone: it may only have been partitioned.
 FORGET = timedelta(minutes=2)
 
 
 @dataclass(frozen=True, slots=True)
 class SpendingCounter:
-    """Who counts a group's spending.
+    """Identity of the counter of a group's usage.
 
     :param zone: the group's availability zone.
-    :param key: name of the aggregator, its incarnation, how often it has begun anew.
-    :param began_at: when it began to count, in elapsed time.
+    :param key: name of the aggregator, its incarnation, and how often it has reset its
+        counter.
+    :param began_at: elapsed time at which it started to count.
     """
 
     zone: str
@@ -59,139 +61,142 @@
 
 
 @dataclass(slots=True)
-class _GroupSpending:
-    """What a group had spent when it was last heard, and its rate until then."""
+class _GroupUsage:
+    """A group's total usage at its last report, and its rate until then."""
 
     spent: float
-    heard_at: timedelta
+    reported_at: timedelta
     rate: float = 0.0
 
     def expected(self, now: timedelta) -> float:
-        """Return what the group has most likely spent since it was heard.
+        """Return the estimated usage of the group since its last report.
 
-        Its rate is expected to go on while it is in touch; after that its part of the
-        limit is set aside instead.
+        Its rate is extrapolated while it is in contact. After that, its share of the
+        limit is reserved instead.
         """
-        age = now - self.heard_at
+        age = now - self.reported_at
         if age > LIFETIME:
             return 0.0
         return self.rate * min(age, FRESH).total_seconds()
 
 
 class SharedLimit:
-    """One gateway's view of what all gateways spend of a customer's limit.
+    """One gateway's view of the usage of a customer's limit by all gateways.
 
-    :param used: tokens missing from a full limit to begin with.
+    :param used: initial deficit, in tokens.
     """
 
     def __init__(self, used: float, now: timedelta) -> None:
         self._used = used
-        # What of that is missing from the beginning and hasn't filled up since.
-        self._missing = used
+        # Remainder of the initial deficit that has not been refilled yet.
+        self._initial_deficit = used
         self._spent = 0.0
         self._updated = now
         self._rate = 0.0
-        self._unseen: deque[tuple[timedelta, float]] = deque()
-        self._asked: deque[tuple[timedelta, float]] = deque()
-        self._groups: dict[tuple[str, int, int], _GroupSpending] = {}
-        # When each zone was last heard.
-        self._zones: dict[str, timedelta] = {}
+        self._unreported: deque[tuple[timedelta, float]] = deque()
+        self._requested: deque[tuple[timedelta, float]] = deque()
+        self._groups: dict[tuple[str, int, int], _GroupUsage] = {}
+        # Time of the last report of each zone.
+        self._zone_reported_at: dict[str, timedelta] = {}
 
     @property
     def spent(self) -> float:
-        """Tokens let in here since the start."""
+        """Tokens admitted here since the start."""
         return self._spent
 
     def used(self, now: timedelta) -> float:
-        """Return the tokens missing from a full limit."""
+        """Return the deficit, in tokens: what is missing from a full limit."""
         expected = sum(group.expected(now) for group in self._groups.values())
         elapsed = (now - self._updated).total_seconds()
         return max(self._used - self._rate * elapsed, 0.0) + expected
 
     def refill(self, rate: float, now: timedelta) -> None:
-        """Let the limit fill up to now, and at ``rate`` from now on."""
+        """Refill the limit up to now, and at ``rate`` from now on."""
         filled = self._rate * (now - self._updated).total_seconds()
         self._used = max(self._used - filled, 0.0)
-        self._missing = max(self._missing - filled, 0.0)
+        self._initial_deficit = max(self._initial_deficit - filled, 0.0)
         self._rate = rate
         self._updated = now
 
     def left(self, depth: float, part: float, now: timedelta) -> float:
-        """Return the tokens left of a part of the limit; negative if overdrawn.
+        """Return what remains of a fraction of the limit; negative if overdrawn.
 
-        What was missing from the beginning is missing from each part alike. What was
-        let in since counts whole: one gateway that hears nobody has let it in alone.
+        The initial deficit reduces each fraction proportionally. Usage since then
+        counts in full: a gateway without contact to others has admitted all of it
+        itself.
 
         :param depth: tokens of a full limit.
-        :param part: the part of it that falls to the gateways in touch.
+        :param part: fraction of the limit that belongs to the gateways in contact.
         """
-        let_in = self.used(now) - self._missing
-        return (depth - self._missing) * part - let_in
+        admitted = self.used(now) - self._initial_deficit
+        return (depth - self._initial_deficit) * part - admitted
 
     def spend(self, amount: float, now: timedelta) -> None:
-        """Take out what is let in here; a negative amount gives it back."""
+        """Subtract what is admitted here; a negative amount returns it."""
         self._used += amount
         self._spent += amount
-        self._unseen.append((now, amount))
+        self._unreported.append((now, amount))
 
     def unseen(self, now: timedelta, unseen_time: timedelta = UNSEEN_TIME) -> float:
-        """Return what was let in here so lately that the others can't know it.
+        """Return what was admitted here too recently for other gateways to know.
 
-        :param unseen_time: time that a spending takes to be known everywhere.
+        :param unseen_time: time until usage is known at all gateways.
         """
-        while self._unseen and now - self._unseen[0][0] > unseen_time:
-            self._unseen.popleft()
-        return sum(amount for _, amount in self._unseen)
+        while self._unreported and now - self._unreported[0][0] > unseen_time:
+            self._unreported.popleft()
+        return sum(amount for _, amount in self._unreported)
 
     def ask(self, amount: float, now: timedelta) -> None:
-        """Note what a request asks for, whether it is let in or not."""
-        self._asked.append((now, amount))
+        """Record the tokens that a request needs, whether it is admitted or not."""
+        self._requested.append((now, amount))
 
     def unseen_rise(
         self, now: timedelta, unseen_time: timedelta, average: float
     ) -> float:
-        """Return by how much more is asked here a second than on average.
+        """Return by how much the demand here exceeds the average, in tokens a second.
 
-        An average of some seconds shows a rise too late: in the meantime each gateway
-        that it comes to would let in the whole rate by itself.
+        An average over seconds shows a surge too late: in the meantime each gateway
+        that it reaches would admit the whole rate by itself.
 
-        :param average: what is asked here a second on average.
+        :param unseen_time: time until usage is known at all gateways.
+        :param average: average demand here, in tokens a second.
         """
-        while self._asked and now - self._asked[0][0] > unseen_time:
-            self._asked.popleft()
-        if len(self._asked) < FEWEST_ASKED:
+        while self._requested and now - self._requested[0][0] > unseen_time:
+            self._requested.popleft()
+        if len(self._requested) < MIN_SURGE_REQUESTS:
             return 0.0
-        # Callers send in clumps, of which each looks like a rise within its moment.
-        span = max(now - self._asked[0][0], unseen_time / 3).total_seconds()
-        amounts = [amount for _, amount in self._asked]
-        # Without the largest: one prompt may be as large as forty others.
+        # Callers send in bursts, each of which looks like a surge over its short
+        # duration.
+        span = max(now - self._requested[0][0], unseen_time / 3).total_seconds()
+        amounts = [amount for _, amount in self._requested]
+        # Leaves out the largest request: one prompt may be as large as forty others.
         return max((sum(amounts) - max(amounts)) / span - average, 0.0)
 
     def hear(self, counter: SpendingCounter, spent: float, now: timedelta) -> None:
-        """Take out what a group has spent since it was last heard.
+        """Subtract the usage of a group since its last report.
 
-        Of a counter that is heard for the first time only the count is noted: what was
-        spent before is in the reports of what is used. But one that has begun since its
-        zone was last heard has taken over from another, and all that it counted is new.
-        Taken for new without that, a minute's spending would empty a limit each time
-        that another gateway sums up a zone.
+        The first report of a counter only sets its baseline: earlier usage is part of
+        the reported deficit. But a counter that started after the last report of its
+        zone has replaced another one, and its whole total is new. Without this
+        distinction, a minute of usage would exhaust the limit each time that another
+        gateway becomes the aggregator of a zone.
         """
         last = self._groups.get(counter.key)
-        heard_at = self._zones.get(counter.zone)
-        self._zones[counter.zone] = max(now, heard_at or now)
+        reported_at = self._zone_reported_at.get(counter.zone)
+        self._zone_reported_at[counter.zone] = max(now, reported_at or now)
         if last is None:
-            took_over = heard_at is not None and counter.began_at >= heard_at
-            last = _GroupSpending(0.0 if took_over else spent, now)
+            is_successor = reported_at is not None and counter.began_at >= reported_at
+            last = _GroupUsage(0.0 if is_successor else spent, now)
         delta = spent - last.spent
         self._used += delta
-        decayed = last.rate * exp(-((now - last.heard_at) / SPENDING_WINDOW))
-        rate = decayed + delta / SPENDING_WINDOW.total_seconds()
-        self._groups[counter.key] = _GroupSpending(spent, now, max(rate, 0.0))
-        self._forget_stopped(now)
+        decayed = last.rate * exp(-((now - last.reported_at) / USAGE_WINDOW))
+        rate = decayed + delta / USAGE_WINDOW.total_seconds()
+        self._groups[counter.key] = _GroupUsage(spent, now, max(rate, 0.0))
+        self._forget_silent_groups(now)
 
-    def _forget_stopped(self, now: timedelta) -> None:
+    def _forget_silent_groups(self, now: timedelta) -> None:
         for key, group in list(self._groups.items()):
-            if now - group.heard_at > FORGET:
+            if now - group.reported_at > FORGET:
                 del self._groups[key]
 
 
@@ -202,84 +207,86 @@
     unseen: float,
     unseen_time: timedelta = UNSEEN_TIME,
 ) -> bool:
-    """Return whether a limit has more left than may be spent unseen.
-
-    :param left: tokens left of the limit.
-    :param demand: tokens that all gateways' requests ask for a second.
-    :param share: part of the limit that falls to this gateway.
-    :param unseen: tokens let in here that the others can't know of yet, beyond those
-        that the limit's slack has room for.
-    :param unseen_time: time that a spending takes to be known everywhere.
+    """Return whether more remains of a limit than may be used unreported.
+
+    :param left: tokens that remain of the limit.
+    :param demand: tokens a second that the requests at all gateways need.
+    :param share: fraction of the limit that belongs to this gateway.
+    :param unseen: tokens admitted here that other gateways can't know of yet, beyond
+        those that the limit's slack allows.
+    :param unseen_time: time until usage is known at all gateways.
     """
     return left > demand * unseen_time.total_seconds() and unseen <= left * share
 
 
 def passing_part(left: float, rate: float, demand: float) -> float:
-    """Return the part of all requests that is let in near the limit.
+    """Return the fraction of all requests that is admitted near the limit.
 
-    What is left is spent, or what was overdrawn saved, over :data:`SPREAD`: by then the
-    spending that this goes by is known everywhere.
+    The remainder is used up, or an overdraft made up, over :data:`CORRECTION_TIME`; by
+    then the usage that this is based on is known at all gateways.
 
-    :param left: tokens left of the limit; negative where it was overdrawn.
-    :param rate: tokens a second by which it fills up.
-    :param demand: tokens that all requests ask for a second.
+    :param left: tokens that remain of the limit; negative if overdrawn.
+    :param rate: tokens a second by which the limit is refilled.
+    :param demand: tokens a second that all requests need.
     """
     allowed = rate + left / SPREAD.total_seconds()
     return min(max(allowed / max(demand, 1.0), 0.0), 1.0)
 
 
 def unseen_demand(rise: float, share: float, covered: float) -> float:
-    """Return what more is most likely asked of all gateways than they know of.
+    """Return the estimated demand at all gateways that is not reported yet.
 
-    A rise that shows at one comes to others at the same time, as a customer's callers
-    are spread over them.
+    A surge seen by one gateway reaches others at the same time, since a customer's
+    callers are distributed over them.
 
-    :param rise: by how much more is asked here than on average, a second.
-    :param share: part of the limit that falls to this gateway.
-    :param covered: what the limit's slack has room for, a second.
+    :param rise: by how much the demand here exceeds the average, in tokens a second.
+    :param share: fraction of the limit that belongs to this gateway.
+    :param covered: tokens a second that the limit's slack allows.
     """
-    together = min(1 / max(share, 1e-9), MOST_TOGETHER)
-    return max(rise * together - covered, 0.0)
+    gateways = min(1 / max(share, 1e-9), MAX_SURGE_GATEWAYS)
+    return max(rise * gateways - covered, 0.0)
 
 
 def fits_unseen(amount: float, unseen: float, filling: float) -> bool:
-    """Return whether a gateway may let a request in while the limit is used up.
+    """Return whether a gateway may admit a request while the limit is exhausted.
 
-    All gateways may do so before they know of each other, so each keeps to its part of
-    what fills up meanwhile. A request that is larger than that goes alone.
+    All gateways may admit requests before they know of each other's, so each keeps to
+    its share of the refill in that time. A request larger than that share is admitted
+    only on its own.
 
-    :param unseen: tokens let in here that the others can't know of yet.
-    :param filling: this gateway's part of the tokens by which the limit fills up until
-        they do.
+    :param amount: tokens that the request needs.
+    :param unseen: tokens admitted here that other gateways can't know of yet.
+    :param filling: this gateway's share of the tokens by which the limit is refilled
+        until they do.
     """
     return unseen + min(amount, filling) <= filling
 
 
 def time_to_return(left: float, rate: float, demand: float) -> timedelta:
-    """Return when a refused caller is worth coming back.
+    """Return the retry-after time of a refused request.
 
-    What was overdrawn has to fill up first, and what is asked beyond the limit each
-    second waits for its turn, too.
+    An overdraft has to be refilled first, and the demand beyond the limit in each
+    second also waits.
     """
     rate = max(rate, 1.0)
     wait = max(-left, 0.0) / rate + max(demand / rate - 1, 0.0)
-    wait = min(wait, LONGEST_RETURN.total_seconds())
-    return max(timedelta(seconds=wait), SHORTEST_RETURN)
+    wait = min(wait, MAX_RETRY_AFTER.total_seconds())
+    return max(timedelta(seconds=wait), MIN_RETRY_AFTER)
 
 
 class Thinning:
-    """Lets a part of the requests in, as evenly as they come.
+    """Admits a fraction of the requests, evenly distributed.
 
-    :param debt: part of a request that is missing until the next is let in, at the
-        beginning. With a different one at each gateway, they don't all refuse, or let
-        in, the first request that reaches them.
+    :param debt: fraction of a request that is initially missing until the next one is
+        admitted. With different values the gateways don't all refuse, or all admit,
+        their first request.
     """
 
     def __init__(self, debt: float) -> None:
         self._debt = debt
 
     def lets_in(self, part: float) -> bool:
-        """Return whether the next request is one of that part."""
+        """Return whether the next request is admitted at that fraction."""
         self._debt -= part
         if self._debt > 0:
             return False
--- a/src/sassafrasdale/decisions/shares.py
+++ b/src/sassafrasdale/decisions/shares.py
@@ -1,17 +1,17 @@
-"""Part of each customer's demand that reaches an entry, from the peers' reports."""
+"""Share of each customer's demand that reaches this entry, from peers' reports."""
 
 from collections.abc import Mapping
 from datetime import timedelta
 from math import exp
 
 DEMAND_WINDOW = timedelta(seconds=2)
-"""Time over which a customer's own arrivals are averaged."""
+"""Time over which a customer's arrivals at this entry are averaged."""
 
 REPORT_LIFETIME = timedelta(seconds=30)
-"""Time after which a peer's report no longer counts."""
+"""Time after which a peer's report is ignored."""
 
 EVEN_WEIGHT = 0.05
-"""Demand assumed of every entry on top of its own, as a share of the mean."""
+"""Demand assumed at every entry in addition to its own, as a fraction of the mean."""
 
 
 class DemandShares:
@@ -20,8 +20,8 @@
     Usage::
 
         shares.add("lab-7", now)  # at each arrival
-        peers.send(shares.report(now))  # now and then
-        shares.hear("entry-3", report, now)  # from each peer
+        peers.send(shares.report(now))  # periodically
+        shares.add_report("entry-3", report, now)  # from each peer
         part = shares.share("lab-7", entries, now)
     """
 
@@ -35,52 +35,52 @@
         self._rates: dict[str, float] = {}
         self._updated: dict[str, timedelta] = {}
         self._reports: dict[str, Mapping[str, float]] = {}
-        self._heard: dict[str, timedelta] = {}
+        self._reported_at: dict[str, timedelta] = {}
 
     def add(self, customer: str, now: timedelta, amount: float = 1) -> None:
-        """Record an arrival, or the ``amount`` that it asks for."""
+        """Record an arrival, or the ``amount`` that it requests."""
         rate = self.own(customer, now)
         self._rates[customer] = rate + amount / self._window.total_seconds()
         self._updated[customer] = now
 
     def own(self, customer: str, now: timedelta) -> float:
-        """Return what reaches this entry, a second."""
+        """Return the customer's demand at this entry, per second."""
         rate = self._rates.get(customer, 0.0)
         elapsed = now - self._updated.get(customer, now)
         return rate * exp(-(elapsed / self._window))
 
     def report(self, now: timedelta) -> Mapping[str, float]:
-        """Return this entry's demand, a second and by customer."""
+        """Return this entry's demand per second by customer."""
         return {name: self.own(name, now) for name in self._rates}
 
     def hear(self, peer: str, report: Mapping[str, float], now: timedelta) -> None:
-        """Take the report of a peer."""
+        """Store the report of a peer."""
         self._reports[peer] = report
-        self._heard[peer] = now
+        self._reported_at[peer] = now
 
     def customers(self) -> set[str]:
-        """Return the customers that asked for anything, here or at a peer."""
+        """Return the customers with any demand, here or at a peer."""
         return set(self._rates).union(*self._reports.values())
 
     def forget(self, peer: str) -> None:
-        """Drop the report of a peer."""
+        """Remove the report of a peer."""
         self._reports.pop(peer, None)
-        self._heard.pop(peer, None)
+        self._reported_at.pop(peer, None)
 
     def share(self, customer: str, live_entries: int, now: timedelta) -> float:
-        """Return the part of a customer's limits that this entry may use.
+        """Return the fraction of a customer's limits that this entry may use.
 
-        :param live_entries: entries, this one included. One that has not
-            reported counts with the mean demand of those that have.
+        :param live_entries: number of entries, this one included. One without a report
+            counts with the mean demand of those that have reported.
         """
         total = self.total(customer, live_entries, now)
         return self.part(self.own(customer, now), total, live_entries)
 
     def part(self, demand: float, total: float, entries: int) -> float:
-        """Return the part of a limit that one entry's demand gives it.
+        """Return the fraction of a limit that an entry gets for its demand.
 
-        :param demand: what reaches that entry, a second.
-        :param total: what reaches all ``entries``.
+        :param demand: demand at that entry, per second.
+        :param total: demand at all ``entries``.
         """
         if not total:
             return 1 / entries
@@ -88,15 +88,15 @@
         return (demand + even * self._even_weight) / (total * (1 + self._even_weight))
 
     def total(self, customer: str, live_entries: int, now: timedelta) -> float:
-        """Return all entries' demand, a second, as far as it was reported."""
-        heard = self._heard_demand(customer, now)
-        known = self.own(customer, now) + sum(heard)
-        mean = known / (1 + len(heard))
-        return known + mean * max(live_entries - 1 - len(heard), 0)
+        """Return the demand per second at all entries, as far as reported."""
+        reported = self._reported_demand(customer, now)
+        known = self.own(customer, now) + sum(reported)
+        mean = known / (1 + len(reported))
+        return known + mean * max(live_entries - 1 - len(reported), 0)
 
-    def _heard_demand(self, customer: str, now: timedelta) -> list[float]:
+    def _reported_demand(self, customer: str, now: timedelta) -> list[float]:
         return [
             report.get(customer, 0.0)
             for peer, report in self._reports.items()
-            if now - self._heard[peer] <= REPORT_LIFETIME
+            if now - self._reported_at[peer] <= REPORT_LIFETIME
         ]
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the limits."""
+"""Tests of the concurrency limit and the token bucket."""
 
 from datetime import timedelta
 
@@ -25,7 +25,7 @@
     assert limit.value > 8
 
 
-def test_never_exceeds_what_may_be_borrowed():
+def test_never_exceeds_the_maximum():
     limit = ConcurrencyLimit(48, 6, LimitSettings(borrow=2.0))
     succeed(limit, 1000)
     assert limit.value == 16
@@ -40,11 +40,12 @@
     assert limit.value < once < 8
 
 
-def test_slow_answers_take_back_only_what_was_borrowed():
-    """Requests wait at endpoints that never refuse, past the reach of priorities.
+def test_slow_responses_revert_only_growth_beyond_the_share():
+    """Guards against queues in endpoints that never refuse.
 
-    Every entry grew its limit while answers came; the queues moved into the
-    endpoints. Long work alone must not cut into the even share, though.
+    Every entry grew its limit while responses arrived, and the queues moved into the
+    endpoints, where priorities don't apply. Long requests alone must not reduce the
+    equal share, though.
     """
     limit = ConcurrencyLimit(48, 6)
     succeed(limit, 200)
@@ -61,7 +62,7 @@
     assert limit.value == 16
 
 
-def test_bucket_gives_its_rate_and_says_when():
+def test_bucket_keeps_its_rate_and_returns_the_wait():
     bucket = TokenBucket(2.0, burst=SECOND)
     assert [bucket.try_take(SECOND) for _ in range(3)] == [True, True, False]
     assert bucket.wait(SECOND) == SECOND / 2
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -1,4 +1,4 @@
-"""One gateway's view of a limit that several gateways enforce."""
+"""Tests of one gateway's view of a limit that several gateways enforce."""
 
 from datetime import timedelta
 
@@ -6,7 +6,7 @@
 
 from sassafrasdale.decisions.aggregators import FRESH, LIFETIME
 from sassafrasdale.decisions.quotas import (
-    SHORTEST_RETURN,
+    MIN_RETRY_AFTER,
     SPREAD,
     UNSEEN_TIME,
     SharedLimit,
@@ -26,8 +26,8 @@
     return SpendingCounter("z", key, began_at)
 
 
-def test_what_a_group_lets_in_is_taken_out_once():
-    """A customer's limit would be counted down twice, and the customer refused."""
+def test_group_usage_is_subtracted_once():
+    """Guards against refusing a customer whose usage is subtracted twice."""
     limit = SharedLimit(0.0, ZERO)
     limit.hear(counter(("b", 1, 0)), 500, ZERO)
     limit.hear(counter(("b", 1, 0)), 800, ZERO)
@@ -35,15 +35,15 @@
     assert limit.used(LIFETIME * 4) == 300
 
 
-def test_an_aggregator_that_started_anew_counts_from_nothing():
+def test_restarted_aggregator_counts_from_zero():
     limit = SharedLimit(0.0, ZERO)
     limit.hear(counter(("b", 1, 0)), 5000, ZERO)
     limit.hear(counter(("b", 2, 0), SECOND), 40, SECOND)
     assert limit.used(LIFETIME * 2) == 40
 
 
-def test_a_group_is_expected_to_go_on_until_it_is_silent():
-    """All gateways would spend what one has spent since its last report."""
+def test_group_rate_is_extrapolated_until_contact_is_lost():
+    """Guards against gateways that all use what one has used since its report."""
     limit = SharedLimit(0.0, ZERO)
     limit.hear(counter(("b", 1, 0)), 0, ZERO)
     limit.hear(counter(("b", 1, 0)), 1000, SECOND)
@@ -53,40 +53,40 @@
     assert limit.used(SECOND + LIFETIME * 2) == 1000
 
 
-def test_a_limit_fills_up_with_time():
+def test_limit_is_refilled_over_time():
     limit = SharedLimit(900.0, ZERO)
     limit.refill(100, ZERO)
     assert limit.used(4 * SECOND) == 500
     assert limit.used(60 * SECOND) == 0
 
 
-def test_what_was_let_in_is_unseen_for_as_long_as_news_takes():
+def test_usage_is_unreported_for_the_propagation_time():
     limit = SharedLimit(0.0, ZERO)
     limit.spend(300, ZERO)
     assert limit.unseen(UNSEEN_TIME / 2) == 300
     assert limit.unseen(UNSEEN_TIME * 2) == 0
 
 
-def test_room_is_what_others_may_not_have_spent_meanwhile():
+def test_headroom_excludes_unreported_usage_of_others():
     assert has_room(left=10_000, demand=1000, share=0.25, unseen=0)
     assert not has_room(left=10_000, demand=50_000, share=0.25, unseen=0)
     assert not has_room(left=10_000, demand=1000, share=0.25, unseen=3000)
     assert not has_room(left=-5, demand=0, share=1, unseen=0)
 
 
-def test_another_aggregator_of_a_zone_counts_from_nothing():
-    """What a zone spends while its aggregator changes would be a customer's twice."""
+def test_new_aggregator_of_a_zone_counts_from_zero():
+    """Guards against usage that is lost while a zone's aggregator changes."""
     limit = SharedLimit(0.0, ZERO)
     limit.hear(counter(("b", 1, 0)), 5000, ZERO)
     limit.hear(counter(("c", 1, 0), SECOND), 70, 2 * SECOND)
     assert limit.used(LIFETIME * 2) == 70
 
 
-def test_an_aggregator_that_has_counted_for_long_is_no_news():
-    """A customer far within its limit would be refused for seconds.
+def test_total_of_an_older_aggregator_is_not_new_usage():
+    """Guards against refusing a customer far below its limit for seconds.
 
-    Two gateways sum up a zone, as one of them was cut off or restarted. A gateway hears
-    now one, now the other; the second has counted for a minute.
+    Two gateways aggregate a zone after one of them was partitioned or restarted. A
+    gateway gets reports of either; the second has counted for a minute already.
     """
     limit = SharedLimit(0.0, ZERO)
     limit.hear(counter(("b", 1, 0)), 5000, 60 * SECOND)
@@ -95,8 +95,8 @@
     assert limit.used(70 * SECOND) == 70
 
 
-def test_what_was_given_back_is_given_back_everywhere():
-    """A refused request's tokens would be missing from a limit at all others."""
+def test_returned_tokens_are_returned_at_all_gateways():
+    """Guards against a refused request's tokens missing from the limit elsewhere."""
     limit = SharedLimit(0.0, ZERO)
     limit.hear(counter(("b", 1, 0)), 0, ZERO)
     limit.hear(counter(("b", 1, 0)), 900, ZERO)
@@ -104,7 +104,7 @@
     assert limit.used(LIFETIME * 2) == 100
 
 
-def test_near_a_limit_as_much_is_let_in_as_fills_up():
+def test_near_the_limit_the_refill_is_admitted():
     assert passing_part(left=0, rate=100, demand=400) == 0.25
     assert passing_part(left=0, rate=100, demand=50) == 1
     assert passing_part(left=-1000, rate=100, demand=50) == 0
@@ -113,8 +113,8 @@
 
 
 @pytest.mark.parametrize("part", [0.0, 0.1, 0.37, 1.0])
-def test_a_part_of_the_requests_is_let_in_evenly(part):
-    """Two hundred gateways that each let their first request in let in too many."""
+def test_admitted_fraction_is_evenly_distributed(part):
+    """Guards against two hundred gateways that each admit their first request."""
     gateways = [Thinning(number / 100 + 0.005) for number in range(100)]
     first = sum(thinning.lets_in(part) for thinning in gateways)
     later = sum(thinning.lets_in(part) for thinning in gateways for _ in range(99))
@@ -122,16 +122,16 @@
     assert abs(first + later - 10_000 * part) <= 100
 
 
-def test_refused_callers_come_back_when_it_may_help():
+def test_retry_after_covers_overdraft_and_excess_demand():
     second = timedelta(seconds=1)
-    assert time_to_return(left=0, rate=100, demand=50) == SHORTEST_RETURN
+    assert time_to_return(left=0, rate=100, demand=50) == MIN_RETRY_AFTER
     assert time_to_return(left=-300, rate=100, demand=50) == 3 * second
     assert time_to_return(left=0, rate=100, demand=300) == 2 * second
     assert time_to_return(left=-1e9, rate=1, demand=0) == 10 * second
 
 
-def test_a_rise_shows_before_the_average_does():
-    """Each gateway that a rise comes to would let in the whole rate by itself."""
+def test_surge_shows_before_the_average_does():
+    """Guards against each gateway that a surge reaches admitting the whole rate."""
     limit = SharedLimit(0.0, ZERO)
     for step in range(4):
         limit.ask(100, SECOND * step / 10)
@@ -140,16 +140,16 @@
     assert limit.unseen_rise(now + SECOND, UNSEEN_TIME, 50.0) == 0.0
 
 
-def test_while_a_limit_is_used_up_little_is_let_in_unseen():
-    """Each of many gateways would let in as much as fills up for all of them."""
+def test_exhausted_limit_admits_little_unreported_usage():
+    """Guards against each gateway admitting the refill of all of them."""
     assert fits_unseen(amount=100, unseen=100, filling=250)
     assert not fits_unseen(amount=100, unseen=200, filling=250)
     assert fits_unseen(amount=9000, unseen=0, filling=250)
     assert not fits_unseen(amount=9000, unseen=1, filling=250)
 
 
-def test_a_clump_is_no_rise():
-    """A customer at half of its limit would be refused for three prompts at once."""
+def test_burst_is_not_a_surge():
+    """Guards against refusing a customer at half its limit for a burst of three."""
     limit = SharedLimit(0.0, ZERO)
     for step in range(3):
         limit.ask(2000, SECOND * step / 1000)
@@ -157,7 +157,7 @@
     assert rise == pytest.approx(21_000, rel=0.001)
 
 
-def test_one_large_request_is_no_rise():
+def test_one_large_request_is_not_a_surge():
     limit = SharedLimit(0.0, ZERO)
     for size in (100, 50_000, 100):
         limit.ask(size, SECOND / 10)
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -21,9 +21,9 @@
 
 
 def test_follows_the_demand():
-    """A customer whose connections all end at one entry gets a seventh of its limit.
+    """Guards against a seventh of the limit for a customer that uses one entry only.
 
-    The limit was divided evenly among seven entries, six of which it never calls.
+    The limit was divided equally among seven entries, six of which it never calls.
     """
     busy = make_shares(9)
     for peer in range(6):
@@ -41,13 +41,13 @@
     assert total == pytest.approx(1.0)
 
 
-def test_silent_entry_counts_with_the_mean():
+def test_entry_without_report_counts_with_the_mean():
     shares = make_shares(5)
     shares.hear("entry-2", make_shares(5).report(NOW), NOW)
     assert shares.share("lab", 4, NOW) == pytest.approx(0.25)
 
 
-def test_old_report_counts_no_more():
+def test_old_report_is_ignored():
     shares = make_shares(5)
     shares.hear("entry-2", {}, NOW)
     later = NOW + REPORT_LIFETIME * 2
