--- a/src/sassafrasdale/decisions/affinity.py
+++ b/src/sassafrasdale/decisions/affinity.py
@@ -1,8 +1,8 @@
-"""Which endpoint is expected to hold which prompt prefix in its cache.
+"""Estimate of which endpoint has which prompt prefix in its cache.
 
-Own sends come first: a prompt that this entry sent is cached there until the
-endpoint says otherwise or the index forgets it. Cache events, which are late and
-have gaps, only correct it.
+It is based on this entry's own requests: a prompt that it sent counts as cached there
+until the endpoint reports otherwise or the index evicts it. Cache events arrive late
+and with gaps, and only correct the estimate.
 """
 
 from bisect import bisect_left
@@ -15,13 +15,13 @@
 """Length of the pieces of a prompt that are hashed, in bytes of UTF-8."""
 
 BLOCK_TOKENS = 64
-"""Tokens that one block stands for, at four bytes a token."""
+"""Tokens in one block, assuming four bytes per token."""
 
 MAX_BLOCKS = 2048
 """Blocks that the index keeps for one endpoint."""
 
 BACKING_SPAN = 8
-"""Blocks before the deepest known one that are looked at."""
+"""Blocks before the deepest known one that are checked."""
 
 BACKING_BLOCKS = 4
 """Number of them that must be known too."""
@@ -42,9 +42,9 @@
 
 
 def conversation_key(contents: Sequence[str]) -> int:
-    """Return the hash of what every turn of a conversation begins with.
+    """Return the hash of what every turn of a conversation starts with.
 
-    :param contents: the messages up to and including the user's first.
+    :param contents: the messages up to and including the first one of the user.
     """
     seed = 0
     for content in contents:
@@ -53,10 +53,11 @@
 
 
 class HashRing:
-    """Names one endpoint for a key, the same on every entry.
+    """Consistent hash ring that maps a key to an endpoint, the same on every entry.
 
-    Entries that don't know who holds a conversation's prefix meet at its home
-    without a message. When an endpoint comes or goes, only its keys move.
+    Entries that don't know which endpoint holds a conversation's prefix choose its
+    owner without coordination. When an endpoint is added or removed, only its keys
+    move.
 
     :param endpoints: names of the endpoints.
     """
@@ -72,117 +73,118 @@
         self._names = [name for _, name in points]
 
     def homes(self, key: int) -> tuple[str, str]:
-        """Return the home of ``key`` and its second home; empty if there is none.
+        """Return the owner of ``key`` and the fallback owner; empty if there is none.
 
-        All entries turn to the same second home when the first is busy, so that
-        a conversation is computed there once and not on every endpoint.
+        All entries use the same fallback when the owner is overloaded, so that a
+        conversation is computed there once and not on every endpoint.
         """
         if not self._names:
             return "", ""
-        place = bisect_left(self._hashes, key)
-        first = self._names[place % len(self._names)]
+        position = bisect_left(self._hashes, key)
+        first = self._names[position % len(self._names)]
         for step in range(1, len(self._names)):
-            second = self._names[(place + step) % len(self._names)]
+            second = self._names[(position + step) % len(self._names)]
             if second != first:
                 return first, second
         return first, ""
 
 
 class _CachedBlocks:
-    """Blocks expected in one endpoint's cache, the least recent first.
+    """Blocks expected in one endpoint's cache, least recently used first.
 
-    :param mark: bit that stands for the endpoint.
+    :param bit: bit that represents the endpoint.
     """
 
-    __slots__ = ("mark", "order")
+    __slots__ = ("bit", "order")
 
-    def __init__(self, mark: int) -> None:
-        self.mark = mark
+    def __init__(self, bit: int) -> None:
+        self.bit = bit
         self.order: OrderedDict[int, None] = OrderedDict()
 
 
 class PrefixIndex:
-    """Bounded memory of the prefixes that each endpoint has cached.
+    """Bounded index of the prefixes that each endpoint has cached.
 
-    A block's hash covers all before it, and an endpoint drops the end of a prefix
-    first. So the deepest block known to be stored tells the whole match, and the
-    gaps that lost events leave before it do no harm.
+    A block's hash covers everything before it, and an endpoint evicts the end of a
+    prefix first. The deepest stored block therefore gives the length of the match, and
+    gaps due to lost events before it don't matter.
 
-    :param max_blocks: blocks kept for one endpoint; the least recent go first.
+    :param max_blocks: blocks kept for one endpoint; the least recently used are evicted
+        first.
     """
 
     def __init__(self, max_blocks: int = MAX_BLOCKS) -> None:
         self._max_blocks = max_blocks
         self._endpoints: dict[str, _CachedBlocks] = {}
         self._names: dict[int, str] = {}
-        self._marks: dict[int, int] = {}
+        self._bits_by_block: dict[int, int] = {}
 
     def blocks(self, messages_text: str) -> tuple[int, ...]:
         """Return the block hashes of a prompt."""
         return prompt_blocks(messages_text)
 
     def record(self, endpoint: str, prefix: Sequence[int]) -> None:
-        """Note that a prompt with the block hashes ``prefix`` was sent."""
+        """Record that a prompt with the block hashes ``prefix`` was sent."""
         cached = self._cached(endpoint)
-        # The last block is the first to go, as a prefix without its beginning
-        # is of no use to the endpoint.
+        # Reversed, so that the last block is evicted first: a prefix without its
+        # beginning is of no use to the endpoint.
         for block in reversed(prefix):
             self._add(cached, block)
 
     def matches(self, prefix: Sequence[int]) -> dict[str, int]:
-        """Return the tokens of a prompt that each endpoint is expected to hold.
+        """Return the tokens of a prompt that each endpoint is expected to have cached.
 
-        Endpoints that hold none of it are left out.
+        Endpoints without a match are omitted.
         """
-        marks = [self._marks.get(block, 0) for block in prefix]
+        bits_by_position = [self._bits_by_block.get(block, 0) for block in prefix]
         found: dict[str, int] = {}
         missing = sum(self._names)
-        for place in range(len(marks) - 1, -1, -1):
-            new = marks[place] & missing
+        for position in range(len(bits_by_position) - 1, -1, -1):
+            new = bits_by_position[position] & missing
             while new:
-                mark = new & -new
-                new ^= mark
-                if _backed(marks, place, mark):
-                    missing ^= mark
-                    found[self._names[mark]] = (place + 1) * BLOCK_TOKENS
+                bit = new & -new
+                new ^= bit
+                if _has_known_predecessors(bits_by_position, position, bit):
+                    missing ^= bit
+                    found[self._names[bit]] = (position + 1) * BLOCK_TOKENS
             if not missing:
                 break
         return found
 
     def matched_tokens(self, endpoint: str, prefix: Sequence[int]) -> int:
-        """Return the tokens of a prompt that ``endpoint`` is expected to hold."""
+        """Return the tokens of a prompt that ``endpoint`` is expected to cache."""
         return self.matches(prefix).get(endpoint, 0)
 
     def stored(self, endpoint: str, prefix: int) -> None:
-        """Take in the event that ``endpoint`` cached a block."""
+        """Apply the event that ``endpoint`` cached a block."""
         self._add(self._cached(endpoint), prefix)
 
     def removed(self, endpoint: str, prefix: int) -> None:
-        """Take in the event that ``endpoint`` dropped a block."""
+        """Apply the event that ``endpoint`` evicted a block."""
         cached = self._endpoints.get(endpoint)
         if cached is not None and prefix in cached.order:
             del cached.order[prefix]
-            self._unmark(prefix, cached.mark)
+            self._clear_bit(prefix, cached.bit)
 
     def forget(self, endpoint: str) -> None:
-        """Drop all that is known of an endpoint, as it is gone or restarted."""
+        """Remove an endpoint that is gone or was restarted."""
         cached = self._endpoints.pop(endpoint, None)
         if cached is None:
             return
         for block in cached.order:
-            self._unmark(block, cached.mark)
-        del self._names[cached.mark]
+            self._clear_bit(block, cached.bit)
+        del self._names[cached.bit]
 
     def _cached(self, endpoint: str) -> _CachedBlocks:
         cached = self._endpoints.get(endpoint)
         if cached is None:
-            cached = _CachedBlocks(self._free_mark())
+            cached = _CachedBlocks(self._free_bit())
             self._endpoints[endpoint] = cached
-            self._names[cached.mark] = endpoint
+            self._names[cached.bit] = endpoint
         return cached
 
-    def _free_mark(self) -> int:
-        """Return the lowest bit that stands for no endpoint."""
+    def _free_bit(self) -> int:
+        """Return the lowest unused bit."""
         taken = sum(self._names)
         return ~taken & (taken + 1)
 
@@ -192,29 +194,31 @@
             order.move_to_end(block)
             return
         order[block] = None
-        self._marks[block] = self._marks.get(block, 0) | cached.mark
+        self._bits_by_block[block] = self._bits_by_block.get(block, 0) | cached.bit
         if len(order) > self._max_blocks:
             oldest, _ = order.popitem(last=False)
-            self._unmark(oldest, cached.mark)
+            self._clear_bit(oldest, cached.bit)
 
-    def _unmark(self, block: int, mark: int) -> None:
-        left = self._marks[block] & ~mark
+    def _clear_bit(self, block: int, bit: int) -> None:
+        left = self._bits_by_block[block] & ~bit
         if left:
-            self._marks[block] = left
+            self._bits_by_block[block] = left
         else:
-            del self._marks[block]
+            del self._bits_by_block[block]
 
     def __len__(self) -> int:
         return sum(len(cached.order) for cached in self._endpoints.values())
 
 
-def _backed(marks: Sequence[int], place: int, mark: int) -> bool:
-    """Return whether enough blocks just before ``place`` are known as well.
+def _has_known_predecessors(
+    bits_by_position: Sequence[int], position: int, bit: int
+) -> bool:
+    """Return whether enough blocks just before ``position`` are known as well.
 
-    A block that stands alone was dropped with those around it, and the event of
-    its removal was lost.
+    An isolated block was evicted together with those around it, and its removal event
+    was lost.
     """
-    if place < BACKING_SPAN:
+    if position < BACKING_SPAN:
         return True
-    before = marks[place - BACKING_SPAN : place]
-    return sum(1 for held in before if held & mark) >= BACKING_BLOCKS
+    before = bits_by_position[position - BACKING_SPAN : position]
+    return sum(1 for bits in before if bits & bit) >= BACKING_BLOCKS
--- a/src/sassafrasdale/decisions/baselines.py
+++ b/src/sassafrasdale/decisions/baselines.py
@@ -1,4 +1,4 @@
-"""Ways of routing that the policy is measured against."""
+"""Routing strategies that serve as baselines for the routing policy."""
 
 from collections.abc import Sequence
 from random import Random
@@ -9,16 +9,16 @@
 
 
 class RoundRobin:
-    """Take the endpoints in turn.
+    """Choose the endpoints in turn.
 
-    :param turn: place to begin at; entries begin at different places.
+    :param turn: start position; entries start at different ones.
     """
 
     def __init__(self, turn: int = 0) -> None:
         self._turn = turn
 
     def choose(self, views: Sequence[EndpointView]) -> EndpointView | None:
-        """Return the next endpoint that is not leaving."""
+        """Return the next endpoint that is not being reclaimed."""
         staying = [view for view in views if not view.leaving]
         if not staying:
             return None
@@ -27,7 +27,7 @@
 
 
 class LeastRequests:
-    """Take the endpoint with the fewest own requests in flight.
+    """Choose the endpoint with the fewest own requests in flight.
 
     :param rng: breaks ties.
     """
@@ -36,7 +36,7 @@
         self._rng = rng
 
     def choose(self, views: Sequence[EndpointView]) -> EndpointView | None:
-        """Return the endpoint with the fewest requests that is not leaving."""
+        """Return the least loaded endpoint that is not being reclaimed."""
         staying = [view for view in views if not view.leaving]
         if not staying:
             return None
@@ -44,13 +44,13 @@
 
 
 class PrefixHash:
-    """Take the endpoint that a rendezvous hash of the conversation names."""
+    """Choose the endpoint by rendezvous hashing of the conversation."""
 
     def choose(self, views: Sequence[EndpointView], key: int) -> EndpointView | None:
-        """Return the endpoint of a conversation that is not leaving.
+        """Return the endpoint of a conversation, without those being reclaimed.
 
         :param views: the endpoints.
-        :param key: hash of what every turn of the conversation begins with.
+        :param key: hash of what every turn of the conversation starts with.
         """
         staying = [view for view in views if not view.leaving]
         if not staying:
--- a/src/sassafrasdale/decisions/counts.py
+++ b/src/sassafrasdale/decisions/counts.py
@@ -1,17 +1,17 @@
-"""An entry's own requests in flight at an endpoint, now and a little while ago."""
+"""Number of an entry's own requests in flight at an endpoint, with recent history."""
 
 from bisect import bisect_right
 from datetime import timedelta
 
 HISTORY = timedelta(seconds=15)
-"""How far back a count can be asked for; older load reports are of no use."""
+"""Maximum age of a count; older load reports are of no use."""
 
 
 class InFlightCount:
-    """Count of requests in flight that remembers its recent past.
+    """Count of requests in flight with its recent history.
 
-    A load report tells the count of all entries at the time it was measured. To
-    take the own part out of it, the entry needs its own count of that time.
+    A load report includes the requests of all entries at the time of its measurement.
+    To subtract its own, the entry needs its own count at that time.
     """
 
     def __init__(self) -> None:
@@ -33,12 +33,12 @@
             self._trim(at)
 
     def at(self, when: timedelta) -> int:
-        """Return the count at an elapsed time of at most ``HISTORY`` ago."""
-        place = bisect_right(self._times, when)
-        return self._counts[place - 1] if place else 0
+        """Return the count at an elapsed time, at most ``HISTORY`` ago."""
+        index = bisect_right(self._times, when)
+        return self._counts[index - 1] if index else 0
 
     def _trim(self, at: timedelta) -> None:
-        """Drop what is too old, but for the count that held at the cut."""
+        """Remove values that are too old, except the one valid at the cut-off."""
         cut = max(0, bisect_right(self._times, at - HISTORY) - 1)
         del self._times[:cut]
         del self._counts[:cut]
--- a/src/sassafrasdale/decisions/homes.py
+++ b/src/sassafrasdale/decisions/homes.py
@@ -1,27 +1,29 @@
-"""How much of a prompt a conversation's home has cached, as answers showed."""
+"""Fraction of a prompt cached by a conversation's owner, as responses report it."""
 
 INITIAL_SHARE = 0.5
 """Share assumed before any answer."""
 
 SMOOTHING = 0.1
-"""Weight of the latest answer in the running mean."""
+"""Weight of the latest response in the moving average."""
 
 ENOUGH_EVENTS = 0.6
-"""Part of the cache events that must arrive for the running mean to be used."""
+"""Fraction of the cache events that must arrive for the moving average to be used."""
 
 SHARE_WITHOUT_EVENTS = 0.6
-"""Least share while too few cache events arrive. The entries must then meet at
-homes, and with a lower share they would not, and the homes never fill."""
+"""Minimum share while too few cache events arrive. The entries must then all use the
+owners; with a lower share they would not, and the owners' caches would never fill.
+"""
 
 EVENTS_KEPT = 2000
-"""Published events over which the part that arrived is taken, at least."""
+"""Minimum number of published events over which the delivery ratio is computed."""
 
 
 class HomeTrust:
-    """Share of a prompt expected at its home when the entry knows no better.
+    """Fraction of a prompt assumed in its owner's cache, without better information.
 
-    Where cache events arrive, a home of which nothing was heard holds little, and
-    the load may decide. Where they don't, it probably holds what others sent.
+    If cache events arrive, an owner without any event for the prompt has little of it
+    cached, and the load may decide. If they don't, it probably has what other entries
+    sent.
     """
 
     def __init__(self) -> None:
@@ -31,30 +33,30 @@
 
     @property
     def share(self) -> float:
-        """Share of a prompt expected in the cache of its home."""
+        """Fraction of a prompt expected in its owner's cache."""
         if self.events_arriving >= ENOUGH_EVENTS:
             return self._share
         return max(SHARE_WITHOUT_EVENTS, self._share)
 
     @property
     def events_arriving(self) -> float:
-        """Part of the published cache events that arrived; 0 before the first."""
+        """Fraction of the published cache events that arrived; 0 before the first."""
         return self._arrived / self._published if self._published else 0.0
 
     def observe(self, cached_tokens: int, prompt_tokens: int) -> None:
-        """Take in the cached tokens that an answer from a home reported.
+        """Record the cached tokens that a response of an owner reports.
 
-        Only prompts count of which this entry did not know that the home had them.
+        Only called for prompts that this entry did not know to be cached by the owner.
         """
         if prompt_tokens:
             seen = min(1.0, cached_tokens / prompt_tokens)
             self._share += SMOOTHING * (seen - self._share)
 
     def hear(self, arrived: int, published: int) -> None:
-        """Take in cache events.
+        """Count cache events.
 
         :param arrived: events that arrived.
-        :param published: events that their sequence numbers show were published.
+        :param published: events that were published, by their sequence numbers.
         """
         self._arrived += arrived
         self._published += published
--- a/src/sassafrasdale/decisions/latencies.py
+++ b/src/sassafrasdale/decisions/latencies.py
@@ -6,9 +6,9 @@
 
 
 class LatencyWindow:
-    """The latest latencies of one service, kept in order.
+    """Sorted window of the latest latencies of one service.
 
-    :param size: latencies kept.
+    :param size: number of latencies kept.
     """
 
     def __init__(self, size: int) -> None:
@@ -20,7 +20,7 @@
         return len(self._recent)
 
     def add(self, latency: timedelta) -> None:
-        """Record a latency; forget the oldest if the window is full."""
+        """Add a latency; remove the oldest if the window is full."""
         self._recent.append(latency)
         insort(self._sorted, latency)
         if len(self._recent) > self._size:
@@ -28,7 +28,7 @@
             del self._sorted[bisect_left(self._sorted, oldest)]
 
     def quantile(self, share: float) -> timedelta:
-        """Return the latency below which ``share`` of the window lies.
+        """Return the latency that a fraction ``share`` of the window lies below.
 
         :raises IndexError: if the window is empty.
         """
--- a/src/sassafrasdale/decisions/quotas.py
+++ b/src/sassafrasdale/decisions/quotas.py
@@ -9,7 +9,7 @@
 extrapolates each group's rate until its next report. While more remains than may be
 used before it is reported, any gateway admits requests as long as its own unreported
 usage is within its share of what remains. Near the limit every gateway admits the same
-fraction of its requests, whatever their size, such that gateways they use what the
+fraction of its requests, whatever their size, such that together they use what the
 limit is refilled by.
 
 Fixed fractions refused 6.5 of 100 requests of a customer at half of its limit, this
--- a/src/sassafrasdale/decisions/routing.py
+++ b/src/sassafrasdale/decisions/routing.py
@@ -1,7 +1,7 @@
-"""Choice of the endpoint for a request.
+"""Selection of the endpoint for a request.
 
-Each candidate gets a cost in seconds; the lowest wins. Nothing here keeps state,
-so an entry may ask as often as it likes.
+Each candidate gets a cost in seconds, and the lowest cost wins. The functions are
+stateless, so an entry may call them as often as needed.
 
 Usage::
 
@@ -24,12 +24,12 @@
     policy: RoutingPolicy,
     rng: Random,
 ) -> EndpointView | None:
-    """Return the endpoint to send ``request`` to, or None if all are leaving.
+    """Return the endpoint to send ``request`` to, or None if all are being reclaimed.
 
     :param request: the request.
     :param views: the candidates, without those already tried.
     :param policy: weights of the service and constants.
-    :param rng: draws the sample and breaks ties.
+    :param rng: breaks ties.
     """
     candidates = [view for view in views if not view.leaving]
     mean = _mean_of_others(candidates)
@@ -50,21 +50,23 @@
     policy: RoutingPolicy,
     rng: Random,
 ) -> list[str]:
-    """Return the endpoints worth a view: a sample, the homes and the best matches.
+    """Return the candidates: a random sample, the owners and the best cache matches.
 
-    A view costs more than its part of the choice, so it is drawn from the names.
+    Building a view costs more than evaluating it, so candidates are drawn from the
+    names.
 
     :param names: all endpoints of the service that this entry uses.
     :param matches: expected cached tokens by endpoint.
-    :param homes: the conversation's homes; an empty one is left out.
+    :param homes: the conversation's owner and fallback owner; an empty name is ignored.
     :param policy: constants.
     :param rng: draws the sample.
     """
     if len(names) <= policy.sampled_above:
         return list(names)
     drawn = dict.fromkeys(rng.sample(names, policy.sample_size))
-    # A match counts if it is better than the sample's. A template that most hold
-    # would else add the same few to the draws of every entry, which herd there.
+    # A match only counts if it is longer than any in the sample. Otherwise a template
+    # that most endpoints hold would add the same few endpoints to the candidates of
+    # every entry, and all entries would send to these.
     common = max(matches.get(name, 0) for name in drawn)
     ranked = [
         (tokens, rng.random(), name)
@@ -78,15 +80,15 @@
 
 
 def expected_load(view: EndpointView, policy: RoutingPolicy, mean: float) -> float:
-    """Return the requests expected in flight at an endpoint, of all entries.
+    """Return the requests of all entries expected in flight at an endpoint.
 
-    Own requests are known. Those of the others are as reported, and the older
-    the report, the nearer to their mean: acting on an old report as if it were
-    new sends every entry to the endpoint that was idle then.
+    Own requests are known. Those of the other entries are estimated: the older the
+    report, the closer the estimate is to their mean. If old reports were taken as
+    current, every entry would send to the endpoint that was idle then.
 
     :param view: the endpoint.
     :param policy: constants.
-    :param mean: mean over the endpoints of the others' reported requests.
+    :param mean: mean over the endpoints of the other entries' reported requests.
     """
     if view.report_age is None:
         return view.in_flight + mean
@@ -122,7 +124,7 @@
 
 
 def _mean_of_others(views: Sequence[EndpointView]) -> float:
-    """Return the mean of what the other entries have in flight, as reported."""
+    """Return the mean of the requests that other entries reported in flight."""
     reported = [view for view in views if view.report_age is not None]
     if not reported:
         return 0.0
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -23,7 +23,7 @@
     assert index.matched_tokens("b", (1, 2, 9)) == 0
 
 
-def test_events_correct_what_own_sends_led_to():
+def test_events_correct_the_estimate_from_own_requests():
     index = PrefixIndex()
     index.record("a", (1, 2, 3))
     index.removed("a", 3)
@@ -32,7 +32,7 @@
     assert index.matched_tokens("b", (1, 2, 3)) == BLOCK_TOKENS
 
 
-def test_memory_is_bounded_and_drops_the_end_of_a_prefix_first():
+def test_index_is_bounded_and_evicts_the_end_of_a_prefix_first():
     index = PrefixIndex(max_blocks=2)
     index.record("a", (1, 2, 3))
     assert len(index) == 2
@@ -40,10 +40,10 @@
 
 
 def test_forgets_an_endpoint_that_is_gone():
-    """A prompt goes to a replica that has come back with an empty cache.
+    """Guards against routing to a replica that has restarted with an empty cache.
 
-    The replica was reclaimed and given back under its name. An entry that still
-    counts on the old cache sends all its threads there, and each is recomputed.
+    The replica was reclaimed and started again under its name. An entry that still
+    assumes the old cache sends its conversations there, and each is recomputed.
     """
     index = PrefixIndex()
     index.record("a", (1, 2))
@@ -60,7 +60,7 @@
     assert HashRing(()).homes(1) == ("", "")
 
 
-def test_the_second_home_takes_the_keys_of_a_lost_endpoint():
+def test_fallback_owner_takes_the_keys_of_a_lost_endpoint():
     before = HashRing("abcdef")
     after = HashRing("abcde")
     for key in (conversation_key((str(n),)) for n in range(500)):
@@ -72,10 +72,10 @@
 
 
 def test_gaps_of_lost_events_do_not_shorten_a_match():
-    """A long thread is recomputed elsewhere though a replica holds all of it.
+    """Guards against recomputing a long conversation that a replica has fully cached.
 
-    Some of the events that told of its blocks were lost. An index that walks
-    from the beginning stops at the first gap and sees next to nothing.
+    Some of the events for its blocks were lost. An index that walks from the beginning
+    stops at the first gap and finds almost nothing.
     """
     index = PrefixIndex()
     for block in (1, 3, 5, 6, 8, 9, 10):
@@ -83,11 +83,11 @@
     assert index.matched_tokens("a", tuple(range(1, 13))) == 10 * BLOCK_TOKENS
 
 
-def test_a_leftover_of_lost_removals_is_no_match():
-    """A thread goes to a replica that dropped it, and waits for all of it.
+def test_isolated_block_of_lost_removals_is_no_match():
+    """Guards against routing to a replica that has evicted the conversation.
 
-    The replica told of each block that it dropped, but one of these events was
-    lost, so the entry still counts on that block and on all before it.
+    The replica reported each evicted block, but one of the events was lost, so the
+    entry would still assume that block and all before it.
     """
     index = PrefixIndex()
     prefix = tuple(range(1, 21))
--- a/tests/decisions/test_counts.py
+++ b/tests/decisions/test_counts.py
@@ -1,11 +1,11 @@
-"""Tests of the in-flight count that remembers."""
+"""Tests of the in-flight count with history."""
 
 from datetime import timedelta
 
 from sassafrasdale.decisions.counts import HISTORY, InFlightCount
 
 
-def test_tells_the_count_of_an_earlier_time():
+def test_returns_the_count_of_an_earlier_time():
     count = InFlightCount()
     for second in (1, 2, 4):
         count.change(timedelta(seconds=second), 1)
@@ -14,7 +14,7 @@
     assert count.at(timedelta(seconds=0)) == 0
 
 
-def test_memory_is_bounded_to_the_history():
+def test_history_is_bounded():
     count = InFlightCount()
     for second in range(1000):
         count.change(timedelta(seconds=second), 1)
--- a/tests/decisions/test_queues.py
+++ b/tests/decisions/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of the queueing times that an entry sees."""
+"""Tests of the observed queueing times."""
 
 from datetime import timedelta
 
@@ -7,11 +7,11 @@
 SECOND = timedelta(seconds=1)
 
 
-def test_a_request_that_is_overdue_tells_of_a_queue_before_it_ends():
-    """One caller after the other waits behind prompts that others sent.
+def test_overdue_request_shows_a_queue_before_it_ends():
+    """Guards against requests that queue behind prompts of another entry.
 
-    Another entry sent long prompts to a replica. The load report still shows it
-    idle, and each request that this entry adds waits behind them.
+    Another entry sent long prompts to a replica, and the load report still shows it
+    idle.
     """
     queues = QueueTimes()
     queues.sent("a", "r1", NO_TIME, SECOND)
@@ -20,7 +20,7 @@
     assert queues.queueing("b", 3 * SECOND) == NO_TIME
 
 
-def test_what_was_seen_fades():
+def test_observed_queueing_time_decays():
     queues = QueueTimes()
     queues.sent("a", "r1", NO_TIME, SECOND)
     queues.answered("a", "r1", 5 * SECOND)
@@ -28,7 +28,7 @@
     assert queues.queueing("a", 5 * SECOND + QUEUE_HALF_LIFE) == 2 * SECOND
 
 
-def test_a_withdrawn_request_is_not_waited_for():
+def test_withdrawn_request_is_ignored():
     queues = QueueTimes()
     queues.sent("a", "r1", NO_TIME, SECOND)
     queues.withdrawn("a", "r1")
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of an endpoint."""
+"""Tests of endpoint selection."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -14,18 +14,18 @@
 POLICY = RoutingPolicy()
 
 
-def test_takes_the_endpoint_that_holds_the_prefix():
+def test_prefers_the_endpoint_that_holds_the_prefix():
     views = [EndpointView("a", "z1"), EndpointView("b", "z1", cached_tokens=4000)]
     chosen = choose(RoutingRequest(prompt_tokens=4000), views, POLICY, Random(1))
     assert chosen.name == "b"
 
 
-def test_never_takes_a_leaving_endpoint():
+def test_never_chooses_an_endpoint_being_reclaimed():
     views = [EndpointView("a", "z1", leaving=True)]
     assert choose(RoutingRequest(), views, POLICY, Random(1)) is None
 
 
-def test_leaves_a_full_endpoint_in_spite_of_its_cache():
+def test_avoids_an_overloaded_endpoint_despite_its_cache():
     views = [
         EndpointView("a", "z1"),
         EndpointView("b", "z1", in_flight=60, cached_tokens=4000),
@@ -34,7 +34,7 @@
     assert chosen.name == "a"
 
 
-def test_draws_a_sample_with_the_home_and_the_best_matches():
+def test_draws_a_sample_with_the_owners_and_the_best_matches():
     names = [f"e{n}" for n in range(100)]
     matches = {"e10": 64, "e11": 640, "e12": 6400, "e13": 128}
     for seed in range(20):
@@ -46,11 +46,11 @@
         assert len(drawn) <= POLICY.sample_size + POLICY.best_matches + 2
 
 
-def test_entries_do_not_draw_the_same_few_of_equal_matches():
-    """A third of the callers wait while most replicas have free slots.
+def test_entries_draw_different_candidates_among_equal_matches():
+    """Guards against queues at a few replicas while most have free slots.
 
-    All replicas hold the template that all prompts begin with. Every entry ranks
-    them alike and adds the same three to each of its draws.
+    All replicas hold the template that all prompts begin with. If every entry ranked
+    them alike, it would add the same three to its candidates.
     """
     matches = {f"e{n}": 512 for n in range(100)}
     policy = replace(POLICY, sample_size=1)
@@ -64,11 +64,11 @@
     assert draw_candidates(["a", "b"], {}, ("", ""), POLICY, Random(1)) == ["a", "b"]
 
 
-def test_entries_with_the_same_report_do_not_herd():
-    """At each load report the time to the first token jumps on one replica.
+def test_entries_with_the_same_report_choose_different_endpoints():
+    """Guards against a rise of the time to the first token after each load report.
 
-    All entries hear that it was idle and each sends it what it has, since none
-    sees what the others sent after the report was measured.
+    All entries learn that a replica was idle and send to it, since none knows what the
+    others have sent since the report was measured.
     """
     age = timedelta(seconds=2)
     others = {"a": 0, "b": 6}
@@ -82,7 +82,7 @@
     assert own["b"] >= 2
 
 
-def test_prefers_the_home_while_nothing_better_is_known():
+def test_prefers_the_owner_without_better_information():
     views = [EndpointView(name, "z1") for name in "abc"]
     request = RoutingRequest(prompt_tokens=4000, home="b")
     for seed in range(10):
