--- a/src/sassafrasdale/decisions/backoff.py
+++ b/src/sassafrasdale/decisions/backoff.py
@@ -1,4 +1,4 @@
-"""Waiting times before a request is repeated, spread so that callers don't align."""
+"""Retry delays with jitter."""
 
 from datetime import timedelta
 from random import Random
@@ -10,15 +10,15 @@
 """Longest wait before a retry."""
 
 RETRY_AFTER_SPREAD = 1.0
-"""Width of the spread of a retry-after hint, as a multiple of the hint."""
+"""Width of the jitter of a retry-after time, as a multiple of it."""
 
 
 class Backoff:
     """Backoff with decorrelated jitter for the retries of one request.
 
     :param rng: source of randomness.
-    :param base: shortest wait.
-    :param cap: longest wait.
+    :param base: minimum delay.
+    :param cap: maximum delay.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._last = base
 
     def next(self) -> timedelta:
-        """Return the wait before the next retry."""
+        """Return the delay before the next retry."""
         drawn = self._rng.uniform(
             self._base.total_seconds(), self._last.total_seconds() * 3
         )
@@ -44,9 +44,9 @@
 def spread_retry_after(
     hint: timedelta, rng: Random, spread: float = RETRY_AFTER_SPREAD
 ) -> timedelta:
-    """Return ``hint`` lengthened at random, so that callers come back spread out.
+    """Return ``hint`` plus random jitter, so that callers don't retry together.
 
-    :param hint: earliest time at which it is worth coming back.
-    :param spread: width of the spread, as a multiple of the hint.
+    :param hint: earliest time at which a retry is worthwhile.
+    :param spread: width of the jitter, as a multiple of the hint.
     """
     return hint * (1 + rng.random() * spread)
--- a/src/sassafrasdale/decisions/budgets.py
+++ b/src/sassafrasdale/decisions/budgets.py
@@ -1,4 +1,4 @@
-"""Budget for repeated requests, as a share of the successes."""
+"""Retry budget, as a fraction of the successes."""
 
 from datetime import timedelta
 
@@ -13,7 +13,7 @@
 
 
 class RetryBudget:
-    """Tokens for retries: successes pay in, retries take out.
+    """Token bucket for retries: successes add tokens, retries consume them.
 
     Usage::
 
@@ -23,8 +23,8 @@
 
     :param share: retries per success.
     :param floor: retries per second allowed without successes.
-    :param depth: most retries that are saved up.
-    :param first: retries that it begins with.
+    :param depth: maximum number of saved retries.
+    :param first: initial number of retries.
     """
 
     def __init__(
@@ -42,11 +42,11 @@
 
     @property
     def tokens(self) -> float:
-        """Retries saved up."""
+        """Saved retries."""
         return self._tokens
 
     def set_depth(self, depth: float) -> None:
-        """Take another bound on what is saved up."""
+        """Set the maximum number of saved retries."""
         self._depth = depth
 
     def deposit(self, now: timedelta) -> None:
@@ -55,7 +55,7 @@
         self._tokens = min(self._tokens + self._share, self._depth)
 
     def try_spend(self, now: timedelta) -> bool:
-        """Take one retry out if the budget has one."""
+        """Consume one retry if available."""
         self._refill(now)
         if self._tokens < 1:
             return False
--- a/src/sassafrasdale/decisions/health.py
+++ b/src/sassafrasdale/decisions/health.py
@@ -1,4 +1,4 @@
-"""Outlier ejection of endpoints, with probation and slow start on recovery."""
+"""Outlier ejection of endpoints, with probation and slow start."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -14,21 +14,22 @@
 class HealthSettings:
     """Constants of outlier ejection.
 
-    :param failures: consecutive failures that eject an endpoint.
-    :param ejection: shortest length of an ejection; at random up to twice as long.
-    :param slow_start: time in which a readmitted endpoint's weight grows to 1.
+    :param failures: consecutive failures after which an endpoint is ejected.
+    :param ejection: minimum duration of an ejection; the actual one is random, up to
+        twice as long.
+    :param slow_start: time over which a readmitted endpoint's weight rises to 1.
     :param smallest_weight: weight of an endpoint that was just readmitted.
-    :param most_ejected: largest share of the endpoints that is ejected.
+    :param most_ejected: maximum fraction of the endpoints that may be ejected.
     :param slow_factor: multiple of the endpoints' median latency above which an
-        endpoint's weight falls, in proportion.
-    :param latency_smoothing: weight of a new latency in an endpoint's mean.
-    :param failure_smoothing: weight of a new outcome in its share of failures.
-    :param failure_half_life: time after which a share of failures counts half, so
-        that an endpoint that was passed over is tried again.
-    :param tolerated_failures: share of failures above the endpoints' median below
-        which an endpoint's weight stays.
-    :param failure_cost: fall of the weight for each unit of the share above that;
-        0 where only rows of failures count.
+        endpoint's weight is reduced in proportion.
+    :param latency_smoothing: weight of a new latency in an endpoint's moving average.
+    :param failure_smoothing: weight of a new outcome in an endpoint's failure rate.
+    :param failure_half_life: half-life of a failure rate, so that an endpoint that gets
+        no requests is tried again.
+    :param tolerated_failures: excess of the failure rate over the endpoints' median up
+        to which the weight is unchanged.
+    :param failure_cost: reduction of the weight per unit of failure rate above that; 0
+        if only consecutive failures count.
     """
 
     failures: int = 5
@@ -46,11 +47,11 @@
 
 @dataclass(slots=True)
 class _EndpointRecord:
-    life: Lifecycle = field(default_factory=lambda: Lifecycle(_chart()))
+    lifecycle: Lifecycle = field(default_factory=lambda: Lifecycle(_chart()))
     failures: int = 0
     until: timedelta = timedelta()
     latency: timedelta | None = None
-    failure_share: float = 0.0
+    failure_rate: float = 0.0
     outcome_at: timedelta = timedelta()
 
 
@@ -59,14 +60,14 @@
 
 
 class Health:
-    """Health of the endpoints of one service, as seen by one entry.
+    """Health of the endpoints of one service, as observed by one entry.
 
     Usage::
 
         health.observe("model-1", ok=False, now=clock.elapsed())
         weights = health.weights(clock.elapsed())
 
-    :param rng: source of randomness, to spread readmissions over entries.
+    :param rng: source of randomness, so that entries readmit at different times.
     """
 
     def __init__(self, rng: Random, settings: HealthSettings | None = None) -> None:
@@ -75,14 +76,14 @@
         self._records: dict[str, _EndpointRecord] = {}
 
     def set_endpoints(self, names: frozenset[str]) -> None:
-        """Take the present endpoints; forget those that left."""
+        """Set the current endpoints; remove those that left."""
         kept = {name: self._records.get(name) for name in sorted(names)}
         self._records = {
             name: record or _EndpointRecord() for name, record in kept.items()
         }
 
     def forget(self, name: str) -> None:
-        """Take an endpoint for a new one, which has not failed yet."""
+        """Reset an endpoint that was replaced by a new one of its name."""
         if name in self._records:
             self._records[name] = _EndpointRecord()
 
@@ -95,73 +96,80 @@
         latency: timedelta | None = None,
         weight: int = 1,
     ) -> None:
-        """Record that a request to an endpoint succeeded or failed.
+        """Record the outcome of a request to an endpoint.
 
-        :param weight: failures that this one counts for.
-        :param latency: time that a success took, for requests of which each
-            takes about as long as any other.
+        :param weight: number of failures that this one counts as.
+        :param latency: duration of a successful request, for services whose requests
+            all take about equally long.
         """
         record = self._records.get(name)
         if record is None:
             return
         self._advance(record, now)
-        self._note_outcome(record, ok, now)
+        self._record_outcome(record, ok, now)
         if ok:
             record.failures = 0
-            self._note_latency(record, latency)
+            self._record_latency(record, latency)
             return
         record.failures += weight
         if self._is_outlier(record) and self._may_eject():
             self._eject(record, now)
 
     def may_serve(self, name: str, now: timedelta) -> bool:
-        """Return whether an endpoint has a weight above 0: it is not ejected."""
+        """Return whether an endpoint has a weight above 0, so is not ejected."""
         record = self._records.get(name)
         if record is None:
             return True
         self._advance(record, now)
-        return record.life.state != "ejected"
+        return record.lifecycle.state != "ejected"
 
     def weights(self, now: timedelta) -> Mapping[str, float]:
         """Return each endpoint's weight: 0 ejected, 1 healthy, between on probation."""
         for record in self._records.values():
             self._advance(record, now)
-        usual = self._median_latency()
-        shares = {
-            name: self._failure_share(record, now)
+        median = self._median_latency()
+        failure_rates = {
+            name: self._failure_rate(record, now)
             for name, record in self._records.items()
         }
-        usual_share = median_low(shares.values()) if shares else 0.0
+        median_rate = median_low(failure_rates.values()) if failure_rates else 0.0
         return {
             name: self._weight(record, now)
-            * self._speed(record, usual)
-            * self._soundness(shares[name] - usual_share)
+            * self._latency_factor(record, median)
+            * self._failure_factor(failure_rates[name] - median_rate)
             for name, record in self._records.items()
         }
 
-    def _note_outcome(self, record: _EndpointRecord, ok: bool, now: timedelta) -> None:
-        share = self._failure_share(record, now)
+    def _record_outcome(
+        self, record: _EndpointRecord, ok: bool, now: timedelta
+    ) -> None:
+        failure_rate = self._failure_rate(record, now)
         outcome = 0.0 if ok else 1.0
-        record.failure_share = share + self._settings.failure_smoothing * (
-            outcome - share
+        record.failure_rate = failure_rate + self._settings.failure_smoothing * (
+            outcome - failure_rate
         )
         record.outcome_at = now
 
-    def _failure_share(self, record: _EndpointRecord, now: timedelta) -> float:
+    def _failure_rate(self, record: _EndpointRecord, now: timedelta) -> float:
         age = now - record.outcome_at
-        return record.failure_share * 0.5 ** (age / self._settings.failure_half_life)
+        return record.failure_rate * 0.5 ** (age / self._settings.failure_half_life)
 
-    def _soundness(self, excess: float) -> float:
-        """Return the factor on the weight of an endpoint for its failures.
+    def _failure_factor(self, excess: float) -> float:
+        """Return the weight factor of an endpoint for its failure rate.
 
-        An endpoint that fails a part of its requests is seldom ejected: a success
-        now and then ends each row of failures. Where all fail alike, none is worse.
+        An endpoint that fails only some of its requests is rarely ejected, since each
+        success resets its consecutive failures. If all endpoints fail alike, none is
+        penalized.
         """
         settings = self._settings
-        fall = max(excess - settings.tolerated_failures, 0.0) * settings.failure_cost
-        return max(1 - fall, settings.smallest_weight)
+        reduction = (
+            max(excess - settings.tolerated_failures, 0.0) * settings.failure_cost
+        )
+        return max(1 - reduction, settings.smallest_weight)
 
-    def _note_latency(self, record: _EndpointRecord, latency: timedelta | None) -> None:
+    def _record_latency(
+        self, record: _EndpointRecord, latency: timedelta | None
+    ) -> None:
         if latency is None:
             return
         if record.latency is None:
@@ -173,42 +181,46 @@
         known = [rec.latency for rec in self._records.values() if rec.latency]
         return median_low(known) if known else None
 
-    def _speed(self, record: _EndpointRecord, usual: timedelta | None) -> float:
-        """Return the factor on the weight of an endpoint for its latency.
+    def _latency_factor(
+        self, record: _EndpointRecord, median: timedelta | None
+    ) -> float:
+        """Return the weight factor of an endpoint for its latency.
 
-        An endpoint that is slow but answers is never ejected, and with few
-        requests in flight its counts look harmless; then it gets its full part.
+        An endpoint that is slow but responds is never ejected, and with few requests in
+        flight it looks idle; without this factor it would get its full share.
         """
-        if usual is None or record.latency is None:
+        if median is None or record.latency is None:
             return 1.0
-        slowness = record.latency / (usual * self._settings.slow_factor)
+        slowness = record.latency / (median * self._settings.slow_factor)
         return max(1 / max(slowness, 1.0), self._settings.smallest_weight)
 
     def _is_outlier(self, record: _EndpointRecord) -> bool:
-        if record.life.state == "probation":
+        if record.lifecycle.state == "probation":
             return True
         return record.failures >= self._settings.failures
 
     def _may_eject(self) -> bool:
-        ejected = sum(rec.life.state == "ejected" for rec in self._records.values())
+        ejected = sum(
+            rec.lifecycle.state == "ejected" for rec in self._records.values()
+        )
         return ejected + 1 <= len(self._records) * self._settings.most_ejected
 
     def _eject(self, record: _EndpointRecord, now: timedelta) -> None:
-        if not record.life.allows("eject"):
+        if not record.lifecycle.allows("eject"):
             return
-        record.life.fire("eject")
+        record.lifecycle.fire("eject")
         record.until = now + spread_retry_after(self._settings.ejection, self._rng)
         record.failures = 0
 
     def _advance(self, record: _EndpointRecord, now: timedelta) -> None:
-        if record.life.state == "ejected" and now >= record.until:
-            record.life.fire("readmit")
+        if record.lifecycle.state == "ejected" and now >= record.until:
+            record.lifecycle.fire("readmit")
             record.until = now + self._settings.slow_start
-        if record.life.state == "probation" and now >= record.until:
-            record.life.fire("recover")
+        if record.lifecycle.state == "probation" and now >= record.until:
+            record.lifecycle.fire("recover")
 
     def _weight(self, record: _EndpointRecord, now: timedelta) -> float:
-        match record.life.state:
+        match record.lifecycle.state:
             case "ejected":
                 return 0.0
             case "probation":
--- a/src/sassafrasdale/decisions/hedging.py
+++ b/src/sassafrasdale/decisions/hedging.py
@@ -1,4 +1,4 @@
-"""When to send an idempotent request a second time, before the first answer."""
+"""When to hedge an idempotent request: send it again before the first response."""
 
 from datetime import timedelta
 
@@ -6,7 +6,7 @@
 from sassafrasdale.decisions.latencies import LatencyWindow
 
 HEDGE_QUANTILE = 0.95
-"""Quantile of recent latencies after which a request is slow."""
+"""Quantile of recent latencies above which a request is slow."""
 
 HEDGE_WINDOW = 200
 """Latencies kept, in requests."""
@@ -18,21 +18,21 @@
 """Hedges per second that are allowed without any success."""
 
 HEDGE_MINIMUM_SAMPLES = 20
-"""Latencies needed before any request is hedged, in requests."""
+"""Minimum number of latencies before any request is hedged."""
 
 
 class Hedging:
-    """Decides when requests of one service are worth a second try in parallel.
+    """Decides when requests of one service are hedged.
 
-    :param budget: hedges that successes allow.
-    :param quantile: quantile of recent latencies after which a request is slow.
-    :param window: latencies kept.
-    :param minimum: latencies needed before any request is hedged.
+    :param budget: budget of hedges, filled by successes.
+    :param quantile: quantile of recent latencies above which a request is slow.
+    :param window: number of latencies kept.
+    :param minimum: minimum number of latencies before any request is hedged.
 
     Usage::
 
         wait = hedging.delay(idempotent=True)
-        # no answer after ``wait``:
+        # no response after ``wait``:
         if hedging.try_hedge(clock.elapsed(), idempotent=True):
             ...  # send to another endpoint too
     """
@@ -55,11 +55,11 @@
         self._recent.add(latency)
 
     def delay(self, *, idempotent: bool) -> timedelta | None:
-        """Return how long to wait for the first answer, or None: never hedge."""
+        """Return the delay before a hedge, or None if the request is not hedged."""
         if not idempotent or len(self._recent) < self._minimum:
             return None
         return self._recent.quantile(self._quantile)
 
     def try_hedge(self, now: timedelta, *, idempotent: bool) -> bool:
-        """Take a hedge out of the budget, if the request may be sent twice."""
+        """Consume a hedge of the budget, if the request is idempotent."""
         return idempotent and self._budget.try_spend(now)
--- a/tests/decisions/test_health.py
+++ b/tests/decisions/test_health.py
@@ -34,7 +34,7 @@
 
 
 def test_recovers_through_a_slow_start():
-    """An endpoint that has just come back fails again under all its old load."""
+    """Guards against a recovered endpoint failing again under its full load."""
     health = make_health()
     fail(health, "a")
     back = NOW + 2 * SETTINGS.ejection
@@ -55,7 +55,7 @@
 
 
 def test_entries_do_not_readmit_together():
-    """Every entry sends to a recovered endpoint in the same instant."""
+    """Guards against all entries sending to a recovered endpoint at the same time."""
     readmitted = set()
     for seed in range(10):
         health = make_health(seed)
@@ -66,10 +66,11 @@
     assert len(readmitted) > 5
 
 
-def test_failures_everywhere_leave_endpoints_in_use():
-    """One customer's requests that fail on every endpoint stop the whole service.
+def test_failures_of_all_endpoints_leave_some_in_use():
+    """Guards against a service outage due to one customer's failing requests.
 
-    Each failure counted against the endpoint, and soon none was left.
+    Requests that failed on every endpoint counted against each of them, until none was
+    left.
     """
     health = make_health()
     for name in NAMES:
@@ -87,10 +88,10 @@
 
 
 def test_slow_endpoint_gets_less():
-    """A third of the lookups take ten times as long, though none fails.
+    """Guards against lookups that take ten times as long, though none fails.
 
-    One endpoint is slow. It never fails, so it is never ejected, and at low load
-    it has few requests in flight, so it looks idle.
+    A slow endpoint never fails, so it is never ejected, and at low load it has few
+    requests in flight, so it looks idle.
     """
     health = make_health()
     for name in NAMES:
@@ -102,11 +103,11 @@
     assert all(weights[name] == 1 for name in NAMES[1:])
 
 
-def test_an_endpoint_that_fails_a_part_of_its_requests_loses_weight():
-    """Callers of calls that may run once would see failure after failure.
+def test_endpoint_that_fails_some_requests_loses_weight():
+    """Guards against repeated failures of requests that may only run once.
 
-    One of three endpoints fails every other request, its health check is good, and
-    no row of failures is long enough to eject it.
+    One of three endpoints fails every other request, its health check succeeds, and it
+    never has enough consecutive failures to be ejected.
     """
     health = Health(Random(1), HealthSettings(failure_cost=3.0))
     health.set_endpoints(frozenset({"a", "b", "c"}))
@@ -122,7 +123,7 @@
     assert health.weights(now + timedelta(seconds=15))["c"] > 0.8
 
 
-def test_where_all_fail_alike_none_is_worse():
+def test_equal_failure_rates_reduce_no_weight():
     health = Health(Random(1), HealthSettings(failure_cost=3.0))
     health.set_endpoints(frozenset({"a", "b", "c"}))
     now = timedelta()
@@ -134,7 +135,7 @@
 
 
 def test_only_an_ejected_endpoint_may_not_serve():
-    """Guards against a look at all endpoints for each request that names one."""
+    """Guards against evaluating all endpoints for each request that names one."""
     health = Health(Random(1))
     health.set_endpoints(frozenset({"a", "b", "c"}))
     for _ in range(HealthSettings().failures):
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""Tests of retry budgets, backoff and hedging."""
+"""Tests of retry budget, backoff and hedging."""
 
 from datetime import timedelta
 from random import Random
@@ -17,10 +17,10 @@
 
 
 def test_retries_are_a_share_of_the_successes():
-    """A service that fails for all is kept down by the retries of its callers.
+    """Guards against retries that keep an overloaded service down.
 
-    Each failure was tried four times, so the endpoints got four times the load
-    just when they could take the least.
+    Each failure was tried four times, so that the endpoints got four times the load
+    when they could handle the least.
     """
     budget = RetryBudget(share=0.1, floor=0.0, depth=100.0)
     budget.try_spend(timedelta())
@@ -36,7 +36,7 @@
     assert budget.try_spend(2 * SECOND)
 
 
-def test_backoff_stays_within_its_bounds_and_differs():
+def test_backoff_is_bounded_and_random():
     waits = [Backoff(Random(seed)).next() for seed in range(20)]
     assert len(set(waits)) == 20
     backoff = Backoff(Random(1))
@@ -58,11 +58,11 @@
     assert hedging.delay(idempotent=True) == 96 * MILLISECOND
 
 
-def test_never_hedges_what_is_not_idempotent():
-    """One batch gets two conflicting certificates.
+def test_never_hedges_a_non_idempotent_request():
+    """Guards against two conflicting certificates for one batch.
 
-    The first answer was slow, so the request was sent a second time, and both
-    endpoints issued a certificate.
+    The first response was slow, so the request was sent again, and both endpoints
+    issued a certificate.
     """
     hedging = Hedging()
     for _ in range(100):
