--- a/src/sassafrasdale/decisions/capacity.py
+++ b/src/sassafrasdale/decisions/capacity.py
@@ -1,8 +1,8 @@
-"""What runs where: wanted instances under prices, refusals and zone losses.
+"""Capacity plan: instances per zone, given prices, refusals and zone losses.
 
-The plan holds no state. Any entry that has the duty makes the same plan from the
-same view, and the same start carries the same request id, so that two holders
-at once, one of them paused past its lease, start an instance only once.
+The plan is stateless. Any entry that is the leader computes the same plan from the same
+input, and the same start has the same request id, so that two leaders at once, one of
+them paused past its lease, start an instance only once.
 """
 
 from collections.abc import Mapping, Sequence
@@ -23,8 +23,8 @@
 Kind = tuple[str, str, bool]
 """Availability zone, instance class and whether it is reclaimable."""
 
-LARGEST_DOUBLING = 16
-"""Doublings of a pause that are worth computing; it is at its longest by then."""
+MAX_DOUBLINGS = 16
+"""Doublings of a backoff that are computed; it has reached its maximum by then."""
 
 
 def plan_capacity(
@@ -35,45 +35,47 @@
     policy: CapacityPolicy,
     round_id: str,
 ) -> CapacityPlan:
-    """Return the orders that bring a service to the capacity that it needs.
+    """Return the orders that provide the capacity that a service needs.
 
-    The need is met without any one availability zone. While a zone is lost, the
-    others carry the need without room for a second loss.
+    The capacity suffices without any one availability zone. While a zone is lost, the
+    others carry the load without reserve for a second loss.
 
     :param demand: the service's load.
-    :param instances: its instances, with those ordered but not yet listed.
+    :param instances: its instances, including those ordered but not yet listed.
     :param offers: kinds of instance that may be started, with prices.
     :param refused: kinds whose starts were refused.
     :param policy: constants.
-    :param round_id: names the planning period, the same for every holder of the
-        duty, as part of the starts' request ids.
+    :param round_id: id of the planning round, the same for every leader; part of the
+        starts' request ids.
     """
     needed = needed_capacity(demand, policy)
     staying = [instance for instance in instances if not instance.leaving]
     zones = _zone_capacities(demand, staying, offers)
     best = _best_offers(demand, offers, refused, policy)
-    room = not _lost_zones(demand, instances, best)
-    wanted = _wanted(zones, best, needed, room)
-    starts = _starts(demand, staying, zones, wanted, best, round_id)
-    after = {zone: max(held, wanted.get(zone, 0.0)) for zone, held in zones.items()}
-    shortfall = max(0.0, needed - _guaranteed(after, room))
+    survives_zone_loss = not _lost_zones(demand, instances, best)
+    wanted = _target_capacities(zones, best, needed, survives_zone_loss)
+    starts = _start_orders(demand, staying, zones, wanted, best, round_id)
+    planned = {zone: max(held, wanted.get(zone, 0.0)) for zone, held in zones.items()}
+    shortfall = max(0.0, needed - _usable_capacity(planned, survives_zone_loss))
     if starts or shortfall:
         return CapacityPlan(starts, shortfall)
-    market = _Market(offers, best, policy)
+    prices = _PriceList(offers, best, policy)
     serving = [instance for instance in staying if instance.serving]
-    surplus = _Surplus(_zone_capacities(demand, serving, offers), needed, room)
-    given_back = _give_back(serving, market, surplus, demand)
-    return CapacityPlan(given_back or _replace(staying, market, demand, round_id))
+    serving_capacity = _ServingCapacity(
+        _zone_capacities(demand, serving, offers), needed, survives_zone_loss
+    )
+    released = _release(serving, prices, serving_capacity, demand)
+    return CapacityPlan(released or _replacement(staying, prices, demand, round_id))
 
 
 def needed_capacity(demand: ServiceDemand, policy: CapacityPolicy) -> float:
-    """Return the capacity that the load needs by the time a start would serve."""
+    """Return the capacity needed by the time that a new instance would serve."""
     grown = demand.load + max(0.0, demand.growth) * policy.start_time.total_seconds()
     return grown * policy.headroom
 
 
-class _Market:
-    """Prices, and which instances are dear against what can be had now."""
+class _PriceList:
+    """Prices, and which instances are overpriced compared with current offers."""
 
     def __init__(
         self,
@@ -94,15 +96,15 @@
         return self._known[_kind(instance)].capacity
 
     def unit_price(self, instance: RunningInstance) -> float:
-        """Return the price of an instance for each unit of its capacity."""
+        """Return the price of an instance per unit of capacity."""
         return _unit_price(self._known[_kind(instance)])
 
     def cheapest(self) -> InstanceOffer | None:
-        """Return the cheapest offer for capacity that may be started."""
+        """Return the offer with the lowest price per capacity."""
         offers = self.best.values()
         return min(offers, key=_unit_price, default=None)
 
-    def is_dear(self, instance: RunningInstance) -> bool:
+    def is_overpriced(self, instance: RunningInstance) -> bool:
         """Return whether an instance is worth replacing."""
         cheapest = self.cheapest()
         if cheapest is None:
@@ -112,18 +114,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Surplus:
-    """What serves, and how much of it has to stay."""
+class _ServingCapacity:
+    """Serving capacity by zone, and how much of it must remain."""
 
     zones: Mapping[str, float]
     needed: float
-    room: bool
+    survives_zone_loss: bool
 
-    def covers(self, zone: str, capacity: float, margin: float) -> bool:
-        """Return whether enough serves without ``capacity`` in ``zone``."""
+    def suffices_without(self, zone: str, capacity: float, margin: float) -> bool:
+        """Return whether the rest suffices without ``capacity`` in ``zone``."""
         left = dict(self.zones)
         left[zone] = left.get(zone, 0.0) - capacity
-        return _guaranteed(left, self.room) >= self.needed * (1 + margin)
+        return _usable_capacity(left, self.survives_zone_loss) >= self.needed * (
+            1 + margin
+        )
 
 
 def _kind(item: InstanceOffer | RunningInstance | RefusedStart) -> Kind:
@@ -149,7 +153,7 @@
     refused: Sequence[RefusedStart],
     policy: CapacityPolicy,
 ) -> dict[str, InstanceOffer]:
-    """Return the cheapest permitted offer for capacity in each zone."""
+    """Return the permitted offer with the lowest price per capacity in each zone."""
     best: dict[str, InstanceOffer] = {}
     for offer in offers:
         zone = offer.availability_zone
@@ -168,9 +172,9 @@
 def _backed_off(
     offer: InstanceOffer, refused: Sequence[RefusedStart], policy: CapacityPolicy
 ) -> bool:
-    """Return whether the last refusal of an offer is too recent to ask again."""
+    """Return whether an offer was refused too recently to be ordered again."""
     for refusal in refused:
-        doublings = min(LARGEST_DOUBLING, max(0, refusal.refusals - 1))
+        doublings = min(MAX_DOUBLINGS, max(0, refusal.refusals - 1))
         pause = min(policy.refusal_backoff * 2**doublings, policy.longest_backoff)
         if _kind(refusal) == _kind(offer) and refusal.age < pause:
             return True
@@ -182,7 +186,7 @@
     instances: Sequence[RunningInstance],
     best: Mapping[str, InstanceOffer],
 ) -> set[str]:
-    """Return the zones that are being reclaimed or offer nothing and run nothing."""
+    """Return the zones without instances that are reclaimed or have no offers."""
     running = {item.availability_zone for item in instances if not item.leaving}
     leaving = {item.availability_zone for item in instances if item.leaving}
     return {
@@ -192,45 +196,49 @@
     }
 
 
-def _guaranteed(zones: Mapping[str, float], room: bool) -> float:
-    """Return the capacity that is left for sure."""
+def _usable_capacity(zones: Mapping[str, float], survives_zone_loss: bool) -> float:
+    """Return the capacity that remains after the loss of any one zone."""
     total = sum(zones.values())
-    if not room or len(zones) < 2:
+    if not survives_zone_loss or len(zones) < 2:
         return total
     return total - max(zones.values())
 
 
-def _wanted(
+def _target_capacities(
     zones: Mapping[str, float],
     best: Mapping[str, InstanceOffer],
     needed: float,
-    room: bool,
+    survives_zone_loss: bool,
 ) -> dict[str, float]:
-    """Return the capacity wanted in each zone, at the lowest price.
+    """Return the target capacity of each zone, at the lowest price.
 
-    What the fullest zone has beyond the others doesn't count, since it may be
-    the one that is lost. So for each level that the fullest may have, the zones
-    are filled up to it, cheapest first, until the rest carry the need.
+    The largest zone's excess over the others doesn't count, since that zone may be the
+    one that is lost. So for each possible level of the largest zone, the zones are
+    filled up to it, cheapest first, until the rest carry the load.
     """
-    if _guaranteed(zones, room) >= needed or not best:
+    if _usable_capacity(zones, survives_zone_loss) >= needed or not best:
         return dict(zones)
     fills = [
-        _filled(zones, best, needed, room, level) for level in _levels(best, needed)
+        _fill_zones(zones, best, needed, survives_zone_loss, level)
+        for level in _fill_levels(best, needed)
     ]
-    return min(fills, key=lambda fill: _fill_rank(fill, zones, best, needed, room))
+    return min(
+        fills,
+        key=lambda fill: _fill_sort_key(fill, zones, best, needed, survives_zone_loss),
+    )
 
 
-def _levels(best: Mapping[str, InstanceOffer], needed: float) -> list[float]:
+def _fill_levels(best: Mapping[str, InstanceOffer], needed: float) -> list[float]:
     """Return the capacities that one zone may be filled up to."""
     step = min(offer.capacity for offer in best.values())
     return [step * count for count in range(1, ceil(needed / step) + 2)]
 
 
-def _filled(
+def _fill_zones(
     zones: Mapping[str, float],
     best: Mapping[str, InstanceOffer],
     needed: float,
-    room: bool,
+    survives_zone_loss: bool,
     level: float,
 ) -> dict[str, float]:
     """Return the zones' capacities, filled up to ``level`` until they suffice."""
@@ -245,30 +253,30 @@
     for offer in by_price:
         zone = offer.availability_zone
         while filled[zone] + offer.capacity <= level + 1e-9:
-            if _guaranteed(filled, room) >= needed:
+            if _usable_capacity(filled, survives_zone_loss) >= needed:
                 return filled
             filled[zone] += offer.capacity
     return filled
 
 
-def _fill_rank(
+def _fill_sort_key(
     filled: Mapping[str, float],
     zones: Mapping[str, float],
     best: Mapping[str, InstanceOffer],
     needed: float,
-    room: bool,
+    survives_zone_loss: bool,
 ) -> tuple[float, float, float]:
-    """Order fills: those that carry most with room, then most at all, then price."""
+    """Sort by capacity missing after a zone loss, missing in total, then by price."""
     price = sum(
         (filled[zone] - zones[zone]) / offer.capacity * offer.price_per_hour
         for zone, offer in best.items()
     )
-    missing = max(0.0, needed - _guaranteed(filled, room))
-    missing_at_all = max(0.0, needed - sum(filled.values()))
-    return (missing, missing_at_all, price)
+    missing = max(0.0, needed - _usable_capacity(filled, survives_zone_loss))
+    total_missing = max(0.0, needed - sum(filled.values()))
+    return (missing, total_missing, price)
 
 
-def _starts(
+def _start_orders(
     demand: ServiceDemand,
     staying: Sequence[RunningInstance],
     zones: Mapping[str, float],
@@ -276,7 +284,7 @@
     best: Mapping[str, InstanceOffer],
     round_id: str,
 ) -> tuple[StartInstance, ...]:
-    """Return the starts that bring each zone from what it has to what is wanted."""
+    """Return the starts that bring each zone to its target capacity."""
     orders = []
     for zone, offer in sorted(best.items()):
         missing = wanted.get(zone, 0.0) - zones[zone]
@@ -292,9 +300,9 @@
 def _start(
     offer: InstanceOffer, service: str, ordinal: int, round_id: str
 ) -> StartInstance:
-    market = "reclaimable" if offer.reclaimable else "on-demand"
+    pricing = "reclaimable" if offer.reclaimable else "on-demand"
     zone = offer.availability_zone
-    request_id = f"{service}-{zone}-{offer.instance_class}-{market}"
+    request_id = f"{service}-{zone}-{offer.instance_class}-{pricing}"
     return StartInstance(
         f"{request_id}-{ordinal}-{round_id}",
         service,
@@ -304,46 +312,48 @@
     )
 
 
-def _give_back(
+def _release(
     serving: Sequence[RunningInstance],
-    market: _Market,
-    surplus: _Surplus,
+    prices: _PriceList,
+    serving_capacity: _ServingCapacity,
     demand: ServiceDemand,
 ) -> tuple[GiveBack, ...]:
-    """Return an order for the dearest instance that is not needed, if any.
+    """Return an order for the most expensive instance that is not needed, if any.
 
-    One a round, so that the next round sees what the first did. A dear instance
-    goes without the margin, as its replacement serves already.
+    One per round, so that the next round sees its effect. An overpriced instance is
+    released without the margin, as its replacement already serves.
     """
     if len(serving) <= demand.least_instances:
         return ()
-    priced = [instance for instance in serving if market.knows(instance)]
-    priced.sort(key=lambda item: (-market.unit_price(item), item.in_flight, item.name))
+    priced = [instance for instance in serving if prices.knows(instance)]
+    priced.sort(key=lambda item: (-prices.unit_price(item), item.in_flight, item.name))
     for instance in priced:
-        margin = 0.0 if market.is_dear(instance) else market.policy.give_back_margin
+        margin = (
+            0.0 if prices.is_overpriced(instance) else prices.policy.give_back_margin
+        )
         zone = instance.availability_zone
-        if surplus.covers(zone, market.capacity(instance), margin):
+        if serving_capacity.suffices_without(zone, prices.capacity(instance), margin):
             return (GiveBack(instance.name),)
     return ()
 
 
-def _replace(
+def _replacement(
     staying: Sequence[RunningInstance],
-    market: _Market,
+    prices: _PriceList,
     demand: ServiceDemand,
     round_id: str,
 ) -> tuple[StartInstance, ...]:
-    """Return a start of what will replace a dear instance, if there is one.
+    """Return a start that replaces an overpriced instance, if there is one.
 
-    Nothing is started while an earlier start has not come up.
+    Nothing is started while an earlier start is not serving yet.
     """
     if not all(instance.serving for instance in staying):
         return ()
     for instance in staying:
-        if not market.knows(instance) or not market.is_dear(instance):
+        if not prices.knows(instance) or not prices.is_overpriced(instance):
             continue
-        offer = market.best.get(instance.availability_zone) or market.cheapest()
-        if _unit_price(offer) < market.unit_price(instance):
+        offer = prices.best.get(instance.availability_zone) or prices.cheapest()
+        if _unit_price(offer) < prices.unit_price(instance):
             held = sum(1 for other in staying if _kind(other) == _kind(offer))
             return (_start(offer, demand.service, held, round_id),)
     return ()
--- a/src/sassafrasdale/decisions/ordering.py
+++ b/src/sassafrasdale/decisions/ordering.py
@@ -1,18 +1,18 @@
-"""How many endpoints of each kind a service should have, by zone.
-
-A plan is a pure function of what is seen, so every holder of the duty makes the
-same one.
-
-Reclaimable endpoints cost a fraction of the others, but all of a zone's may be
-taken at a few seconds' notice, one zone after another, with none to be had anywhere
-for a while. So at any time as many run as bear the load in a pinch without those of
-the zone that has most of them. Where the reclaimable ones of the other zones don't
-suffice for that, endpoints of the other kind are ordered, in the cheapest zones. One
-of those has a place in the cheapest zone at any time, and those that serve stay until
-others run in their place: both kinds share a zone's bound. Once a zone has none to
-give, the next ones are likely to follow, and as many of the other kind are ordered as
-bear the load alone. While the load is not known yet, more reclaimable ones stand by for
-what may come.
+"""Planned number of endpoints of each kind per availability zone.
+
+The plan is a pure function of the observed state, so every leader computes the same
+one.
+
+Reclaimable endpoints cost a fraction of on-demand ones, but the cloud may reclaim all
+of a zone's at a few seconds' notice, one zone after another, with none available
+anywhere for a while. The plan therefore always provides enough endpoints to carry the
+load at the maximum utilization without those of the zone that has most of them. If the
+reclaimable endpoints of the other zones don't suffice for that, on-demand ones are
+ordered in the cheapest zones. One on-demand endpoint always has a place in the cheapest
+zone, and those that serve stay until others have replaced them: both kinds share a
+zone's upper bound. Once a zone has no reclaimable endpoints available, the next zones
+are likely to follow, and enough on-demand ones are ordered to carry the load alone.
+While the load is not known yet, extra reclaimable ones are provided.
 """
 
 from collections.abc import Collection, Mapping
@@ -21,23 +21,23 @@
 
 from sassafrasdale.deployment import ScaleBounds
 
-# Part of its time that an endpoint is planned to be busy. Requests come in clumps,
-# and the first token of one waits for the prompts ahead of it.
+# Planned utilization of an endpoint. Requests come in bursts, and the first token of
+# one waits for the prompts ahead of it.
 PLANNED_USE = 0.22
-# Part of its time that an endpoint may be busy after a zone's reclaimable ones went,
-# until what replaces them has started.
-STRAINED_USE = 0.5
-# Fewest endpoints, however low the load: one crash must not stop the service.
-LEAST_ENDPOINTS = 3
-# Endpoints that are never reclaimable, however low the load.
-LEAST_KEPT = 1
-# The same where reclaimable ones can't be relied on: one may crash.
-LEAST_KEPT_ALONE = 2
+# Maximum utilization of an endpoint after a zone's reclaimable ones were reclaimed,
+# until their replacements have started.
+MAX_UTILIZATION = 0.5
+# Minimum number of endpoints at any load: one crash must not stop the service.
+MIN_ENDPOINTS = 3
+# Minimum number of on-demand endpoints at any load.
+MIN_ON_DEMAND = 1
+# The same while reclaimable ones may be unavailable: one may crash.
+MIN_ON_DEMAND_ALONE = 2
 
 
 @dataclass(frozen=True, slots=True)
 class OrderKey:
-    """A kind of endpoint that is ordered by itself."""
+    """A kind of endpoint that is ordered separately."""
 
     service: str
     availability_zone: str
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedService:
-    """A service as the plan sees it.
+    """State of a service for the plan.
 
     :param running: endpoints listed as ready, by kind.
-    :param load: endpoints that the present load would keep busy all the time.
-    :param load_known: whether the load was seen; else it is a guess.
-    :param is_changing: whether endpoints of another version are on trial beside these.
+    :param load: number of endpoints that the current load would keep fully busy.
+    :param load_known: whether the load was measured; otherwise it is an estimate.
+    :param has_canary: whether endpoints of a canary version run in addition to these.
     """
 
     service: str
@@ -64,85 +64,90 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """Endpoints wanted of each kind.
+    """Number of endpoints to order of each kind.
 
-    :param reason: the inputs that decided, for the logs.
+    :param reason: the inputs that determined the plan, for the logs.
     """
 
     orders: Mapping[OrderKey, int]
     reason: str
 
 
-def plan_orders(service: PlannedService, dry: Collection[OrderKey]) -> FleetPlan:
-    """Return the wanted endpoints of a service.
+def plan_orders(
+    service: PlannedService, unavailable: Collection[OrderKey]
+) -> FleetPlan:
+    """Return the number of endpoints of each kind to order for a service.
 
-    :param dry: reclaimable kinds that were not to be had a moment ago.
+    :param unavailable: reclaimable kinds that the cloud could not provide recently.
     """
     bounds = service.bounds
     zones = sorted(
         bounds.zone_prices, key=lambda zone: (bounds.zone_prices[zone], zone)
     )
-    needed = max(LEAST_ENDPOINTS, ceil(service.load / PLANNED_USE))
+    needed = max(MIN_ENDPOINTS, ceil(service.load / PLANNED_USE))
     if not service.load_known:
-        needed += LEAST_KEPT_ALONE
-    is_dry = any(key.service == service.service for key in dry)
-    kept = _kept(service, is_dry=is_dry)
-    # As many in each zone, so that the loss of one zone costs as little as it can.
-    each = min(max(ceil((needed - kept) / len(zones)), 1), bounds.most)
+        needed += MIN_ON_DEMAND_ALONE
+    has_unavailable = any(key.service == service.service for key in unavailable)
+    on_demand = _on_demand_needed(service, has_unavailable=has_unavailable)
+    # The same number in each zone, so that the loss of one zone costs as little as
+    # possible.
+    per_zone = min(max(ceil((needed - on_demand) / len(zones)), 1), bounds.most)
     orders = {}
     for zone in zones:
-        reserved = LEAST_KEPT if zone == zones[0] else 0
-        count = min(kept, max(_places(service, zone), reserved))
-        # Where none are to be had, the others get their places. The lower bound is
-        # one of orders: one that can't be met now counts.
-        count = max(count, bounds.least - each, 0)
-        kept -= count
+        reserved = MIN_ON_DEMAND if zone == zones[0] else 0
+        count = min(on_demand, max(_on_demand_places(service, zone), reserved))
+        # Places that reclaimable endpoints do not fill go to on-demand ones. The lower
+        # bound is one of orders: an order counts even if it can not be filled now.
+        count = max(count, bounds.least - per_zone, 0)
+        on_demand -= count
         orders[OrderKey(service.service, zone, False)] = count
-        reclaimable = min(each, bounds.most - count)
+        reclaimable = min(per_zone, bounds.most - count)
         orders[OrderKey(service.service, zone, True)] = reclaimable
-    available = sum(_available(service, zone, each, dry) for zone in zones)
+    available = sum(
+        _reclaimable_count(service, zone, per_zone, unavailable) for zone in zones
+    )
     return FleetPlan(
         orders,
-        f"load {service.load:.2f}, needed {needed}, reclaimable to be had {available}",
+        f"load {service.load:.2f}, needed {needed}, reclaimable available {available}",
     )
 
 
-def _kept(service: PlannedService, *, is_dry: bool) -> int:
-    """Return how many endpoints that can't be reclaimed are needed."""
+def _on_demand_needed(service: PlannedService, *, has_unavailable: bool) -> int:
+    """Return how many on-demand endpoints are needed."""
     if not service.load_known:
-        # Those found running stay until reclaimable ones, at a fifth of the price,
-        # stand by in other zones.
-        replaced = _left_by_a_reclaim(service) >= LEAST_KEPT_ALONE
-        return LEAST_KEPT if replaced else LEAST_KEPT_ALONE
-    strained = ceil(service.load / STRAINED_USE)
-    if is_dry:
-        return max(LEAST_KEPT_ALONE, strained)
-    return max(LEAST_KEPT, strained - _left_by_a_reclaim(service))
-
-
-def _places(service: PlannedService, zone: str) -> int:
-    """Return how many endpoints that can't be reclaimed fit into a zone.
-
-    Both kinds share a zone's upper bound. Reclaimable ones that run are not displaced.
-    Those that are only ordered take no places: an endpoint that serves would be given
-    back for one that may never come. A place is left for a reclaimable one, so that it
-    goes on being asked for.
+        # Running ones stay until reclaimable ones, at a fifth of the price, are ready
+        # in other zones.
+        replaced = _left_after_reclaim(service) >= MIN_ON_DEMAND_ALONE
+        return MIN_ON_DEMAND if replaced else MIN_ON_DEMAND_ALONE
+    at_max_utilization = ceil(service.load / MAX_UTILIZATION)
+    if has_unavailable:
+        return max(MIN_ON_DEMAND_ALONE, at_max_utilization)
+    return max(MIN_ON_DEMAND, at_max_utilization - _left_after_reclaim(service))
+
+
+def _on_demand_places(service: PlannedService, zone: str) -> int:
+    """Return how many on-demand endpoints fit into a zone.
+
+    Both kinds share a zone's upper bound. Running reclaimable endpoints are not
+    displaced. Those that are only ordered take no place: otherwise a serving endpoint
+    would be released for one that may never start. One place is left for a reclaimable
+    endpoint, so that it continues to be ordered.
     """
     running = service.running.get(OrderKey(service.service, zone, True), 0)
     return service.bounds.most - max(running, 1)
 
 
-def _left_by_a_reclaim(service: PlannedService) -> int:
-    """Return how many reclaimable endpoints run without the zone that has most."""
+def _left_after_reclaim(service: PlannedService) -> int:
+    """Return how many reclaimable endpoints run outside the zone that has most."""
     running = [count for key, count in service.running.items() if key.reclaimable]
     return sum(running) - max(running, default=0)
 
 
-def _available(
-    service: PlannedService, zone: str, wanted: int, dry: Collection[OrderKey]
+def _reclaimable_count(
+    service: PlannedService, zone: str, wanted: int, unavailable: Collection[OrderKey]
 ) -> int:
-    """Return how many reclaimable endpoints a zone has or soon will have."""
+    """Return how many reclaimable endpoints a zone has or will soon have."""
     key = OrderKey(service.service, zone, True)
-    if key in dry:
+    if key in unavailable:
         return min(service.running.get(key, 0), wanted)
     return wanted
--- a/tests/decisions/test_capacity.py
+++ b/tests/decisions/test_capacity.py
@@ -45,29 +45,29 @@
     return Counter(order.availability_zone for order in plan.orders)
 
 
-def test_keeps_room_for_the_loss_of_any_zone():
+def test_provides_for_the_loss_of_any_zone():
     plan = _plan([])
     assert _starts(plan) == {"a": 2, "b": 2, "c": 2}
     assert all(order.reclaimable for order in plan.orders)
     assert plan.shortfall == 0.0
 
 
-def test_carries_on_in_the_other_zones_when_one_is_refused():
-    """A zone has no machines left, and the service stays short for hours.
+def test_uses_the_other_zones_when_one_is_refused():
+    """Guards against a service that lacks capacity for hours after one zone runs out.
 
-    The plan asks the cheapest zone again and again, is refused each time and
-    never turns to the others.
+    The plan ordered in the cheapest zone again and again, was refused each time and
+    never used the others.
     """
     plan = _plan(_running(b=2), _refused("a"))
     assert _starts(plan) == {"c": 2}
 
 
-def test_asks_a_zone_again_after_its_pause():
+def test_orders_in_a_zone_again_after_its_backoff():
     assert "a" not in _starts(_plan([], _refused("a", refusals=3, age=70)))
     assert "a" in _starts(_plan([], _refused("a", refusals=3, age=81)))
 
 
-def test_pays_for_lasting_instances_when_reclaimable_ones_are_refused():
+def test_orders_on_demand_instances_when_reclaimable_ones_are_refused():
     refused = [RefusedStart(zone, "large", True, 1, timedelta()) for zone in ZONES]
     plan = _plan([], refused)
     assert len(plan.orders) == 6
@@ -85,27 +85,27 @@
     assert sum(_starts(plan).values()) == 2
 
 
-def test_says_what_no_offer_can_carry():
+def test_reports_the_shortfall():
     refused = [*_refused("a"), *_refused("b"), *_refused("c")]
     plan = _plan(_running(a=1), refused)
     assert plan.orders == ()
     assert plan.shortfall == 30.0
 
 
-def test_gives_back_the_dearest_instance_one_a_round():
+def test_releases_the_most_expensive_instance_one_per_round():
     plan = _plan(_running(a=3, b=3, c=3))
     assert plan.orders == (GiveBack("b0"),)
 
 
-def test_gives_nothing_back_within_the_margin():
+def test_releases_nothing_within_the_margin():
     assert _plan(_running(a=2, b=2, c=2)).orders == ()
 
 
-def test_two_holders_of_the_duty_order_the_same_instance_once():
-    """The cloud starts twice what was asked for, and the bill doubles.
+def test_two_leaders_order_the_same_instance_once():
+    """Guards against instances that are started, and billed, twice.
 
-    A holder was paused past its lease. It and its successor order the same
-    start; the request id is made from what is wanted, so the second is a repeat.
+    A leader was paused past its lease. It and its successor order the same start; the
+    request id is derived from the order, so the second is a duplicate.
     """
     first, second = _plan([]), _plan([])
     assert first == second
@@ -114,16 +114,16 @@
     assert all(isinstance(order, StartInstance) for order in first.orders)
 
 
-def test_plans_for_the_load_at_the_time_that_a_start_serves():
+def test_plans_for_the_load_at_the_time_that_a_new_instance_serves():
     growing = ServiceDemand("drafts", 40.0, growth=1.0, availability_zones=ZONES)
     assert sum(_starts(_plan([], demand=growing)).values()) == 15
 
 
-def test_replaces_a_dear_instance_only_after_the_cheap_one_serves():
-    """Capacity falls short each time that prices move.
+def test_releases_an_overpriced_instance_only_after_its_replacement_serves():
+    """Guards against a lack of capacity after each price change.
 
-    Lasting instances were started while the others were refused. The plan gave
-    them back as soon as their replacements were ordered, a minute before these
+    On-demand instances were started while reclaimable ones were refused. The plan
+    released them as soon as their replacements were ordered, a minute before these
     served.
     """
     dear = RunningInstance("dear", "a", "large", False)
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -1,4 +1,4 @@
-"""How many endpoints of each kind are ordered."""
+"""Tests of the number of endpoints of each kind that are ordered."""
 
 from datetime import timedelta
 
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from sassafrasdale.decisions.ordering import (
-    LEAST_ENDPOINTS,
-    LEAST_KEPT,
-    LEAST_KEPT_ALONE,
-    STRAINED_USE,
+    MAX_UTILIZATION,
+    MIN_ENDPOINTS,
+    MIN_ON_DEMAND,
+    MIN_ON_DEMAND_ALONE,
     OrderKey,
     PlannedService,
     plan_orders,
@@ -32,10 +32,10 @@
     return sum(plan.orders.values())
 
 
-def test_a_low_load_keeps_one_that_is_not_reclaimable_in_the_cheapest_zone():
-    plan = plan_orders(planned(0.0), dry=())
-    assert plan.orders[key("a", False)] == LEAST_KEPT
-    assert total(plan) >= LEAST_ENDPOINTS
+def test_low_load_keeps_one_on_demand_endpoint_in_the_cheapest_zone():
+    plan = plan_orders(planned(0.0), unavailable=())
+    assert plan.orders[key("a", False)] == MIN_ON_DEMAND
+    assert total(plan) >= MIN_ENDPOINTS
 
 
 def test_more_load_needs_more():
@@ -48,91 +48,93 @@
 @given(
     load=st.floats(0, 4),
     running=st.fixed_dictionaries({zone: st.integers(0, 3) for zone in "abc"}),
-    dry=st.sets(st.sampled_from("abc")),
+    unavailable=st.sets(st.sampled_from("abc")),
 )
-def test_the_load_is_borne_without_any_one_zone(load, running, dry):
-    """Requests would queue at the few endpoints that are left.
+def test_load_is_carried_without_any_one_zone(load, running, unavailable):
+    """Guards against requests that queue at the few remaining endpoints.
 
-    The cloud takes a zone's reclaimable endpoints, then those of another, and has
-    none to give; the load stays, and what is ordered now comes seconds later.
+    The cloud reclaims a zone's reclaimable endpoints, then those of another, and has
+    none available; the load stays, and new endpoints take seconds to start.
     """
     spots = {key(zone, True): count for zone, count in running.items()}
     wide = ScaleBounds(1, 20, BOUNDS.start_time, 0.22, BOUNDS.zone_prices)
-    plan = plan_orders(planned(load, spots, wide), {key(zone, True) for zone in dry})
-    kept = sum(plan.orders[key(zone, False)] for zone in "abc")
-    assert kept >= LEAST_KEPT
+    plan = plan_orders(
+        planned(load, spots, wide), {key(zone, True) for zone in unavailable}
+    )
+    on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
+    assert on_demand >= MIN_ON_DEMAND
     for lost in "abc":
         left = sum(count for zone, count in running.items() if zone != lost)
-        assert kept + left >= load / STRAINED_USE
+        assert on_demand + left >= load / MAX_UTILIZATION
 
 
-def test_little_is_kept_while_reclaimable_ones_suffice():
-    """Endpoints that are kept cost several times as much as the others."""
+def test_few_on_demand_endpoints_while_reclaimable_ones_suffice():
+    """On-demand endpoints cost several times as much as reclaimable ones."""
     spots = {key(zone, True): 2 for zone in "abc"}
     plan = plan_orders(planned(1.8, spots), ())
-    assert sum(plan.orders[key(zone, False)] for zone in "abc") == LEAST_KEPT
+    assert sum(plan.orders[key(zone, False)] for zone in "abc") == MIN_ON_DEMAND
 
 
 @pytest.mark.parametrize("zones", ["a", "abc"])
-def test_others_bear_the_load_alone_once_a_zone_is_dry(zones):
-    """Requests would queue at a single endpoint for seconds.
+def test_on_demand_endpoints_carry_the_load_once_a_zone_is_unavailable(zones):
+    """Guards against requests that queue at a single endpoint for seconds.
 
-    The cloud takes one zone's reclaimable endpoints and has no more; some seconds
-    later those of the next zone, and then the last ones.
+    The cloud reclaims one zone's reclaimable endpoints and has no more; seconds later
+    those of the next zone, and then the last ones.
     """
     spots = {key(zone, True): 2 for zone in "abc"}
     plan = plan_orders(planned(2.0, spots), {key(zone, True) for zone in zones})
-    kept = sum(plan.orders[key(zone, False)] for zone in "abc")
-    assert kept >= 2.0 / STRAINED_USE
+    on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
+    assert on_demand >= 2.0 / MAX_UTILIZATION
 
 
-def test_others_bear_a_load_that_is_not_known_yet():
-    """Callers that begin at any moment would meet one engine, or five that cost most.
+def test_on_demand_endpoints_carry_an_unknown_load():
+    """Guards against a single endpoint, or five expensive ones, when callers start.
 
-    Pattern: a deployment starts with endpoints that can't be reclaimed, seconds before
-    its callers. Two of them stay until two reclaimable ones run that no reclaim of one
-    zone takes, then one. Six that cost a fifth each replace one at 1.1 of the price.
+    A deployment starts with on-demand endpoints, seconds before its callers. Two of
+    them stay until two reclaimable ones run outside any one zone, then one. Six at a
+    fifth of the price each replace one at 1.1 of the price.
     """
     none = PlannedService("models", BOUNDS, {}, 0.1, load_known=False)
     spots = {key(zone, True): 2 for zone in "abc"}
     started = PlannedService("models", BOUNDS, spots, 0.1, load_known=False)
-    for service, expected in ((none, LEAST_KEPT_ALONE), (started, LEAST_KEPT)):
+    for service, expected in ((none, MIN_ON_DEMAND_ALONE), (started, MIN_ON_DEMAND)):
         plan = plan_orders(service, ())
-        kept = sum(plan.orders[key(zone, False)] for zone in "abc")
-        assert kept == expected
+        on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
+        assert on_demand == expected
 
 
-def test_others_get_the_places_of_those_that_are_not_to_be_had():
-    """The fleet would stay without endpoints while the cloud has others to give.
+def test_on_demand_endpoints_get_the_places_of_unavailable_ones():
+    """Guards against a fleet without endpoints while on-demand ones are available.
 
-    The load fills each zone's bound with reclaimable ones, which are taken.
+    The load fills each zone's bound with reclaimable endpoints, which are reclaimed.
     """
-    dry = {key(zone, True) for zone in "abc"}
-    plan = plan_orders(planned(7.0), dry)
+    unavailable = {key(zone, True) for zone in "abc"}
+    plan = plan_orders(planned(7.0), unavailable)
     assert all(plan.orders[key(zone, False)] == 3 for zone in "abc")
     assert all(plan.orders[key(zone, True)] == 1 for zone in "abc")
 
 
-def test_one_is_kept_though_reclaimable_ones_fill_all_places():
-    """Callers would find nothing once two zones were reclaimed, one after the other.
+def test_one_on_demand_endpoint_stays_though_reclaimable_ones_fill_all_places():
+    """Guards against no endpoint at all once two zones are reclaimed in turn.
 
-    Pattern: a load that asks for as many reclaimable endpoints as fit the zones. They
-    took the last place of the one endpoint that no reclaim takes.
+    The load needs as many reclaimable endpoints as fit into the zones. They took the
+    last place of the one endpoint that can not be reclaimed.
     """
     tight = ScaleBounds(1, 3, timedelta(seconds=4), 0.22, BOUNDS.zone_prices)
     spots = {key(zone, True): 3 for zone in "abc"}
     for load in (2.2, 4.5):
         plan = plan_orders(planned(load, spots, tight), ())
-        assert plan.orders[key("a", False)] == LEAST_KEPT
+        assert plan.orders[key("a", False)] == MIN_ON_DEMAND
         assert plan.orders[key("a", True)] == 2
 
 
-def test_kept_ones_go_where_there_is_room_though_few_are_needed():
-    """Callers queued at one engine for ten seconds where the load had been low.
+def test_on_demand_endpoints_go_where_there_is_room_though_few_are_needed():
+    """Guards against requests that queue at one endpoint for ten seconds.
 
-    Pattern: three of four places of the cheapest zone are taken by reclaimable ones,
-    more than a low load needs. A reclaim of another zone calls for two kept ones; both
-    were ordered in the cheapest zone, which had room for one.
+    After low load, reclaimable endpoints take three of four places of the cheapest
+    zone, more than are needed. The reclaim of another zone requires two on-demand
+    endpoints; both were ordered in the cheapest zone, which had room for one.
     """
     running = {key("a", True): 3, key("c", True): 4, key("a", False): 1}
     plan = plan_orders(planned(0.3, running), {key("b", True)})
@@ -140,25 +142,26 @@
     assert plan.orders[key("c", False)] + plan.orders[key("b", False)] == 1
 
 
-def test_endpoints_that_serve_are_not_given_back_for_ones_that_are_only_ordered():
-    """Callers met four engines instead of nine for four seconds, at the highest load.
+def test_serving_endpoints_are_not_released_for_ordered_ones():
+    """Guards against four endpoints instead of nine for four seconds at peak load.
 
-    Pattern: after a dry time reclaimable endpoints can be ordered again. Both kinds
-    share three places a zone; five kept ones run, and four reclaimable ones so far.
+    Reclaimable endpoints can be ordered again after having been unavailable. Both kinds
+    share three places per zone; five on-demand endpoints run, and four reclaimable ones
+    so far.
     """
     tight = ScaleBounds(1, 3, timedelta(seconds=4), 0.22, BOUNDS.zone_prices)
     running = {key("a", True): 1, key("b", True): 2, key("c", True): 1}
     running |= {key("a", False): 2, key("b", False): 1, key("c", False): 2}
     plan = plan_orders(planned(2.7, running, tight), ())
-    kept = sum(plan.orders[key(zone, False)] for zone in "abc")
-    assert kept >= 2.7 / STRAINED_USE - 2
+    on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
+    assert on_demand >= 2.7 / MAX_UTILIZATION - 2
 
 
 def test_the_cheapest_zones_are_filled_first():
-    dry = {key(zone, True) for zone in "abc"}
-    plan = plan_orders(planned(2.4), dry)
-    kept = {zone: plan.orders[key(zone, False)] for zone in "abc"}
-    assert kept["a"] >= kept["c"] >= kept["b"]
+    unavailable = {key(zone, True) for zone in "abc"}
+    plan = plan_orders(planned(2.4), unavailable)
+    on_demand = {zone: plan.orders[key(zone, False)] for zone in "abc"}
+    assert on_demand["a"] >= on_demand["c"] >= on_demand["b"]
 
 
 @settings(derandomize=True)
@@ -166,13 +169,13 @@
     load=st.floats(0, 30),
     least=st.integers(0, 2),
     most=st.integers(2, 8),
-    dry=st.sets(st.sampled_from("abc")),
+    unavailable=st.sets(st.sampled_from("abc")),
     running=st.integers(0, 4),
 )
-def test_bounds_hold_for_both_kinds_together(load, least, most, dry, running):
+def test_bounds_hold_for_both_kinds_together(load, least, most, unavailable, running):
     bounds = ScaleBounds(least, most, timedelta(4), 0.2, BOUNDS.zone_prices)
     view = planned(load, {key("a", True): running}, bounds)
-    plan = plan_orders(view, {key(zone, True) for zone in dry})
+    plan = plan_orders(view, {key(zone, True) for zone in unavailable})
     for zone in "abc":
         both = plan.orders[key(zone, False)] + plan.orders[key(zone, True)]
         assert least <= both <= max(most, least)
