--- a/src/sassafrasdale/decisions/canary.py
+++ b/src/sassafrasdale/decisions/canary.py
@@ -1,8 +1,8 @@
-"""Whether a version on trial is worse than the one in force.
+"""Whether a canary version is worse than the baseline version.
 
-What came of the requests to both versions over the same time is compared, by route and
-by kind of harm: failures, and answers that come several times later than usual. The
-rules of judgement are data classes; :func:`judge` applies either.
+The outcomes of the requests to both versions over the same time are compared, by route
+and by check: the failure rate, and the rate of responses that are several times slower
+than usual. The evaluation rules are data classes; :func:`evaluate` applies either.
 """
 
 from collections import Counter
@@ -11,41 +11,42 @@
 from datetime import timedelta
 from math import exp, log
 
-# Times are counted in buckets, each of which ends at this many times the end of the one
-# before; the first ends at a millisecond.
+# Response times are counted in buckets with exponential bounds: each upper bound is
+# this multiple of the previous one; the first is a millisecond.
 BUCKET_RATIO = 1.5
-MOST_BUCKETS = 30
-# An answer is slow if it takes this many times as long as half of them usually do, and
-# longer than nine tenths of them.
+MAX_BUCKETS = 30
+# A response is slow if it takes this multiple of the median of its route and is beyond
+# this quantile of it.
 SLOW_RATIO = 2.0
-USUAL_SHARE = 0.9
-# Answers of the version in force that tell what is usual for a route.
-LEAST_USUAL = 20
-# Share of failures and of slow answers that is allowed beyond that of the version in
-# force, which few requests can't tell apart from it, and whose endpoints' memories
-# are filled.
+SLOW_QUANTILE = 0.9
+# Minimum number of baseline responses that define the baseline of a route.
+MIN_BASELINE_RESPONSES = 20
+# Tolerated rates of failures and of slow responses above the baseline. Few requests
+# cannot distinguish smaller differences, and the endpoints of the baseline version have
+# warm caches.
 TOLERATED_FAILURES = 0.03
 TOLERATED_SLOWNESS = 0.12
-# Shares of bad answers beyond the tolerated one that a bad version may have.
+# Rates of bad responses above the tolerated one that are assumed for a bad version.
 ALTERNATIVES = (0.1, 0.2, 0.4, 0.7)
-# A version may turn bad late. What came in about this time is also judged by itself, as
-# all that was good before would hide it.
-RECENT = timedelta(seconds=5)
-# Answers of the other endpoints that clear a version of what one of them did.
-LEAST_CLEARING = 8
-# Where this part of the bad answers came from one endpoint, others are waited for, up
-# to so many.
-ALONE_SHARE = 0.8
-MOST_ALONE = 15
+# A version may become bad late. Responses of about this time are also evaluated
+# separately, as all good ones before would hide the bad ones.
+RECENT_WINDOW = timedelta(seconds=5)
+# Minimum number of responses of the other endpoints that attribute a fault to one
+# endpoint alone.
+MIN_CLEARING_RESPONSES = 8
+# If this fraction of the bad responses came from one endpoint, the evaluation waits for
+# responses of others, up to this number of bad ones.
+SINGLE_ENDPOINT_SHARE = 0.8
+MAX_SINGLE_ENDPOINT_BAD = 15
 
 
 @dataclass(slots=True)
 class Outcomes:
-    """What came of the requests to some endpoints, on one route.
+    """Outcomes of the requests to some endpoints, on one route.
 
-    :param answered: those that were answered whole.
-    :param failed: those that were run and failed.
-    :param times: times until an answer began, as counts by bucket.
+    :param answered: requests with a complete response.
+    :param failed: requests that ran and failed.
+    :param times: response times, as counts by bucket.
     """
 
     answered: int = 0
@@ -54,21 +55,21 @@
 
     @property
     def count(self) -> int:
-        """Requests that have ended."""
+        """Number of requests that have ended."""
         return self.answered + self.failed
 
     def add(self, other: "Outcomes") -> None:
-        """Add what came of other requests."""
+        """Add the outcomes of other requests."""
         self.answered += other.answered
         self.failed += other.failed
         self.times.update(other.times)
 
     def copy(self) -> "Outcomes":
-        """Return the same counts, which later ones don't change."""
+        """Return an independent copy."""
         return Outcomes(self.answered, self.failed, self.times.copy())
 
     def since(self, earlier: "Outcomes") -> "Outcomes":
-        """Return what has come since an earlier count; what was forgotten is none."""
+        """Return the difference to an earlier count, at least 0 if counts were lost."""
         return Outcomes(
             max(self.answered - earlier.answered, 0),
             max(self.failed - earlier.failed, 0),
@@ -76,7 +77,7 @@
         )
 
     def slower_than(self, bucket: int) -> int:
-        """Return how many answers lie above a bucket."""
+        """Return how many responses are above a bucket."""
         return sum(count for index, count in self.times.items() if index > bucket)
 
 
@@ -84,18 +85,18 @@
 Rows = Mapping[tuple[str, str], Outcomes]
 
 
-def bucket_of(took: timedelta) -> int:
-    """Return the bucket that a time falls into."""
-    millis = max(took / timedelta(milliseconds=1), 1.0)
-    return min(int(log(millis) / log(BUCKET_RATIO)) + 1, MOST_BUCKETS)
+def bucket_of(duration: timedelta) -> int:
+    """Return the bucket of a response time."""
+    millis = max(duration / timedelta(milliseconds=1), 1.0)
+    return min(int(log(millis) / log(BUCKET_RATIO)) + 1, MAX_BUCKETS)
 
 
 @dataclass(frozen=True, slots=True)
 class FixedThreshold:
-    """Condemns where the share of bad answers is too much higher.
+    """Rejects if the rate of bad responses exceeds the baseline by a fixed amount.
 
-    :param excess: share of bad answers beyond that of the version in force.
-    :param least: answers below which nothing is said.
+    :param excess: allowed rate of bad responses above the baseline.
+    :param min_responses: minimum number of responses for a verdict.
     """
 
     excess: float = 0.15
@@ -104,14 +105,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SequentialTest:
-    """Condemns once the odds against a sound version are high, however many answers.
+    """Rejects once the odds against a good version are high.
 
-    A mixture of likelihood ratios: for a sound version, the chance that it ever passes
-    the odds is at most one in as many.
+    A mixture of likelihood ratios, valid for any number of responses: the probability
+    that a good version ever exceeds the odds is at most the inverse of the odds.
 
-    :param odds: odds that condemn while the trial goes on.
-    :param final_odds: those that are enough at its end. A good version that is rolled
-        back is tried again; a bad one that is completed has no way back.
+    :param odds: odds that reject a version during the trial.
+    :param final_odds: odds that reject it at the end. A good version that is rolled
+        back can be tried again; a bad one that is completed cannot be taken back.
     """
 
     odds: float = 200.0
@@ -123,31 +124,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a rule makes of a trial.
+    """Result of an evaluation.
 
-    :param is_bad: whether the version is condemned.
-    :param reason: the harm that was found, with its counts.
+    :param is_rejected: whether the version is rejected.
+    :param reason: the check that failed, with its counts.
     """
 
     is_bad: bool
     reason: str = ""
 
 
-SOUND = Verdict(False)
+PASSED = Verdict(False)
 
 
 @dataclass(frozen=True, slots=True)
 class _Comparison:
-    """Bad answers among some of the version on trial, and how many are usual."""
+    """Bad responses among those of the canary, and the rate in the baseline."""
 
-    harm: str
+    check: str
     bad: int
     count: int
-    usual: float
+    baseline: float
 
     def odds(self) -> float:
-        """Return the odds that these answers are of a bad version."""
-        logs = [self._log_ratio(self.usual + more) for more in ALTERNATIVES]
+        """Return the odds that these responses come from a bad version."""
+        logs = [
+            self._log_ratio(self.baseline + excess_share)
+            for excess_share in ALTERNATIVES
+        ]
         highest = max(logs)
         mean = sum(exp(value - highest) for value in logs) / len(logs)
         total = highest + log(mean)
@@ -156,119 +160,127 @@
     def _log_ratio(self, share: float) -> float:
         share = min(share, 0.99)
         good = self.count - self.bad
-        gained = self.bad * log(share / self.usual)
-        return gained + good * log((1 - share) / (1 - self.usual))
+        gained = self.bad * log(share / self.baseline)
+        return gained + good * log((1 - share) / (1 - self.baseline))
 
 
-def judge(trial: Rows, usual: Rows, rule: Rule, *, final: bool = False) -> Verdict:
-    """Return whether the version on trial is condemned.
+def judge(canary: Rows, baseline: Rows, rule: Rule, *, final: bool = False) -> Verdict:
+    """Return whether the canary version is rejected.
 
-    A fault of one endpoint is none of its version's: where the others' answers say that
-    the version is sound, it is not condemned.
+    A fault of one endpoint is not attributed to its version: if the responses of the
+    others indicate a good version, it is not rejected.
 
-    :param trial: outcomes of the version on trial.
-    :param usual: those of the version in force, over the same time.
+    :param canary: outcomes of the canary version.
+    :param baseline: outcomes of the baseline version, over the same time.
+    :param rule: evaluation rule.
     :param final: whether the trial ends now.
     """
-    worst = _worst(trial, usual, rule, final=final)
-    if worst is None:
-        return SOUND
-    for endpoint in {endpoint for endpoint, _ in trial}:
-        rest = {key: row for key, row in trial.items() if key[0] != endpoint}
-        others = _find(worst.harm, rest, usual)
-        if others.count >= LEAST_CLEARING and others.odds() < 1:
-            return SOUND
-        alone = worst.bad - others.bad >= worst.bad * ALONE_SHARE
-        if alone and not final and worst.bad < MOST_ALONE:
-            return SOUND
-    share = f"{worst.bad} of {worst.count}, usual {worst.usual:.2f}"
-    return Verdict(True, f"{worst.harm}: {share}")
-
-
-def _worst(trial: Rows, usual: Rows, rule: Rule, *, final: bool) -> _Comparison | None:
-    """Return the comparison that condemns the version most, if one does."""
+    finding = _most_significant(canary, baseline, rule, final=final)
+    if finding is None:
+        return PASSED
+    for endpoint in {endpoint for endpoint, _ in canary}:
+        rest = {key: row for key, row in canary.items() if key[0] != endpoint}
+        others = _find_check(finding.check, rest, baseline)
+        if others.count >= MIN_CLEARING_RESPONSES and others.odds() < 1:
+            return PASSED
+        is_single_endpoint = (
+            finding.bad - others.bad >= finding.bad * SINGLE_ENDPOINT_SHARE
+        )
+        if is_single_endpoint and not final and finding.bad < MAX_SINGLE_ENDPOINT_BAD:
+            return PASSED
+    share = f"{finding.bad} of {finding.count}, baseline {finding.baseline:.2f}"
+    return Verdict(True, f"{finding.check}: {share}")
+
+
+def _most_significant(
+    canary: Rows, baseline: Rows, rule: Rule, *, final: bool
+) -> _Comparison | None:
+    """Return the comparison that rejects with the highest odds, if any."""
     found = [
         comparison
-        for comparison in _comparisons(trial, usual)
-        if _condemns(comparison, rule, final=final)
+        for comparison in _comparisons(canary, baseline)
+        if _rejects(comparison, rule, final=final)
     ]
     return max(found, key=lambda comparison: comparison.odds(), default=None)
 
 
-def _condemns(comparison: _Comparison, rule: Rule, *, final: bool) -> bool:
+def _rejects(comparison: _Comparison, rule: Rule, *, final: bool) -> bool:
     match rule:
         case FixedThreshold(excess, least):
             if comparison.count < least:
                 return False
-            return comparison.bad / comparison.count > comparison.usual + excess
+            return comparison.bad / comparison.count > comparison.baseline + excess
         case SequentialTest(odds, final_odds):
             return comparison.odds() >= (final_odds if final else odds)
 
 
-def _find(harm: str, rest: Rows, usual: Rows) -> _Comparison:
-    """Return what the answers without one endpoint's say of a harm."""
-    for comparison in _comparisons(rest, usual):
-        if comparison.harm == harm:
+def _find_check(check: str, rest: Rows, baseline: Rows) -> _Comparison:
+    """Return the comparison of a check without the responses of one endpoint."""
+    for comparison in _comparisons(rest, baseline):
+        if comparison.check == check:
             return comparison
-    return _Comparison(harm, 0, 0, 0.0)
+    return _Comparison(check, 0, 0, 0.0)
 
 
-def _comparisons(trial: Rows, usual: Rows) -> Iterable[_Comparison]:
-    """Compare each route, and all of them together, by each kind of harm."""
-    tried = _by_route(trial)
-    known = _by_route(usual)
-    overall = _sum(known.values())
+def _comparisons(canary: Rows, baseline: Rows) -> Iterable[_Comparison]:
+    """Compare each route, and all of them together, by each check."""
+    canary_routes = _by_route(canary)
+    baseline_routes = _by_route(baseline)
+    overall = _sum(baseline_routes.values())
     slow = []
-    for route, outcomes in tried.items():
-        before = known.get(route, overall)
-        enough = before.count >= LEAST_USUAL
+    for route, outcomes in canary_routes.items():
+        before = baseline_routes.get(route, overall)
+        enough = before.count >= MIN_BASELINE_RESPONSES
         yield _failures(f"failures on {route}", outcomes, before if enough else overall)
-        if enough and route in known and before.times and outcomes.times:
+        if enough and route in baseline_routes and before.times and outcomes.times:
             slow.append(_slowness(f"slow on {route}", outcomes, before))
-    if len(tried) > 1:
-        yield _failures("failures on all routes", _sum(tried.values()), overall)
+    if len(canary_routes) > 1:
+        yield _failures("failures on all routes", _sum(canary_routes.values()), overall)
     yield from slow
     if len(slow) > 1:
         yield _pooled("slow on all routes", slow)
 
 
-def _failures(harm: str, outcomes: Outcomes, known: Outcomes) -> _Comparison:
-    usual = known.failed / known.count if known.count else 0.0
+def _failures(check: str, outcomes: Outcomes, known: Outcomes) -> _Comparison:
+    baseline = known.failed / known.count if known.count else 0.0
     return _Comparison(
-        harm, outcomes.failed, outcomes.count, _bounded(usual + TOLERATED_FAILURES)
+        check,
+        outcomes.failed,
+        outcomes.count,
+        _capped_share(baseline + TOLERATED_FAILURES),
     )
 
 
-def _slowness(harm: str, outcomes: Outcomes, known: Outcomes) -> _Comparison:
-    limit = _slow_limit(known.times)
-    usual = known.slower_than(limit) / known.times.total()
+def _slowness(check: str, outcomes: Outcomes, known: Outcomes) -> _Comparison:
+    limit = _slow_bucket(known.times)
+    baseline = known.slower_than(limit) / known.times.total()
     return _Comparison(
-        harm,
+        check,
         outcomes.slower_than(limit),
         outcomes.times.total(),
-        _bounded(usual + TOLERATED_SLOWNESS),
+        _capped_share(baseline + TOLERATED_SLOWNESS),
     )
 
 
-def _pooled(harm: str, comparisons: Sequence[_Comparison]) -> _Comparison:
+def _pooled(check: str, comparisons: Sequence[_Comparison]) -> _Comparison:
     count = sum(comparison.count for comparison in comparisons)
-    expected = sum(part.usual * part.count for part in comparisons)
+    expected = sum(part.baseline * part.count for part in comparisons)
     bad = sum(comparison.bad for comparison in comparisons)
-    return _Comparison(harm, bad, count, expected / count)
+    return _Comparison(check, bad, count, expected / count)
 
 
-def _bounded(share: float) -> float:
+def _capped_share(share: float) -> float:
     return min(share, 0.9)
 
 
-def _slow_limit(times: Counter[int]) -> int:
-    """Return the highest bucket of answers that are not slow.
+def _slow_bucket(times: Counter[int]) -> int:
+    """Return the highest bucket of responses that are not slow.
 
     :param times: at least one.
     """
     median = _quantile(times, 0.5)
     doubled = median + round(log(SLOW_RATIO) / log(BUCKET_RATIO))
-    return max(doubled, _quantile(times, USUAL_SHARE))
+    return max(doubled, _quantile(times, SLOW_QUANTILE))
 
 
 def _quantile(times: Counter[int], share: float) -> int:
@@ -295,23 +307,23 @@
     return total
 
 
-NOTHING = Outcomes()
+NO_OUTCOMES = Outcomes()
 
 
 def parted(rows: Rows) -> tuple[Rows, Rows]:
-    """Return the outcomes of the version on trial, and those of the others.
+    """Return the outcomes of the canary version, and those of the others.
 
-    :param rows: outcomes, those of the others under no group.
+    :param rows: outcomes by group and route; the others have an empty group.
     """
-    trial = {key: row for key, row in rows.items() if key[0]}
-    usual = {key: row for key, row in rows.items() if not key[0]}
-    return trial, usual
+    canary = {key: row for key, row in rows.items() if key[0]}
+    baseline = {key: row for key, row in rows.items() if not key[0]}
+    return canary, baseline
 
 
 class Trial:
-    """Judges a version again and again as its requests are answered.
+    """Evaluates a canary version repeatedly while its requests are answered.
 
-    :param rule: rule of judgement.
+    :param rule: evaluation rule.
     """
 
     def __init__(self, rule: Rule) -> None:
@@ -321,19 +333,21 @@
         self._latest_at = timedelta()
 
     def judge(self, rows: Rows, now: timedelta, *, final: bool = False) -> Verdict:
-        """Return whether the version is condemned by all so far, or by the latest.
+        """Return whether the version is rejected, by all outcomes or the recent ones.
 
-        :param rows: outcomes so far, those of the version in force under no group.
+        :param rows: outcomes so far; those of the baseline version have an empty group.
         :param now: elapsed time.
+        :param final: whether the trial ends now.
         """
-        if now - self._latest_at >= RECENT / 2:
+        if now - self._latest_at >= RECENT_WINDOW / 2:
             self._earlier = self._latest
             self._latest = {key: row.copy() for key, row in rows.items()}
             self._latest_at = now
         recent = {
-            key: row.since(self._earlier.get(key, NOTHING)) for key, row in rows.items()
+            key: row.since(self._earlier.get(key, NO_OUTCOMES))
+            for key, row in rows.items()
         }
         verdicts = (
             judge(*parted(part), self._rule, final=final) for part in (rows, recent)
         )
-        return next((verdict for verdict in verdicts if verdict.is_bad), SOUND)
+        return next((verdict for verdict in verdicts if verdict.is_bad), PASSED)
--- a/src/sassafrasdale/decisions/exposure.py
+++ b/src/sassafrasdale/decisions/exposure.py
@@ -1,69 +1,71 @@
-"""How many requests a version on trial may get.
+"""Limit on the requests that a canary version may get.
 
-Each gateway keeps the version's requests to a share of those that it has itself sent to
-the service. So the share holds for all gateways together, whatever they don't hear of
-each other, and however often they start anew.
+Each gateway limits the canary's requests to a fraction of those that it has itself sent
+to the service. The limit therefore holds for all gateways together, even without
+communication and however often they restart.
 """
 
 from collections import defaultdict
 from random import Random
 
-# Part of the allowed share that goes to the version all through the trial, and the part
-# that is never exceeded. What lies between is left for full load, shortly at the end.
+# Fraction of the allowed share that the canary gets throughout the rollout, and the
+# maximum fraction. The difference is reserved for the full share shortly before the
+# end.
 SAMPLED_PART = 0.5
-USED_PART = 0.9
-# Requests of a route that may be owed to the trial. While its endpoints start, nothing
-# can be sent there; what is owed by then must not come all at once.
-MOST_OWED = 2.0
+MAX_FRACTION = 0.9
+# Maximum number of deferred canary requests of a route. While its endpoints start,
+# nothing can be sent to them; what was deferred must not be sent all at once then.
+MAX_DEFERRED = 2.0
 
 
 class TrialAllowance:
-    """Counts one service's requests at one gateway, and says which may go on trial.
+    """Counts one service's requests at one gateway, and allows canary requests.
 
     Usage::
 
-        if allowance.may_try("r-lookups"):
+        if allowance.may_send_to_canary("r-lookups"):
             ...
-        allowance.note("r-lookups", on_trial=True)  # as it is sent
+        allowance.record("r-lookups", on_trial=True)  # when it is sent
 
-    :param share: part of all requests that the version may get.
-    :param rng: source of the roundings. A gateway sees a fraction of a request's share
-        at a time; rounded at random, the fractions of many add up to the share.
+    :param share: fraction of all requests that the canary may get.
+    :param rng: source of randomness for rounding. A gateway often sees only a fraction
+        of a request's worth of the share; with random rounding the fractions of many
+        gateways add up to it.
     """
 
     def __init__(self, share: float, rng: Random) -> None:
-        self._sampled = share * SAMPLED_PART
-        self._most = share * USED_PART
+        self._sampled_fraction = share * SAMPLED_PART
+        self._max_fraction = share * MAX_FRACTION
         self._rounding = rng.random()
-        self._owed: defaultdict[str, float] = defaultdict(rng.random)
+        self._deferred: defaultdict[str, float] = defaultdict(rng.random)
         self._sent = 0
         self._tried = 0
 
     @property
     def sent(self) -> int:
-        """Requests that were sent to the service."""
+        """Number of requests sent to the service."""
         return self._sent
 
     @property
     def tried(self) -> int:
-        """Requests among them that the version on trial got."""
+        """Number of these sent to the canary."""
         return self._tried
 
     def may_try(self, route: str, *, full: bool = False) -> bool:
-        """Return whether a route's next request may go to the version on trial.
+        """Return whether a route's next request may be sent to the canary.
 
-        :param full: whether the trial is at full load, where all that is left of the
-            share may be used at once.
+        :param full: whether the canary gets its full share, so that the rest of it may
+            be used at once.
         """
-        if self._tried + 1 > self._sent * self._most + self._rounding:
+        if self._tried + 1 > self._sent * self._max_fraction + self._rounding:
             return False
-        return full or self._owed[route] >= 1
+        return full or self._deferred[route] >= 1
 
     def note(self, route: str, *, on_trial: bool) -> None:
-        """Count a request as it is sent for the first time."""
+        """Count a request when it is first sent."""
         self._sent += 1
-        owed = min(self._owed[route] + self._sampled, MOST_OWED)
+        deferred = min(self._deferred[route] + self._sampled_fraction, MAX_DEFERRED)
         if on_trial:
             self._tried += 1
-            owed -= 1
-        self._owed[route] = owed
+            deferred -= 1
+        self._deferred[route] = deferred
--- a/src/sassafrasdale/decisions/rollouts.py
+++ b/src/sassafrasdale/decisions/rollouts.py
@@ -1,33 +1,35 @@
-"""What the holder of the duties does with a roll-out, and when.
+"""Steps of a rollout, and when the leader takes them.
 
-The times follow from the time that the operator gives a roll-out:
+The times follow from the duration that the operator sets for a rollout:
 
-- the new version gets a sample of the requests for most of it;
+- the canary version gets a sample of the requests for most of it;
 - shortly before the end it gets all that is left of its share at once, so that a
-  version that is bad only under load shows that while there is a way back;
-- then it is completed, early enough that a holder which is killed meanwhile, or a store
-  that is away for a moment, doesn't make it late.
+  version that fails only under load shows that while it can still be rolled back;
+- then the rollout is completed, early enough that a leader that is killed at that time,
+  or a store that is unavailable for a moment, does not delay it beyond the deadline.
 """
 
 from dataclasses import dataclass
 from datetime import timedelta
 from enum import StrEnum
 
-# Time before the deadline at which a roll-out is completed: this part of its time, and
-# no less than another gateway takes to become the holder.
-MARGIN_PART = 0.1
-LEAST_MARGIN = timedelta(seconds=2)
-# The margin of a roll-out that has less time than that.
-MOST_MARGIN_PART = 0.25
-# Time at full load, and time in which what came of it is known to the holder.
-FULL_PART = 0.04
-KNOWN_AFTER = timedelta(seconds=1.5)
-# Endpoints of the new version, as a part of those it replaces, that bear their load.
-ENOUGH_SHARE = 0.75
+# Time before the deadline at which a rollout is completed: this fraction of its
+# duration, and at least the time that another gateway takes to become the leader.
+MARGIN_FRACTION = 0.1
+MIN_MARGIN = timedelta(seconds=2)
+# Maximum margin of a short rollout, as a fraction of its duration.
+MAX_MARGIN_FRACTION = 0.25
+# Duration of the full share, as a fraction of the duration of the rollout, and the time
+# until its outcomes are known to the leader.
+FULL_SHARE_FRACTION = 0.04
+REPORT_DELAY = timedelta(seconds=1.5)
+# Minimum number of endpoints of the new version, as a fraction of those that it
+# replaces, that can carry their load.
+MIN_ENDPOINT_RATIO = 0.75
 
 
 class RolloutState(StrEnum):
-    """What an operator is told of a roll-out."""
+    """State of a rollout as reported to operators."""
 
     RUNNING = "running"
     COMPLETE = "complete"
@@ -38,7 +40,7 @@
 class RolloutOrder:
     """An operator's order to move a service to endpoints of another version.
 
-    :param target: that version.
+    :param target: the other version.
     :param duration: time from the order to its deadline.
     """
 
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutStatus:
-    """What the operator is told of an order."""
+    """Status of an order as reported to operators."""
 
     service: str
     target: str
@@ -57,7 +59,7 @@
 
 
 class Step(StrEnum):
-    """What is to be done with a roll-out next."""
+    """Next step of a rollout."""
 
     WAIT = "wait"
     START = "start"
@@ -68,16 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutView:
-    """A roll-out that is not over, as the holder sees it.
+    """State of an unfinished rollout as seen by the leader.
 
-    :param is_started: whether the operator was told that it runs.
-    :param in_force: whether the service had only endpoints of the target at the order.
-    :param is_condemned: whether the target was found to be bad.
-    :param is_suspect: whether what is known is enough to condemn it at the end.
+    :param duration: time from the order to its deadline.
+    :param is_started: whether the rollout was reported to the operator as running.
+    :param in_force: whether the service had only endpoints of the target at the time of
+        the order.
+    :param is_condemned: whether the target version was rejected.
+    :param is_suspect: whether the evidence suffices to reject it at the end.
     :param age: time since the order.
-    :param filled_for: time at full load; None before that.
-    :param targets: endpoints of the target that take requests.
-    :param others: those of other versions.
+    :param filled_for: time since the full share began; None before that.
+    :param targets: endpoints of the target version that take requests.
+    :param others: endpoints of other versions that take requests.
     """
 
     duration: timedelta
@@ -91,38 +95,38 @@
     others: int
 
     @property
-    def has_enough(self) -> bool:
-        """Whether the endpoints of the target can bear the service's load."""
-        return self.targets >= max(1, self.others * ENOUGH_SHARE)
+    def has_enough_endpoints(self) -> bool:
+        """Whether the target's endpoints can carry the service's load."""
+        return self.targets >= max(1, self.others * MIN_ENDPOINT_RATIO)
 
 
-def full_time(duration: timedelta) -> timedelta:
-    """Return how long a roll-out runs at full load."""
-    return duration * FULL_PART
+def full_share_duration(duration: timedelta) -> timedelta:
+    """Return how long a canary gets its full share."""
+    return duration * FULL_SHARE_FRACTION
 
 
 def complete_after(duration: timedelta) -> timedelta:
     """Return the time after an order at which it is completed."""
-    margin = max(duration * MARGIN_PART, LEAST_MARGIN)
-    return duration - min(margin, duration * MOST_MARGIN_PART)
+    margin = max(duration * MARGIN_FRACTION, MIN_MARGIN)
+    return duration - min(margin, duration * MAX_MARGIN_FRACTION)
 
 
-def fill_after(duration: timedelta) -> timedelta:
-    """Return the time after an order at which the full load begins."""
-    before = full_time(duration) + KNOWN_AFTER
+def full_share_after(duration: timedelta) -> timedelta:
+    """Return the time after an order at which the full share begins."""
+    before = full_share_duration(duration) + REPORT_DELAY
     return max(complete_after(duration) - before, duration / 2)
 
 
 def next_step(view: RolloutView) -> Step:
-    """Return what is to be done with a roll-out now."""
+    """Return the next step of a rollout."""
     if not view.is_started:
         return Step.COMPLETE if view.in_force else Step.START
     if view.is_condemned:
         return Step.ROLL_BACK
-    if not view.has_enough:
+    if not view.has_enough_endpoints:
         return Step.ROLL_BACK if view.age >= view.duration else Step.WAIT
     if view.filled_for is None:
-        return Step.FILL if view.age >= fill_after(view.duration) else Step.WAIT
-    if view.filled_for < full_time(view.duration) + KNOWN_AFTER:
+        return Step.FILL if view.age >= full_share_after(view.duration) else Step.WAIT
+    if view.filled_for < full_share_duration(view.duration) + REPORT_DELAY:
         return Step.WAIT
     return Step.ROLL_BACK if view.is_suspect else Step.COMPLETE
--- a/tests/decisions/test_canary.py
+++ b/tests/decisions/test_canary.py
@@ -1,4 +1,4 @@
-"""Whether a version on trial is told from the one in force."""
+"""Tests of the evaluation of canary versions."""
 
 from collections import Counter
 from datetime import timedelta
@@ -8,7 +8,7 @@
 
 from bench.canary.histories import draw
 from sassafrasdale.decisions.canary import (
-    MOST_BUCKETS,
+    MAX_BUCKETS,
     FixedThreshold,
     Outcomes,
     SequentialTest,
@@ -19,17 +19,17 @@
 
 DURATION = timedelta(seconds=20)
 REQUESTS = 3000
-# Bad answers after which nothing more may be sent, less those of the time that gateways
-# take to follow.
-MOST_BAD = 50
+# Maximum number of bad responses before rejection, without those sent while gateways
+# learn of it.
+MAX_BAD = 50
 RULE = SequentialTest()
 SECOND = timedelta(seconds=1)
 
 
-def found(sort, seed, rule=RULE):
-    """Return the bad answers until a version is condemned; None if it never is."""
+def bad_responses_until_rejection(kind, seed, rule=RULE):
+    """Return the bad responses until a version is rejected; None if it never is."""
     trial = Trial(rule)
-    for drawn in draw(sort, Random(f"{sort} {seed}"), REQUESTS, DURATION):
+    for drawn in draw(kind, Random(f"{kind} {seed}"), REQUESTS, DURATION):
         if trial.judge(drawn.rows, drawn.at).is_bad:
             return drawn.bad
     return drawn.bad if trial.judge(drawn.rows, DURATION, final=True).is_bad else None
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(
-    "sort",
+    "kind",
     [
         "fails 0.4",
         "fails 0.4 later",
@@ -51,41 +51,43 @@
         "four times slower, all answers",
     ],
 )
-def test_a_bad_version_is_found_before_it_has_harmed_many(sort):
-    """Callers would get the answers of a bad version until the deadline, and beyond."""
-    harmed = [found(sort, seed) for seed in range(6)]
-    assert None not in harmed
-    assert max(harmed) <= MOST_BAD
+def test_bad_version_is_rejected_after_few_bad_responses(kind):
+    """Guards against a bad version that serves callers until the deadline or later."""
+    bad_counts = [bad_responses_until_rejection(kind, seed) for seed in range(6)]
+    assert None not in bad_counts
+    assert max(bad_counts) <= MAX_BAD
 
 
-@pytest.mark.parametrize("sort", ["good", "good, all endpoints fail 0.05 for a while"])
-def test_a_good_version_is_not_condemned(sort):
-    assert [found(sort, seed) for seed in range(6)] == [None] * 6
+@pytest.mark.parametrize("kind", ["good", "good, all endpoints fail 0.05 for a while"])
+def test_good_version_is_not_rejected(kind):
+    assert [bad_responses_until_rejection(kind, seed) for seed in range(6)] == [
+        None
+    ] * 6
 
 
-def test_the_usual_failures_of_both_versions_condemn_none():
-    """A good version would be rolled back for a fault that all endpoints share."""
+def test_equal_failure_rates_reject_no_version():
+    """Guards against rolling back a good version for a fault of all endpoints."""
     trial = rows(_0=(60, 20), _1=(70, 22))
     assert not judge(trial, rows(_=(1500, 480)), RULE, final=True).is_bad
 
 
-def test_a_fault_of_one_endpoint_is_none_of_its_versions():
-    """A good version would be rolled back for one endpoint that fails."""
-    usual = rows(_=(1000, 10))
-    assert not judge(rows(_0=(20, 14), _1=(20, 0)), usual, RULE).is_bad
-    assert judge(rows(_0=(20, 7), _1=(20, 7)), usual, RULE).is_bad
+def test_fault_of_one_endpoint_does_not_reject_its_version():
+    """Guards against rolling back a good version for one endpoint that fails."""
+    baseline = rows(_=(1000, 10))
+    assert not judge(rows(_0=(20, 14), _1=(20, 0)), baseline, RULE).is_bad
+    assert judge(rows(_0=(20, 7), _1=(20, 7)), baseline, RULE).is_bad
 
 
-def test_an_endpoint_alone_is_judged_once_it_has_harmed_many():
-    """A bad version of which one endpoint runs would never be rolled back."""
-    usual = rows(_=(1000, 10))
-    assert not judge(rows(_0=(5, 9)), usual, RULE).is_bad
-    assert judge(rows(_0=(10, 18)), usual, RULE).is_bad
-    assert judge(rows(_0=(5, 9)), usual, RULE, final=True).is_bad
+def test_single_endpoint_is_judged_after_many_bad_responses():
+    """Guards against never rejecting a bad version that has a single endpoint."""
+    baseline = rows(_=(1000, 10))
+    assert not judge(rows(_0=(5, 9)), baseline, RULE).is_bad
+    assert judge(rows(_0=(10, 18)), baseline, RULE).is_bad
+    assert judge(rows(_0=(5, 9)), baseline, RULE, final=True).is_bad
 
 
-def test_what_was_good_for_long_does_not_hide_what_is_bad_now():
-    """A version that turns bad late would be completed."""
+def test_earlier_good_responses_do_not_hide_recent_bad_ones():
+    """Guards against completing the rollout of a version that becomes bad late."""
     trial = Trial(RULE)
     good = {
         ("0", "r"): Outcomes(300),
@@ -99,32 +101,32 @@
     assert trial.judge(bad, 10 * SECOND).is_bad
 
 
-def test_few_answers_condemn_at_the_end_only():
-    usual = rows(_=(1000, 10))
+def test_few_responses_reject_only_at_the_end():
+    baseline = rows(_=(1000, 10))
     few = rows(_0=(1, 1), _1=(1, 1))
-    assert not judge(few, usual, RULE).is_bad
-    assert judge(few, usual, RULE, final=True).is_bad
+    assert not judge(few, baseline, RULE).is_bad
+    assert judge(few, baseline, RULE, final=True).is_bad
 
 
-def test_nothing_answered_says_nothing():
+def test_no_responses_reject_no_version():
     assert not judge({}, {}, RULE, final=True).is_bad
     assert not judge(rows(_0=(0, 0)), {}, RULE, final=True).is_bad
 
 
-def test_a_fixed_threshold_waits_for_its_number():
-    usual = rows(_=(1000, 10))
+def test_fixed_threshold_needs_its_minimum_of_responses():
+    baseline = rows(_=(1000, 10))
     rule = FixedThreshold()
-    assert not judge(rows(_0=(9, 5), _1=(0, 5)), usual, rule).is_bad
-    assert judge(rows(_0=(6, 10), _1=(6, 10)), usual, rule).is_bad
+    assert not judge(rows(_0=(9, 5), _1=(0, 5)), baseline, rule).is_bad
+    assert judge(rows(_0=(6, 10), _1=(6, 10)), baseline, rule).is_bad
 
 
-def test_counts_that_were_forgotten_are_not_counted_back():
-    """A gateway that is gone takes its counts with it."""
+def test_lost_counts_do_not_give_negative_differences():
+    """The counts of a gateway that is gone are lost."""
     now = Outcomes(5, 1, Counter({3: 2}))
     assert now.since(Outcomes(9, 0, Counter({3: 4}))) == Outcomes(0, 1, Counter())
 
 
-def test_times_fall_into_buckets():
+def test_bucket_of_a_response_time():
     assert bucket_of(timedelta()) == 1
     assert bucket_of(timedelta(milliseconds=2)) == 2
-    assert bucket_of(timedelta(hours=9)) == MOST_BUCKETS
+    assert bucket_of(timedelta(hours=9)) == MAX_BUCKETS
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -1,4 +1,4 @@
-"""The share of requests that a version on trial may get."""
+"""Tests of the limit on the requests that a canary version may get."""
 
 from random import Random
 
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from sassafrasdale.decisions.exposure import (
+    MAX_FRACTION,
     SAMPLED_PART,
-    USED_PART,
     TrialAllowance,
 )
 
@@ -21,10 +21,10 @@
         allowance.note(route, on_trial=allowance.may_try(route, full=full))
 
 
-def test_gateways_that_hear_nothing_of_each_other_keep_the_share_together():
-    """A version would get too much where each gateway rounds its part up.
+def test_gateways_without_contact_keep_the_share_together():
+    """Guards against exceeding the share since each gateway rounds its part up.
 
-    Seventy gateways see a few requests each, and half of them start anew midway.
+    Seventy gateways see a few requests each, and half of them restart midway.
     """
     rng = Random(1)
     allowances = [TrialAllowance(SHARE, rng) for _ in range(105)]
@@ -36,16 +36,16 @@
 
 
 @given(st.integers(0, 2**32), st.lists(st.tuples(st.booleans(), st.integers(1, 300))))
-def test_the_share_is_never_exceeded_by_more_than_a_request(seed, parts):
+def test_share_is_never_exceeded_by_more_than_a_request(seed, parts):
     rng = Random(seed)
     allowance = TrialAllowance(SHARE, rng)
     for full, requests in parts:
         play(allowance, rng, requests, full=full)
-        assert allowance.tried <= allowance.sent * SHARE * USED_PART + 1
+        assert allowance.tried <= allowance.sent * SHARE * MAX_FRACTION + 1
 
 
-def test_a_rare_route_is_in_the_sample():
-    """A version that is bad on one route only would pass, were that route left out."""
+def test_rare_route_is_sampled():
+    """Guards against a version that fails only on a route that is never sampled."""
     rng = Random(2)
     allowance = TrialAllowance(SHARE, rng)
     tried = 0
@@ -57,7 +57,7 @@
     assert tried > 0
 
 
-def test_full_load_uses_what_is_left_of_the_share():
+def test_full_share_uses_the_rest_of_the_share():
     rng = Random(3)
     allowance = TrialAllowance(SHARE, rng)
     play(allowance, rng, 2000)
@@ -66,8 +66,8 @@
     assert allowance.tried - before > 50
 
 
-def test_what_is_owed_while_nothing_can_be_sent_does_not_come_all_at_once():
-    """The few endpoints of the sample would be overrun as they start."""
+def test_deferred_requests_are_not_sent_all_at_once():
+    """Guards against overloading the few endpoints of the canary as they start."""
     allowance = TrialAllowance(SHARE, Random(4))
     for _ in range(2000):
         allowance.note("r-reports", on_trial=False)
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from the endpoints."""
+"""Tests of the quarantine of crashing requests."""
 
 from random import Random
 
@@ -35,21 +35,21 @@
     return [strike(name, end, **fields) for end in ends]
 
 
-def test_a_request_is_kept_back_once_three_endpoints_have_ended_under_it():
+def test_request_is_quarantined_after_three_crashes():
     ledger = ledger_of(*strikes_of("crashing", range(2)))
     assert ledger.quarantined == set()
     ledger.take(strike("crashing", 2, witness="g-2"))
     assert ledger.quarantined == {"crashing"}
 
 
-def test_one_end_seen_by_several_gateways_counts_once():
-    """Guards against a request refused for one crash under three attempts of it."""
+def test_crash_observed_by_several_gateways_counts_once():
+    """Guards against quarantine for one crash during three attempts."""
     seen = [strike("twin", 1, witness=f"g-{n}", at=n / 100) for n in range(5)]
     assert ledger_of(*seen).quarantined == set()
 
 
-def test_an_endpoint_that_ends_again_under_its_name_counts_again():
-    """Guards against ends that look like one where the list can't be read."""
+def test_later_crash_of_the_same_endpoint_counts_again():
+    """Guards against merging separate crashes if the endpoint list can't be read."""
     found = [strike("crashing", 1, at=second) for second in range(MOST_ENDS)]
     assert ledger_of(*found).quarantined == {"crashing"}
 
@@ -62,36 +62,36 @@
     assert not ledger.clear("hot")
 
 
-def test_a_cleared_strike_that_is_told_again_stays_cleared():
-    """Guards against an old strike brought back by a gateway that was cut off."""
+def test_cleared_strike_stays_cleared_when_reported_again():
+    """Guards against an old strike that a partitioned gateway reports again."""
     ledger = ledger_of(*strikes_of("hot", range(3)))
     ledger.clear("hot")
     assert not ledger.take(strike("hot", 1))
     assert ledger.quarantined == set()
 
 
-def test_a_stream_beside_each_crash_is_not_kept_back():
-    """Guards against the refusal of a stream that met a crashing request thrice."""
+def test_stream_in_flight_at_each_crash_is_not_quarantined():
+    """Guards against quarantine of a stream that met a crashing request three times."""
     beside = strikes_of("beside", range(3), begun=True)
     assert ledger_of(*beside).quarantined == {"beside"}
     ledger = ledger_of(*beside, *strikes_of("crashing", range(3)))
     assert ledger.quarantined == {"crashing"}
 
 
-def test_crashes_that_another_request_doesnt_explain_still_count():
+def test_crashes_not_explained_by_another_request_count():
     both = strikes_of("late", range(6), begun=True)
     ledger = ledger_of(*both, *strikes_of("crashing", range(3)))
     assert ledger.quarantined == {"crashing", "late"}
 
 
-def test_requests_that_are_equally_suspect_are_all_kept_back():
-    """Guards against a crashing request that goes free for another one beside it."""
+def test_equally_suspect_requests_are_all_quarantined():
+    """Guards against a crashing request that another one in flight exonerates."""
     ledger = ledger_of(*strikes_of("a", range(3)), *strikes_of("b", range(3)))
     assert ledger.quarantined == {"a", "b"}
 
 
-def test_what_two_attempts_show_of_one_end_counts_in_any_order():
-    """Guards against a verdict that hangs on which of two strikes came first."""
+def test_strikes_of_one_crash_count_in_any_order():
+    """Guards against a result that depends on the order of two strikes."""
     beside = strikes_of("beside", range(3))
     beside += strikes_of("beside", range(3), begun=True)
     crashing = strikes_of("crashing", range(3))
@@ -100,15 +100,15 @@
         assert ledger.quarantined == {"crashing"}
 
 
-def test_an_attempt_that_nothing_came_of_stops_after_two_endpoints():
-    """Guards against one attempt that takes as many endpoints as its route allows."""
+def test_attempt_without_output_stops_after_two_crashes():
+    """Guards against one attempt that crashes as many endpoints as it may try."""
     ledger = ledger_of(strike("crashing", 0))
     assert ledger.may_send_again("crashing")
     ledger.take(strike("crashing", 1))
     assert not ledger.may_send_again("crashing")
 
 
-def test_a_stream_that_had_begun_goes_on_after_two_endpoints():
+def test_stream_with_output_continues_after_two_crashes():
     ledger = ledger_of(*strikes_of("beside", range(2), begun=True))
     assert ledger.may_send_again("beside")
 
@@ -126,7 +126,7 @@
 
 
 @given(FACTS, st.randoms(use_true_random=False))
-def test_gateways_that_hear_the_same_in_any_order_agree(facts, rng):
+def test_gateways_with_the_same_strikes_in_any_order_agree(facts, rng):
     """Guards against one gateway that refuses what another one sends."""
 
     def play(order: list) -> StrikeLedger:
@@ -145,7 +145,7 @@
         }
 
 
-def test_what_has_changed_since_a_version_is_told_in_order():
+def test_changes_since_a_version_are_returned_in_order():
     ledger = ledger_of(*strikes_of("a", range(3)))
     version = ledger.version
     ledger.take(strike("b", 1))
@@ -156,8 +156,8 @@
     assert ledger.since(ledger.version, 10) == []
 
 
-def test_ever_new_crashing_requests_leave_the_ledger_bounded():
-    """Guards against memory that a caller of ever new crashing requests fills."""
+def test_ledger_is_bounded_with_ever_new_crashing_requests():
+    """Guards against memory exhaustion by ever new crashing requests."""
     ledger = StrikeLedger(most=100)
     for each in strikes_of("crashing", range(3)):
         ledger.take(each)
@@ -167,7 +167,7 @@
     assert ledger.quarantined == {"crashing"}
 
 
-def test_cleared_strikes_are_dropped_first():
+def test_cleared_strikes_are_evicted_first():
     ledger = StrikeLedger(most=10)
     for number in range(5):
         ledger.take(strike(f"old-{number}", number))
@@ -188,7 +188,7 @@
         (2, 1000 * MINUTE, True, False),
     ],
 )
-def test_when_a_refused_request_is_tried_again(made, waited, has_new, due):
+def test_trial_of_a_quarantined_request(made, waited, has_new, due):
     assert trial_is_due(made, 100.0, 100.0 + waited, has_new=has_new) is due
 
 
@@ -201,23 +201,24 @@
         ({}, False, set()),
     ],
 )
-def test_a_trial_goes_to_new_versions_while_there_are_some(versions, has_new, avoided):
-    """Guards against a trial that ends one more endpoint of a version it has met."""
+def test_trial_uses_new_versions_if_there_are_any(versions, has_new, avoided):
+    """Guards against a trial that crashes another endpoint of a known bad version."""
     scope = trial_scope({"v1"}, versions)
     assert scope.has_new is has_new
     assert scope.avoided == avoided
 
 
-CRASH_PAUSE = 2
+CRASH_INTERVAL = 2
 ENDPOINTS = 12
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_innocents_on_a_day_of_crashes_are_not_kept_back(seed):
-    """Guards against refusals of innocents where endpoints crash for other reasons.
+def test_innocent_requests_are_not_quarantined_with_frequent_crashes(seed):
+    """Guards against quarantine of innocent requests.
 
-    One of twelve endpoints crashes each two seconds. Streams of two to ten seconds run
-    there; what a crash cuts short goes on at another endpoint.
+    One of twelve endpoints crashes every two seconds, for other reasons. Streams of two
+    to ten seconds run there; a stream that a crash interrupts continues on another
+    endpoint.
     """
     rng = Random(seed)
     ledger = StrikeLedger()
@@ -233,7 +234,7 @@
             if not run[1]:
                 del running[name]
                 ledger.clear(name)
-        if second % CRASH_PAUSE:
+        if second % CRASH_INTERVAL:
             continue
         crashed = rng.randrange(ENDPOINTS)
         for name, run in list(running.items()):
--- a/tests/decisions/test_rollouts.py
+++ b/tests/decisions/test_rollouts.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties does with a roll-out, and when."""
+"""Tests of the steps of a rollout."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -6,12 +6,12 @@
 import pytest
 
 from sassafrasdale.decisions.rollouts import (
-    KNOWN_AFTER,
+    REPORT_DELAY,
     RolloutView,
     Step,
     complete_after,
-    fill_after,
-    full_time,
+    full_share_after,
+    full_share_duration,
     next_step,
 )
 
@@ -34,54 +34,54 @@
     return next_step(replace(view, **changed))
 
 
-def test_an_order_is_told_to_run_before_anything_else():
+def test_order_is_reported_as_running_first():
     assert step(is_started=False) is Step.START
     assert step(is_started=False, is_condemned=True) is Step.START
 
 
-def test_a_version_that_is_in_force_is_complete_at_once():
-    """The service's only endpoints would get no requests until the deadline."""
+def test_deployed_version_is_complete_immediately():
+    """Guards against no requests to the service's only endpoints until the deadline."""
     assert step(is_started=False, in_force=True) is Step.COMPLETE
 
 
-def test_a_bad_version_is_rolled_back_whenever_it_is_found():
+def test_rejected_version_is_rolled_back_at_any_time():
     assert step(is_condemned=True) is Step.ROLL_BACK
     assert step(LATE, is_condemned=True) is Step.ROLL_BACK
 
 
-def test_a_good_version_is_tried_at_full_load_and_then_completed():
-    age = fill_after(VIEW.duration)
+def test_good_version_gets_its_full_share_and_is_completed():
+    age = full_share_after(VIEW.duration)
     assert step(age=age - SECOND) is Step.WAIT
     assert step(age=age) is Step.FILL
     assert step(age=age + SECOND, filled_for=SECOND) is Step.WAIT
-    known = full_time(VIEW.duration) + KNOWN_AFTER
+    known = full_share_duration(VIEW.duration) + REPORT_DELAY
     assert step(age=age + known, filled_for=known) is Step.COMPLETE
 
 
-def test_a_suspect_version_is_not_completed():
-    """What few answers say against it would come true for all callers."""
+def test_suspect_version_is_not_completed():
+    """Guards against a bad version for all callers despite evidence from a few."""
     assert step(LATE, is_suspect=True) is Step.ROLL_BACK
     assert step(is_suspect=True) is Step.WAIT
 
 
-def test_endpoints_that_are_too_few_are_waited_for_until_the_deadline():
-    """The old endpoints stop at once: what is left must bear all of the load."""
+def test_waits_for_enough_endpoints_until_the_deadline():
+    """The old endpoints stop immediately, so the others must carry the whole load."""
     assert step(LATE, targets=7) is Step.WAIT
     assert step(LATE, targets=7, age=30 * SECOND) is Step.ROLL_BACK
     assert step(LATE, targets=8) is Step.COMPLETE
 
 
-def test_a_version_that_never_appears_is_rolled_back_at_the_deadline():
+def test_version_without_endpoints_is_rolled_back_at_the_deadline():
     assert step(targets=0, others=0) is Step.WAIT
     assert step(targets=0, others=0, age=30 * SECOND) is Step.ROLL_BACK
 
 
 @pytest.mark.parametrize("seconds", [2, 6, 12, 20, 30, 120])
 def test_there_is_time_left_before_the_deadline(seconds):
-    """A holder that is killed as it completes would make a good version late."""
+    """Guards against a good version that is late since a leader was killed."""
     duration = seconds * SECOND
     assert complete_after(duration) <= duration * 0.92
-    assert fill_after(duration) >= duration / 2
-    done = fill_after(duration) + full_time(duration) + KNOWN_AFTER
+    assert full_share_after(duration) >= duration / 2
+    done = full_share_after(duration) + full_share_duration(duration) + REPORT_DELAY
     if seconds >= 12:
         assert done <= complete_after(duration)
