--- a/src/sassafrasdale/decisions/__init__.py
+++ b/src/sassafrasdale/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure policy: no input or output and no clock of its own."""
+"""Decision functions: pure policy without input or output or a clock of its own."""
--- a/src/sassafrasdale/decisions/news.py
+++ b/src/sassafrasdale/decisions/news.py
@@ -1,15 +1,15 @@
-"""What old news of the other gateways' loads still says.
-
-Pattern of load: eight gateways send forty prompts a second to three to ten engines and
-tell each other their loads every 0.4 s. An engine reads 40,000 tokens in that time, so
-most of what a peer had queued is read when it is looked at; and all gateways see the
-same engine as the emptiest, and send it what comes until the next news.
-
-So what was told is taken to be read since, and choices are spread over the endpoints
-that differ by no more than what the others have sent there unseen. In the model of
-engines (``bench/placement``, six seeds, a burst of 1.3 times the usual load) 2.0 of 100
-reports are late on three engines; 3.9 without the first, 2.3 without the second. On
-five engines it is 0.3, 0.6 and 1.0.
+"""Estimates from old load reports of other gateways.
+
+Workload: eight gateways send forty prompts a second to three to ten engines and report
+their loads to each other every 0.4 s. An engine processes 40,000 tokens in that time,
+so most of what a peer had queued is done when the report is used; and all gateways see
+the same engine as the least loaded and send to it until the next report.
+
+Reported tokens are therefore assumed to be processed since, and requests are
+distributed over the endpoints whose difference is less than what the others have sent
+there unreported. In the model of engines (``bench/placement``, six seeds, a burst of
+1.3 times the usual load) 2.0 of 100 reports are late on three engines; 3.9 without the
+first measure, 2.3 without the second. On five engines it is 0.3, 0.6 and 1.0.
 """
 
 from dataclasses import dataclass
@@ -18,10 +18,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ToldLoad:
-    """What the other gateways have under way at an endpoint, by their last word.
+    """Load of the other gateways on an endpoint, as last reported.
 
-    :param unread_tokens: prompt tokens that it had yet to read for them.
-    :param age: time since they told it, on average by tokens.
+    :param in_flight: their requests in flight.
+    :param prefill_tokens: prompt tokens that it had yet to process for them.
+    :param age: time since they were reported, averaged by tokens.
     """
 
     in_flight: int
@@ -32,19 +33,20 @@
 NO_LOAD = ToldLoad(0, 0)
 
 
-def still_unread(told: ToldLoad, token_time: timedelta) -> float:
-    """Return the tokens that an engine has most likely yet to read.
+def still_unread(reported: ToldLoad, token_time: timedelta) -> float:
+    """Return the estimated tokens that an engine has yet to process.
 
-    :param token_time: time that it takes for a token.
+    :param reported: the load as reported.
+    :param token_time: prefill time per token.
     """
-    return max(told.unread_tokens - told.age / token_time, 0.0)
+    return max(reported.unread_tokens - reported.age / token_time, 0.0)
 
 
 def unseen_work(work: float, age: timedelta, endpoints: int) -> timedelta:
-    """Return the time of an endpoint that requests took since the last news.
+    """Return the work that an endpoint has got since the last report, as time.
 
-    :param work: endpoint time that the other gateways' requests take a second.
-    :param age: mean age of the news.
-    :param endpoints: endpoints that they are spread over.
+    :param work: endpoint time per second that the other gateways' requests take.
+    :param age: mean age of the reports.
+    :param endpoints: number of endpoints that share the work.
     """
     return age * (work / max(endpoints, 1))
--- a/src/sassafrasdale/decisions/paces.py
+++ b/src/sassafrasdale/decisions/paces.py
@@ -1,73 +1,75 @@
-"""How much slower an engine is than the fastest of its service.
+"""Speed of each engine relative to the fastest of its service.
 
-Pattern of load: prompts of 50,000 tokens with an objective that the fastest engines
-just meet, on engines of which a third take 1.3 times as long for everything. A step's
-time shows in the pauses between the events of any long stream, so a few streams tell
-an engine's pace. Prompts ahead of a stream lengthen some pauses, so a low one of each
-stream counts, and the least of several streams. In the model of engines
-(``bench/placement``, six seeds, a burst of 1.3 times the usual load) 3.3 of 100 reports
-are late on three engines without the paces, and 2.0 with them.
+Workload: prompts of 50,000 tokens with an objective that the fastest engines just meet,
+on engines of which a third take 1.3 times as long for everything. The step time of an
+engine shows in the gaps between the events of any long stream, so a few streams suffice
+to estimate it. Prompts ahead of a stream lengthen some gaps, so a low quantile of the
+gaps of each stream is used, and a low quantile over several streams. In the model of
+engines (``bench/placement``, six seeds, a burst of 1.3 times the usual load) 3.3 of 100
+reports are late on three engines without these estimates, and 2.0 with them.
 """
 
 from collections import deque
 from collections.abc import Collection, Mapping, Sequence
 from datetime import timedelta
 
-# Pauses that a stream needs before it tells anything.
-LEAST_PAUSES = 8
-# Of each stream the pause below which a quarter lie: events that arrive together make
-# the very shortest ones meaningless.
-QUANTILE = 0.25
-# Streams of an engine that its pace rests on, and the least of them.
-KEPT = 12
-LEAST_STREAMS = 3
-# An engine that seems slower than this is in trouble, which its health tells better.
-MOST_SLOWER = 2.0
+# Minimum number of gaps of a stream for an estimate.
+MIN_GAPS = 8
+# Quantile of the gaps of each stream: events that arrive together make the shortest
+# gaps meaningless.
+GAP_QUANTILE = 0.25
+# Number of streams that the estimate of an engine is based on, and their minimum.
+KEPT_STREAMS = 12
+MIN_STREAMS = 3
+# An engine that seems slower than this has a fault, which its health shows better.
+MAX_SLOWNESS = 2.0
 
 
-def low_pause(pauses: Sequence[timedelta]) -> timedelta | None:
-    """Return a low one of the pauses between a stream's events; None for too few."""
-    if len(pauses) < LEAST_PAUSES:
+def low_pause(gaps: Sequence[timedelta]) -> timedelta | None:
+    """Return a low quantile of a stream's gaps between events; None for too few."""
+    if len(gaps) < MIN_GAPS:
         return None
-    return sorted(pauses)[int(len(pauses) * QUANTILE)]
+    return sorted(gaps)[int(len(gaps) * GAP_QUANTILE)]
 
 
 class EnginePaces:
-    """Paces of engines, as one gateway sees them."""
+    """Step times of engines, as estimated by one gateway."""
 
     def __init__(self) -> None:
-        self._pauses: dict[str, deque[timedelta]] = {}
-        self._paces: dict[str, timedelta] = {}
+        self._low_gaps: dict[str, deque[timedelta]] = {}
+        self._step_times: dict[str, timedelta] = {}
 
-    def observe(self, engine: str, pauses: Sequence[timedelta]) -> None:
-        """Note the pauses between the events of a stream that ended whole."""
-        low = low_pause(pauses)
-        if low is not None:
-            self.observe_low(engine, low)
+    def observe(self, engine: str, gaps: Sequence[timedelta]) -> None:
+        """Record the gaps between the events of a completed stream."""
+        gap = low_pause(gaps)
+        if gap is not None:
+            self.observe_low(engine, gap)
 
-    def observe_low(self, engine: str, low: timedelta) -> None:
-        """Note a stream by its low pause."""
-        kept = self._pauses.setdefault(engine, deque(maxlen=KEPT))
-        kept.append(low)
-        if len(kept) >= LEAST_STREAMS:
-            self._paces[engine] = sorted(kept)[int(len(kept) * QUANTILE)]
+    def observe_low(self, engine: str, gap: timedelta) -> None:
+        """Record a stream by the low quantile of its gaps."""
+        kept = self._low_gaps.setdefault(engine, deque(maxlen=KEPT_STREAMS))
+        kept.append(gap)
+        if len(kept) >= MIN_STREAMS:
+            self._step_times[engine] = sorted(kept)[int(len(kept) * GAP_QUANTILE)]
 
     def forget(self, engine: str) -> None:
-        """Drop what is known of an engine that is gone."""
-        self._pauses.pop(engine, None)
-        self._paces.pop(engine, None)
+        """Remove an engine that is gone."""
+        self._low_gaps.pop(engine, None)
+        self._step_times.pop(engine, None)
 
     def slowness(self, engines: Collection[str]) -> Mapping[str, float]:
-        """Return how many times as long each engine takes as the fastest of them.
+        """Return the step time of each engine as a multiple of the fastest one's.
 
-        :returns: from 1 to :data:`MOST_SLOWER`; unknown engines are left out.
+        :returns: from 1 to :data:`MAX_SLOWNESS`; engines without an estimate are
+            omitted.
         """
         known = {
-            engine: pace
+            engine: step_time
             for engine in engines
-            if (pace := self._paces.get(engine)) and pace > timedelta()
+            if (step_time := self._step_times.get(engine)) and step_time > timedelta()
         }
         fastest = min(known.values(), default=timedelta())
         return {
-            engine: min(pace / fastest, MOST_SLOWER) for engine, pace in known.items()
+            engine: min(step_time / fastest, MAX_SLOWNESS)
+            for engine, step_time in known.items()
         }
--- a/src/sassafrasdale/decisions/reclaims.py
+++ b/src/sassafrasdale/decisions/reclaims.py
@@ -1,4 +1,4 @@
-"""What is done with the streams of an endpoint that is about to leave."""
+"""Plan for the streams of an endpoint that is being reclaimed."""
 
 from collections.abc import Callable, Iterable, Sequence
 from datetime import timedelta
@@ -14,7 +14,7 @@
 )
 
 TargetChooser = Callable[[StreamView], StreamTarget | None]
-"""Names the endpoint that would go on with a stream, or None."""
+"""Returns the endpoint that would continue a stream, or None."""
 
 
 def plan_stream(
@@ -24,13 +24,13 @@
     policy: ReclaimPolicy,
     link_busy: timedelta = timedelta(),
 ) -> StreamPlan:
-    """Return what to do with one stream.
+    """Return the plan for one stream.
 
     :param stream: the stream.
-    :param notice: time until the endpoint leaves.
-    :param target: endpoint that would go on with it; None if there is none.
+    :param notice: time until the reclaim.
+    :param target: endpoint that would continue the stream; None if there is none.
     :param policy: constants.
-    :param link_busy: time that the endpoint's link is taken by earlier moves.
+    :param link_busy: time that earlier transfers occupy the endpoint's link.
     """
     usable = notice - policy.margin
     if stream.remaining_tokens * stream.token_delay <= usable:
@@ -50,17 +50,17 @@
     policy: ReclaimPolicy,
     link_share: float = 1.0,
 ) -> dict[str, StreamPlan]:
-    """Return what to do with each stream of one endpoint, by request id.
+    """Return the plan for each stream of one endpoint, by request id.
 
-    Moves go over the endpoint's link one after the other; the longest contexts
-    go first, since they save the most tokens.
+    Transfers share the endpoint's link one after the other; the longest contexts go
+    first, since they save the most tokens.
 
     :param streams: this entry's streams on the endpoint.
-    :param notice: time until it leaves.
-    :param choose_target: names the endpoint to go on with a stream.
+    :param notice: time until the reclaim.
+    :param choose_target: returns the endpoint to continue a stream.
     :param policy: constants.
-    :param link_share: this entry's part of the requests on the endpoint, and so
-        of its link; the other entries move theirs at the same time.
+    :param link_share: this entry's fraction of the requests on the endpoint, and so of
+        its link; the other entries move theirs at the same time.
     """
     plans: dict[str, StreamPlan] = {}
     link_busy = timedelta()
@@ -74,12 +74,12 @@
 
 
 def move_time(stream: StreamView, policy: ReclaimPolicy) -> timedelta:
-    """Return the time to move a stream's cache to another endpoint."""
+    """Return the time to transfer a stream's cache to another endpoint."""
     return policy.move_setup + timedelta(
         seconds=stream.context_tokens / policy.move_rate
     )
 
 
 def recomputed_tokens(plans: Sequence[StreamPlan]) -> int:
-    """Return the tokens that ``plans`` have computed again."""
+    """Return the number of tokens that ``plans`` recompute."""
     return sum(plan.tokens for plan in plans if isinstance(plan, Recompute))
--- a/src/sassafrasdale/decisions/speeds.py
+++ b/src/sassafrasdale/decisions/speeds.py
@@ -1,72 +1,74 @@
-"""How long engines take to read a prompt token, learned from first tokens."""
+"""Prefill time per prompt token, estimated from the times to the first token."""
 
 from collections import deque
 from collections.abc import Iterable
 from datetime import timedelta
 
-# Until something is learned: an engine reads some 70 tokens in a millisecond.
+# Initial estimate: an engine processes some 70 tokens per millisecond.
 FIRST_GUESS = timedelta(microseconds=15)
-# No engine reads more than a thousand tokens in a millisecond. What seems faster was an
-# answer of another kind, and what is queued is divided by this time.
+# Lower bound of the estimate, by which queued work is divided. No engine processes more
+# than a thousand tokens per millisecond; what seems faster was another kind of
+# response.
 FASTEST = timedelta(microseconds=1)
-# Prompts up to this length show the time that every request takes besides: the way
-# there and back, and the few steps until an engine hands out a first event.
+# Prompts up to this length show the overhead of every request: the network round trip,
+# and the few steps until an engine sends a first event.
 SHORT_TOKENS = 1000
-# Prompts from this length on show how fast an engine reads.
-LONG_TOKENS = 2000
-# First tokens of each kind that the estimate rests on.
-KEPT = 60
-# A request that met no others in the engine shows its speed; one in ten does even
-# where engines are busy.
-QUANTILE = 0.1
+# Prompts from this length on show the prefill speed of an engine.
+MIN_LONG_PROMPT = 2000
+# Number of observations of each kind that the estimate is based on.
+KEPT_OBSERVATIONS = 60
+# Quantile of the observations: only a request that ran alone shows the speed of an
+# engine, and one in ten does even if engines are busy.
+LOW_QUANTILE = 0.1
 LEAST_OBSERVATIONS = 8
-# Where all engines are busy, all first tokens wait for others. The estimate doesn't
-# follow them beyond this multiple of the best that was ever seen: it would call the
-# engines slow where they are too few.
-MOST_SLOWER = 1.2
+# If all engines are busy, all first tokens wait for other requests. The estimate is
+# bounded by this multiple of the lowest one so far: otherwise engines would seem slow
+# when there are too few of them.
+MAX_SLOWNESS = 1.2
 
 
 class ReadingSpeed:
-    """Estimate of one service's time for a prompt token."""
+    """Estimated prefill time per token of one service."""
 
     def __init__(self) -> None:
-        self._short: deque[timedelta] = deque(maxlen=KEPT)
-        self._long: deque[tuple[int, timedelta]] = deque(maxlen=KEPT)
+        self._short: deque[timedelta] = deque(maxlen=KEPT_OBSERVATIONS)
+        self._long: deque[tuple[int, timedelta]] = deque(maxlen=KEPT_OBSERVATIONS)
         self._token_time = FIRST_GUESS
         self._best = timedelta.max
 
     @property
     def is_known(self) -> bool:
-        """Whether enough was seen to tell."""
+        """Whether there were enough observations for an estimate."""
         return self._best < timedelta.max
 
     @property
     def token_time(self) -> timedelta:
-        """Time that an engine takes for a prompt token."""
+        """Prefill time per token."""
         return self._token_time
 
     def observe(self, unread_tokens: int, took: timedelta) -> None:
-        """Note the time to the first token of a request.
+        """Record the time to the first token of a request.
 
-        :param unread_tokens: prompt tokens that the engine had to read.
+        :param unread_tokens: prompt tokens that the engine had to process.
+        :param took: time to the first token.
         """
         if unread_tokens <= SHORT_TOKENS:
             self._short.append(took)
-        elif unread_tokens >= LONG_TOKENS:
+        elif unread_tokens >= MIN_LONG_PROMPT:
             self._long.append((unread_tokens, took))
             self._estimate()
 
     def _estimate(self) -> None:
         if min(len(self._long), len(self._short)) < LEAST_OBSERVATIONS:
             return
-        besides = _low(self._short)
-        usual = _low(
-            max(took - besides, took / 2) / tokens for tokens, took in self._long
+        overhead = _low_quantile(self._short)
+        estimate = _low_quantile(
+            max(took - overhead, took / 2) / tokens for tokens, took in self._long
         )
-        self._best = max(min(self._best, usual), FASTEST)
-        self._token_time = max(min(usual, self._best * MOST_SLOWER), FASTEST)
+        self._best = max(min(self._best, estimate), FASTEST)
+        self._token_time = max(min(estimate, self._best * MAX_SLOWNESS), FASTEST)
 
 
-def _low(times: Iterable[timedelta]) -> timedelta:
+def _low_quantile(times: Iterable[timedelta]) -> timedelta:
     ordered = sorted(times)
-    return ordered[int(len(ordered) * QUANTILE)]
+    return ordered[int(len(ordered) * LOW_QUANTILE)]
--- a/src/sassafrasdale/decisions/turns.py
+++ b/src/sassafrasdale/decisions/turns.py
@@ -1,11 +1,12 @@
-"""Which gateway asks the platform's store next, where they do so by turns.
-
-A watch that is sent into a silence of the store is never answered, and nothing on its
-connection tells that from a quiet store. A silence of a tenth of a second can swallow
-the watches of all gateways: one change wakes them all, so they ask in step. Only a
-question whose answer is due at once shows that a change was missed. Asked by each
-gateway, that costs a call a gateway each half second; by turns, it costs as much for
-two hundred as for one, and the one that finds a change tells the others.
+"""Round-robin polling of the platform's store by the gateways.
+
+A watch that is sent while the store is unresponsive is never answered, and its
+connection looks the same as one to a store without changes. A tenth of a second of
+unresponsiveness can lose the watches of all gateways: one change triggers all of them,
+so they send new ones at the same time. Only a request with an immediate response shows
+that a change was missed. If each gateway polled, that would cost one call per gateway
+every half second; with round-robin polling, two hundred gateways cost as much as one,
+and the gateway that finds a change notifies the others.
 """
 
 from collections.abc import Mapping
@@ -15,30 +16,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """A gateway's place among those that ask by turns.
+    """Position of a gateway in the polling order.
 
-    :param index: its place, from 0.
-    :param count: how many they are.
+    :param index: its position, from 0.
+    :param count: number of gateways that poll.
     """
 
     index: int
     count: int
 
     def time_until(self, now: float, step: timedelta) -> timedelta:
-        """Return the time until this turn comes next.
+        """Return the time until this gateway's next poll.
 
         :param now: seconds since 1970, nearly the same at all gateways.
-        :param step: time between two gateways' turns.
+        :param step: time between the polls of two gateways.
         """
         length = step.total_seconds()
         return timedelta(seconds=(self.index * length - now) % (self.count * length))
 
 
 def turn_of(zone: str, place: int, counts: Mapping[str, int]) -> Turn:
-    """Return a gateway's turn.
+    """Return the poll slot of a gateway.
 
-    :param place: its place among the gateways of its zone that ask, from 0.
-    :param counts: gateways that ask in each zone that is in touch, its own too.
+    :param zone: its availability zone.
+    :param place: its position among the polling gateways of its zone, from 0.
+    :param counts: number of polling gateways in each zone in contact, its own included.
     """
     before = sum(count for other, count in counts.items() if other < zone)
     return Turn(before + place, sum(counts.values()))
--- a/tests/decisions/test_aggregators.py
+++ b/tests/decisions/test_aggregators.py
@@ -1,4 +1,4 @@
-"""Which gateway sums up, how often the others report, and who watches the store."""
+"""Tests of aggregator selection, report intervals and store watchers."""
 
 from datetime import timedelta
 
@@ -17,18 +17,18 @@
     return dict.fromkeys((f"g-{number}" for number in range(count)), 1.0)
 
 
-def test_the_order_does_not_depend_on_who_asks():
+def test_order_does_not_depend_on_the_input_order():
     names = powers(9)
     turned = dict(reversed(names.items()))
     assert ordered("a", names) == ordered("a", turned)
 
 
-def test_zones_spread_the_work_over_names():
+def test_zones_prefer_different_gateways():
     firsts = {ordered(zone, powers(50))[0] for zone in "abcdefgh"}
     assert len(firsts) > 4
 
 
-def test_the_loss_of_one_moves_no_other():
+def test_loss_of_one_does_not_reorder_the_others():
     names = powers(20)
     first, second, *rest = ordered("a", names)
     del names[first]
@@ -39,13 +39,13 @@
     ("reporting", "pause"),
     [(3, SHORTEST_PAUSE), (39, timedelta(milliseconds=390)), (300, LONGEST_PAUSE)],
 )
-def test_an_aggregator_is_not_asked_more_than_it_can_answer(reporting, pause):
+def test_report_interval_limits_the_load_of_an_aggregator(reporting, pause):
     assert pause_for(reporting) == pause
 
 
 @pytest.mark.parametrize(("gateways", "zones"), [(3, 3), (20, 3), (39, 5), (100, 1)])
-def test_enough_watch_the_store_and_not_more(gateways, zones):
-    """All of them would be turned away together, or each change cost a call each."""
+def test_enough_gateways_watch_the_store_and_not_more(gateways, zones):
+    """Guards against watches that all fail together, or a call each per change."""
     names = powers(gateways)
     watching = len(watchers("a", names, zones))
     assert watching * zones >= min(8, gateways * zones)
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -119,7 +119,7 @@
     """Guards against no endpoint at all once two zones are reclaimed in turn.
 
     The load needs as many reclaimable endpoints as fit into the zones. They took the
-    last place of the one endpoint that can not be reclaimed.
+    last place of the one endpoint that cannot be reclaimed.
     """
     tight = ScaleBounds(1, 3, timedelta(seconds=4), 0.22, BOUNDS.zone_prices)
     spots = {key(zone, True): 3 for zone in "abc"}
--- a/tests/decisions/test_reclaims.py
+++ b/tests/decisions/test_reclaims.py
@@ -1,4 +1,4 @@
-"""Tests of the plan for streams on a leaving endpoint."""
+"""Tests of the plan for streams on an endpoint that is being reclaimed."""
 
 from datetime import timedelta
 
@@ -30,12 +30,12 @@
     ("seconds", "expected"),
     [(60, WaitOut()), (10, MoveCache("b")), (1, Recompute("b", 8000))],
 )
-def test_takes_what_fits_the_notice(seconds, expected):
+def test_plan_fits_the_notice(seconds, expected):
     plan = plan_stream(_stream(), timedelta(seconds=seconds), TARGET, POLICY)
     assert plan == expected
 
 
-def test_counts_only_the_tokens_that_the_target_lacks():
+def test_recomputes_only_tokens_missing_in_the_target():
     target = StreamTarget("b", cached_tokens=6000)
     plan = plan_stream(_stream(), timedelta(seconds=1), target, POLICY)
     assert recomputed_tokens([plan]) == 2000
@@ -47,10 +47,10 @@
 
 
 def test_moves_share_the_link_longest_context_first():
-    """Every stream of a reclaimed replica is recomputed, though some could move.
+    """Guards against recomputing every stream though some could be moved.
 
-    Planned one by one, each move fits the notice; together they don't, and the
-    replica leaves in the middle of them all.
+    Planned separately, each transfer fits before the reclaim; together they don't, and
+    the endpoint is reclaimed while all are in progress.
     """
     streams = [_stream(str(n), context=n * 10_000) for n in range(1, 11)]
     plans = plan_streams(streams, timedelta(seconds=5), lambda _: TARGET, POLICY)
--- a/tests/decisions/test_speeds.py
+++ b/tests/decisions/test_speeds.py
@@ -1,4 +1,4 @@
-"""The time that engines take for a prompt token."""
+"""Tests of the estimated prefill time per token."""
 
 from datetime import timedelta
 
@@ -9,45 +9,45 @@
 )
 
 MICROSECOND = timedelta(microseconds=1)
-BESIDES = timedelta(milliseconds=25)
+OVERHEAD = timedelta(milliseconds=25)
 
 
-def test_a_guess_until_something_is_known():
+def test_initial_estimate_without_observations():
     speed = ReadingSpeed()
     speed.observe(1000, timedelta(seconds=1))
     assert speed.token_time == FIRST_GUESS
 
 
 def speed_of(*long: timedelta) -> ReadingSpeed:
-    """Return the estimate after short prompts, and long ones that took so long."""
+    """Return the estimate after short prompts, and long ones with these times."""
     speed = ReadingSpeed()
     for _ in range(LEAST_OBSERVATIONS):
-        speed.observe(100, BESIDES)
+        speed.observe(100, OVERHEAD)
     for took in long:
         speed.observe(3000, took)
     return speed
 
 
-def test_requests_that_waited_for_others_count_little():
-    alone = BESIDES + 3000 * 10 * MICROSECOND
+def test_requests_that_waited_for_others_do_not_raise_the_estimate():
+    alone = OVERHEAD + 3000 * 10 * MICROSECOND
     speed = speed_of(*[alone, alone * 5] * 20)
     assert speed.token_time == 10 * MICROSECOND
 
 
-def test_what_each_request_takes_besides_is_not_reading():
-    """Fast engines would look slow, and twice as many of them be ordered.
+def test_overhead_is_not_counted_as_prefill():
+    """Guards against fast engines that seem slow, so that twice as many are ordered.
 
-    A first event comes some steps after the prompt is read, whatever its length.
+    A first event comes some steps after the prefill, whatever its length.
     """
-    speed = speed_of(*[BESIDES + 3000 * 14 * MICROSECOND] * 20)
+    speed = speed_of(*[OVERHEAD + 3000 * 14 * MICROSECOND] * 20)
     assert speed.token_time == 14 * MICROSECOND
 
 
-def test_a_queue_everywhere_is_not_taken_for_slow_engines():
-    """Ever more endpoints would be ordered, for a load that is only an echo.
+def test_queues_at_all_engines_do_not_look_like_slow_engines():
+    """Guards against ordering ever more endpoints due to a feedback loop.
 
-    All engines are overloaded and every first token waits for seconds.
+    All engines are overloaded, and every first token waits for seconds.
     """
-    alone = BESIDES + 3000 * 10 * MICROSECOND
+    alone = OVERHEAD + 3000 * 10 * MICROSECOND
     speed = speed_of(*[alone] * 20, *[timedelta(seconds=9)] * 200)
     assert speed.token_time <= 12 * MICROSECOND
--- a/tests/decisions/test_turns.py
+++ b/tests/decisions/test_turns.py
@@ -1,4 +1,4 @@
-"""Turns of the gateways that ask the store."""
+"""Tests of the gateways' polling order."""
 
 from datetime import timedelta
 
@@ -19,8 +19,8 @@
 
 
 @pytest.mark.parametrize("counts", [{"a": 1}, {"a": 1, "b": 1, "c": 1}, UNEVEN])
-def test_each_step_is_one_gateways_turn(counts):
-    """A change that all watches missed would wait for as long as nobody asks."""
+def test_each_step_has_one_polling_gateway(counts):
+    """Guards against a change that all watches missed and that no gateway polls for."""
     found = turns(counts)
     assert sorted(turn.index for turn in found) == list(range(sum(counts.values())))
     now = 1_700_000_000.2
@@ -32,7 +32,7 @@
     )
 
 
-def test_a_turn_comes_again_after_all_others():
+def test_poll_repeats_after_all_others():
     turn = Turn(2, 6)
     now = 1_700_000_000.0
     first = turn.time_until(now, STEP)
