--- a/src/sassafrasdale/decisions/canary.py
+++ b/src/sassafrasdale/decisions/canary.py
@@ -206,8 +206,8 @@
 
 def _rejects(comparison: _Comparison, rule: Rule, *, final: bool) -> bool:
     match rule:
-        case FixedThreshold(excess, least):
-            if comparison.count < least:
+        case FixedThreshold(excess, min_responses):
+            if comparison.count < min_responses:
                 return False
             return comparison.bad / comparison.count > comparison.baseline + excess
         case SequentialTest(odds, final_odds):
@@ -285,10 +285,10 @@
 
 def _quantile(times: Counter[int], share: float) -> int:
     wanted = times.total() * share
-    seen = 0
+    cumulative = 0
     for bucket in sorted(times):
-        seen += times[bucket]
-        if seen >= wanted:
+        cumulative += times[bucket]
+        if cumulative >= wanted:
             return bucket
     return max(times)
 
--- a/src/sassafrasdale/decisions/delays.py
+++ b/src/sassafrasdale/decisions/delays.py
@@ -48,8 +48,8 @@
         known = self._observed.get(endpoint)
         if known is None or len(self._observed) < 3:
             return 1.0
-        usual = median(observed.delay for observed in self._observed.values())
-        ratio = known.delay / usual if usual else 1.0
+        median_delay = median(observed.delay for observed in self._observed.values())
+        ratio = known.delay / median_delay if median_delay else 1.0
         if ratio < LEAST_SLOWNESS:
             return 1.0
         return 1 + (ratio - 1) * 0.5 ** ((now - known.at) / FORGET_HALF_LIFE)
--- a/src/sassafrasdale/decisions/homes.py
+++ b/src/sassafrasdale/decisions/homes.py
@@ -49,8 +49,8 @@
         Only called for prompts that this entry did not know to be cached by the owner.
         """
         if prompt_tokens:
-            seen = min(1.0, cached_tokens / prompt_tokens)
-            self._share += SMOOTHING * (seen - self._share)
+            cached_share = min(1.0, cached_tokens / prompt_tokens)
+            self._share += SMOOTHING * (cached_share - self._share)
 
     def hear(self, arrived: int, published: int) -> None:
         """Count cache events.
--- a/src/sassafrasdale/decisions/quarantine.py
+++ b/src/sassafrasdale/decisions/quarantine.py
@@ -103,16 +103,16 @@
 class StrikeLedger:
     """All strikes known to one gateway, and the quarantine that follows from them.
 
-    :param most: maximum number of strikes; beyond that, cleared ones are evicted first,
-        then the oldest of the requests with the fewest strikes.
+    :param max_strikes: maximum number of strikes; beyond that, cleared ones are evicted
+        first, then the oldest of the requests with the fewest strikes.
     """
 
-    def __init__(self, most: int = MOST_STRIKES) -> None:
-        self._capacity = most
+    def __init__(self, max_strikes: int = MOST_STRIKES) -> None:
+        self._capacity = max_strikes
         self._by_fingerprint: dict[str, dict[Strike, HeldStrike]] = {}
         # All strikes, most recently changed last.
         self._by_change: dict[Strike, HeldStrike] = {}
-        self._dropped: deque[HeldStrike] = deque(maxlen=most)
+        self._dropped: deque[HeldStrike] = deque(maxlen=max_strikes)
         self._version = 0
         # Requests with enough strikes to be quarantined or to explain others.
         self._candidates: set[str] = set()
@@ -171,12 +171,12 @@
         crashes = distinct_crashes(strike for strike in strikes if not strike.begun)
         return len(crashes) < MAX_CRASHES_PER_ATTEMPT
 
-    def since(self, version: int, most: int) -> list[HeldStrike]:
+    def since(self, version: int, limit: int) -> list[HeldStrike]:
         """Return strikes that have changed since a version, in order of change."""
         newest_first = takewhile(
             lambda held: held.changed > version, reversed(self._by_change.values())
         )
-        return list(newest_first)[::-1][:most]
+        return list(newest_first)[::-1][:limit]
 
     def take_dropped(self) -> list[HeldStrike]:
         """Return and reset the strikes evicted since the last call."""
@@ -285,13 +285,17 @@
     avoided: frozenset[str]
 
 
-def trial_scope(met: Collection[str], versions: Mapping[str, str]) -> TrialScope:
+def trial_scope(
+    crashed_versions: Collection[str], versions: Mapping[str, str]
+) -> TrialScope:
     """Return where a request may be tried: on new versions only, if there are any.
 
-    :param met: versions of the endpoints that crashed while they ran it.
+    :param crashed_versions: versions of the endpoints that crashed while they ran it.
     :param versions: version of each available endpoint, by name.
     """
-    known_bad = {name for name, version in versions.items() if version in met}
+    known_bad = {
+        name for name, version in versions.items() if version in crashed_versions
+    }
     has_new = len(known_bad) < len(versions)
     return TrialScope(has_new, frozenset(known_bad if has_new else ()))
 
--- a/src/sassafrasdale/decisions/quotas.py
+++ b/src/sassafrasdale/decisions/quotas.py
@@ -118,7 +118,7 @@
         self._rate = rate
         self._updated = now
 
-    def left(self, depth: float, part: float, now: timedelta) -> float:
+    def left(self, depth: float, fraction: float, now: timedelta) -> float:
         """Return what remains of a fraction of the limit; negative if overdrawn.
 
         The initial deficit reduces each fraction proportionally. Usage since then
@@ -126,10 +126,10 @@
         itself.
 
         :param depth: tokens of a full limit.
-        :param part: fraction of the limit that belongs to the gateways in contact.
+        :param fraction: fraction of the limit that belongs to the gateways in contact.
         """
         admitted = self.used(now) - self._initial_deficit
-        return (depth - self._initial_deficit) * part - admitted
+        return (depth - self._initial_deficit) * fraction - admitted
 
     def spend(self, amount: float, now: timedelta) -> None:
         """Subtract what is admitted here; a negative amount returns it."""
@@ -137,12 +137,14 @@
         self._spent += amount
         self._unreported.append((now, amount))
 
-    def unseen(self, now: timedelta, unseen_time: timedelta = UNSEEN_TIME) -> float:
+    def unseen(
+        self, now: timedelta, propagation_time: timedelta = UNSEEN_TIME
+    ) -> float:
         """Return what was admitted here too recently for other gateways to know.
 
-        :param unseen_time: time until usage is known at all gateways.
+        :param propagation_time: time until usage is known at all gateways.
         """
-        while self._unreported and now - self._unreported[0][0] > unseen_time:
+        while self._unreported and now - self._unreported[0][0] > propagation_time:
             self._unreported.popleft()
         return sum(amount for _, amount in self._unreported)
 
@@ -151,23 +153,23 @@
         self._requested.append((now, amount))
 
     def unseen_rise(
-        self, now: timedelta, unseen_time: timedelta, average: float
+        self, now: timedelta, propagation_time: timedelta, average: float
     ) -> float:
         """Return by how much the demand here exceeds the average, in tokens a second.
 
         An average over seconds shows a surge too late: in the meantime each gateway
         that it reaches would admit the whole rate by itself.
 
-        :param unseen_time: time until usage is known at all gateways.
+        :param propagation_time: time until usage is known at all gateways.
         :param average: average demand here, in tokens a second.
         """
-        while self._requested and now - self._requested[0][0] > unseen_time:
+        while self._requested and now - self._requested[0][0] > propagation_time:
             self._requested.popleft()
         if len(self._requested) < MIN_SURGE_REQUESTS:
             return 0.0
         # Callers send in bursts, each of which looks like a surge over its short
         # duration.
-        span = max(now - self._requested[0][0], unseen_time / 3).total_seconds()
+        span = max(now - self._requested[0][0], propagation_time / 3).total_seconds()
         amounts = [amount for _, amount in self._requested]
         # Leaves out the largest request: one prompt may be as large as forty others.
         return max((sum(amounts) - max(amounts)) / span - average, 0.0)
@@ -201,53 +203,56 @@
 
 
 def has_room(
-    left: float,
+    remaining: float,
     demand: float,
     share: float,
-    unseen: float,
-    unseen_time: timedelta = UNSEEN_TIME,
+    unreported: float,
+    propagation_time: timedelta = UNSEEN_TIME,
 ) -> bool:
     """Return whether more remains of a limit than may be used unreported.
 
-    :param left: tokens that remain of the limit.
+    :param remaining: tokens that remain of the limit.
     :param demand: tokens a second that the requests at all gateways need.
     :param share: fraction of the limit that belongs to this gateway.
-    :param unseen: tokens admitted here that other gateways can't know of yet, beyond
-        those that the limit's slack allows.
-    :param unseen_time: time until usage is known at all gateways.
+    :param unreported: tokens admitted here that other gateways can't know of yet,
+        beyond those that the limit's slack allows.
+    :param propagation_time: time until usage is known at all gateways.
     """
-    return left > demand * unseen_time.total_seconds() and unseen <= left * share
+    return (
+        remaining > demand * propagation_time.total_seconds()
+        and unreported <= remaining * share
+    )
 
 
-def passing_part(left: float, rate: float, demand: float) -> float:
+def passing_part(remaining: float, rate: float, demand: float) -> float:
     """Return the fraction of all requests that is admitted near the limit.
 
     The remainder is used up, or an overdraft made up, over :data:`CORRECTION_TIME`; by
     then the usage that this is based on is known at all gateways.
 
-    :param left: tokens that remain of the limit; negative if overdrawn.
+    :param remaining: tokens that remain of the limit; negative if overdrawn.
     :param rate: tokens a second by which the limit is refilled.
     :param demand: tokens a second that all requests need.
     """
-    allowed = rate + left / SPREAD.total_seconds()
+    allowed = rate + remaining / SPREAD.total_seconds()
     return min(max(allowed / max(demand, 1.0), 0.0), 1.0)
 
 
-def unseen_demand(rise: float, share: float, covered: float) -> float:
+def unseen_demand(surge: float, share: float, covered: float) -> float:
     """Return the estimated demand at all gateways that is not reported yet.
 
     A surge seen by one gateway reaches others at the same time, since a customer's
     callers are distributed over them.
 
-    :param rise: by how much the demand here exceeds the average, in tokens a second.
+    :param surge: by how much the demand here exceeds the average, in tokens a second.
     :param share: fraction of the limit that belongs to this gateway.
     :param covered: tokens a second that the limit's slack allows.
     """
     gateways = min(1 / max(share, 1e-9), MAX_SURGE_GATEWAYS)
-    return max(rise * gateways - covered, 0.0)
+    return max(surge * gateways - covered, 0.0)
 
 
-def fits_unseen(amount: float, unseen: float, filling: float) -> bool:
+def fits_unseen(amount: float, unreported: float, refill: float) -> bool:
     """Return whether a gateway may admit a request while the limit is exhausted.
 
     All gateways may admit requests before they know of each other's, so each keeps to
@@ -255,21 +260,21 @@
     only on its own.
 
     :param amount: tokens that the request needs.
-    :param unseen: tokens admitted here that other gateways can't know of yet.
-    :param filling: this gateway's share of the tokens by which the limit is refilled
+    :param unreported: tokens admitted here that other gateways can't know of yet.
+    :param refill: this gateway's share of the tokens by which the limit is refilled
         until they do.
     """
-    return unseen + min(amount, filling) <= filling
+    return unreported + min(amount, refill) <= refill
 
 
-def time_to_return(left: float, rate: float, demand: float) -> timedelta:
+def time_to_return(remaining: float, rate: float, demand: float) -> timedelta:
     """Return the retry-after time of a refused request.
 
     An overdraft has to be refilled first, and the demand beyond the limit in each
     second also waits.
     """
     rate = max(rate, 1.0)
-    wait = max(-left, 0.0) / rate + max(demand / rate - 1, 0.0)
+    wait = max(-remaining, 0.0) / rate + max(demand / rate - 1, 0.0)
     wait = min(wait, MAX_RETRY_AFTER.total_seconds())
     return max(timedelta(seconds=wait), MIN_RETRY_AFTER)
 
@@ -277,18 +282,18 @@
 class Thinning:
     """Admits a fraction of the requests, evenly distributed.
 
-    :param debt: fraction of a request that is initially missing until the next one is
-        admitted. With different values the gateways don't all refuse, or all admit,
+    :param deficit: fraction of a request that is initially missing until the next one
+        is admitted. With different values the gateways don't all refuse, or all admit,
         their first request.
     """
 
-    def __init__(self, debt: float) -> None:
-        self._debt = debt
+    def __init__(self, deficit: float) -> None:
+        self._deficit = deficit
 
-    def lets_in(self, part: float) -> bool:
+    def lets_in(self, fraction: float) -> bool:
         """Return whether the next request is admitted at that fraction."""
-        self._debt -= part
-        if self._debt > 0:
+        self._deficit -= fraction
+        if self._deficit > 0:
             return False
-        self._debt += 1
+        self._deficit += 1
         return True
--- a/src/sassafrasdale/decisions/routing.py
+++ b/src/sassafrasdale/decisions/routing.py
@@ -46,7 +46,7 @@
 def draw_candidates(
     names: Sequence[str],
     matches: Mapping[str, int],
-    homes: Sequence[str],
+    owners: Sequence[str],
     policy: RoutingPolicy,
     rng: Random,
 ) -> list[str]:
@@ -57,7 +57,8 @@
 
     :param names: all endpoints of the service that this entry uses.
     :param matches: expected cached tokens by endpoint.
-    :param homes: the conversation's owner and fallback owner; an empty name is ignored.
+    :param owners: the conversation's owner and fallback owner; empty names are
+        ignored.
     :param policy: constants.
     :param rng: draws the sample.
     """
@@ -75,7 +76,7 @@
     ]
     ranked.sort(reverse=True)
     drawn.update(dict.fromkeys(name for *_, name in ranked[: policy.best_matches]))
-    drawn.update(dict.fromkeys(home for home in homes if home))
+    drawn.update(dict.fromkeys(owner for owner in owners if owner))
     return list(drawn)
 
 
@@ -93,9 +94,9 @@
     if view.report_age is None:
         return view.in_flight + mean
     others = max(0, view.reported_load - view.own_at_report)
-    trust = 0.5 ** (view.report_age / policy.report_half_life)
+    report_weight = 0.5 ** (view.report_age / policy.report_half_life)
     mirrored = (view.in_flight - view.own_at_report) * policy.mirrored_entries
-    return view.in_flight + mean + (others + mirrored - mean) * trust
+    return view.in_flight + mean + (others + mirrored - mean) * report_weight
 
 
 def expected_cost(
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -44,8 +44,8 @@
 
 def test_crash_observed_by_several_gateways_counts_once():
     """Guards against quarantine for one crash during three attempts."""
-    seen = [strike("twin", 1, witness=f"g-{n}", at=n / 100) for n in range(5)]
-    assert ledger_of(*seen).quarantined == set()
+    strikes = [strike("twin", 1, witness=f"g-{n}", at=n / 100) for n in range(5)]
+    assert ledger_of(*strikes).quarantined == set()
 
 
 def test_later_crash_of_the_same_endpoint_counts_again():
@@ -158,7 +158,7 @@
 
 def test_ledger_is_bounded_with_ever_new_crashing_requests():
     """Guards against memory exhaustion by ever new crashing requests."""
-    ledger = StrikeLedger(most=100)
+    ledger = StrikeLedger(max_strikes=100)
     for each in strikes_of("crashing", range(3)):
         ledger.take(each)
     for number in range(1000):
@@ -168,7 +168,7 @@
 
 
 def test_cleared_strikes_are_evicted_first():
-    ledger = StrikeLedger(most=10)
+    ledger = StrikeLedger(max_strikes=10)
     for number in range(5):
         ledger.take(strike(f"old-{number}", number))
     for number in range(5):
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -68,10 +68,10 @@
 
 
 def test_headroom_excludes_unreported_usage_of_others():
-    assert has_room(left=10_000, demand=1000, share=0.25, unseen=0)
-    assert not has_room(left=10_000, demand=50_000, share=0.25, unseen=0)
-    assert not has_room(left=10_000, demand=1000, share=0.25, unseen=3000)
-    assert not has_room(left=-5, demand=0, share=1, unseen=0)
+    assert has_room(remaining=10_000, demand=1000, share=0.25, unreported=0)
+    assert not has_room(remaining=10_000, demand=50_000, share=0.25, unreported=0)
+    assert not has_room(remaining=10_000, demand=1000, share=0.25, unreported=3000)
+    assert not has_room(remaining=-5, demand=0, share=1, unreported=0)
 
 
 def test_new_aggregator_of_a_zone_counts_from_zero():
@@ -105,29 +105,29 @@
 
 
 def test_near_the_limit_the_refill_is_admitted():
-    assert passing_part(left=0, rate=100, demand=400) == 0.25
-    assert passing_part(left=0, rate=100, demand=50) == 1
-    assert passing_part(left=-1000, rate=100, demand=50) == 0
+    assert passing_part(remaining=0, rate=100, demand=400) == 0.25
+    assert passing_part(remaining=0, rate=100, demand=50) == 1
+    assert passing_part(remaining=-1000, rate=100, demand=50) == 0
     over = SPREAD.total_seconds() * 100
-    assert passing_part(left=over, rate=100, demand=400) == 0.5
+    assert passing_part(remaining=over, rate=100, demand=400) == 0.5
 
 
-@pytest.mark.parametrize("part", [0.0, 0.1, 0.37, 1.0])
-def test_admitted_fraction_is_evenly_distributed(part):
+@pytest.mark.parametrize("fraction", [0.0, 0.1, 0.37, 1.0])
+def test_admitted_fraction_is_evenly_distributed(fraction):
     """Guards against two hundred gateways that each admit their first request."""
     gateways = [Thinning(number / 100 + 0.005) for number in range(100)]
-    first = sum(thinning.lets_in(part) for thinning in gateways)
-    later = sum(thinning.lets_in(part) for thinning in gateways for _ in range(99))
-    assert abs(first - 100 * part) <= 1
-    assert abs(first + later - 10_000 * part) <= 100
+    first = sum(thinner.lets_in(fraction) for thinner in gateways)
+    later = sum(thinner.lets_in(fraction) for thinner in gateways for _ in range(99))
+    assert abs(first - 100 * fraction) <= 1
+    assert abs(first + later - 10_000 * fraction) <= 100
 
 
 def test_retry_after_covers_overdraft_and_excess_demand():
     second = timedelta(seconds=1)
-    assert time_to_return(left=0, rate=100, demand=50) == MIN_RETRY_AFTER
-    assert time_to_return(left=-300, rate=100, demand=50) == 3 * second
-    assert time_to_return(left=0, rate=100, demand=300) == 2 * second
-    assert time_to_return(left=-1e9, rate=1, demand=0) == 10 * second
+    assert time_to_return(remaining=0, rate=100, demand=50) == MIN_RETRY_AFTER
+    assert time_to_return(remaining=-300, rate=100, demand=50) == 3 * second
+    assert time_to_return(remaining=0, rate=100, demand=300) == 2 * second
+    assert time_to_return(remaining=-1e9, rate=1, demand=0) == 10 * second
 
 
 def test_surge_shows_before_the_average_does():
@@ -142,10 +142,10 @@
 
 def test_exhausted_limit_admits_little_unreported_usage():
     """Guards against each gateway admitting the refill of all of them."""
-    assert fits_unseen(amount=100, unseen=100, filling=250)
-    assert not fits_unseen(amount=100, unseen=200, filling=250)
-    assert fits_unseen(amount=9000, unseen=0, filling=250)
-    assert not fits_unseen(amount=9000, unseen=1, filling=250)
+    assert fits_unseen(amount=100, unreported=100, refill=250)
+    assert not fits_unseen(amount=100, unreported=200, refill=250)
+    assert fits_unseen(amount=9000, unreported=0, refill=250)
+    assert not fits_unseen(amount=9000, unreported=1, refill=250)
 
 
 def test_burst_is_not_a_surge():
