--- a/src/sassafrasdale/decisions/exposure.py
+++ b/src/sassafrasdale/decisions/exposure.py
@@ -23,9 +23,9 @@
 
     Usage::
 
-        if allowance.may_send_to_canary("r-lookups"):
+        if allowance.may_try("r-lookups"):
             ...
-        allowance.record("r-lookups", on_trial=True)  # when it is sent
+        allowance.note("r-lookups", on_trial=True)  # when it is sent
 
     :param share: fraction of all requests that the canary may get.
     :param rng: source of randomness for rounding. A gateway often sees only a fraction
