--- a/src/sassafrasdale/decisions/aggregators.py
+++ b/src/sassafrasdale/decisions/aggregators.py
@@ -21,7 +21,7 @@
 
 # Time budget of an aggregator for one report and its response. Both take half a
 # millisecond of CPU time, so 100 reports a second take a twentieth of a core.
-REPORT_COST = timedelta(milliseconds=10)
+REPORT_TIME_BUDGET = timedelta(milliseconds=10)
 # Minimum and maximum interval between two reports of a gateway. Reported loads are one
 # interval old on average; three failed reports must still fit into the time after which
 # a gateway counts as unreachable.
@@ -33,7 +33,7 @@
 LIFETIME = timedelta(seconds=5)
 # Minimum numbers of gateways that watch the store, over all zones and in each. The
 # others learn of changes from their aggregator. The store may refuse a third of the
-# gateways at a time; the probability that it refuses all of eight is about one in some
+# gateways at a time; the probability that it refuses all of eight is one in several
 # thousand.
 WATCHERS = 8
 MIN_ZONE_WATCHERS = 2
@@ -56,7 +56,7 @@
 
 def pause_for(reporting: int) -> timedelta:
     """Return the interval between two reports for a number of reporting gateways."""
-    return min(max(REPORT_COST * reporting, SHORTEST_PAUSE), LONGEST_PAUSE)
+    return min(max(REPORT_TIME_BUDGET * reporting, SHORTEST_PAUSE), LONGEST_PAUSE)
 
 
 def watchers(zone: str, powers: Mapping[str, float], zones: int) -> list[str]:
