--- a/src/sassafrasdale/gateway/dispatcher.py
+++ b/src/sassafrasdale/gateway/dispatcher.py
@@ -16,7 +16,7 @@
 from sassafrasdale.decisions.aggregators import LIFETIME
 from sassafrasdale.gateway.assignment import Ask, Assigned, Ended, FirstToken, Notes
 from sassafrasdale.gateway.fleet import Fleet
-from sassafrasdale.gateway.tickets import Ticket
+from sassafrasdale.gateway.tickets import Attempt
 
 log = Logger("dispatcher")
 
@@ -31,7 +31,7 @@
 
     incarnation: int
     heard_at: timedelta
-    tickets: dict[int, Ticket] = field(default_factory=dict)
+    tickets: dict[int, Attempt] = field(default_factory=dict)
 
 
 class Dispatcher:
@@ -49,17 +49,19 @@
     def assign(self, ask: Ask) -> Assigned | None:
         """Return the endpoint for a send; None if there is none."""
         again = bool(ask.tried)
-        ticket = self._fleet.begin_here(ask.service, ask.traits, ask.tried, again=again)
-        if ticket is None:
+        attempt = self._fleet.begin_here(
+            ask.service, ask.traits, ask.tried, again=again
+        )
+        if attempt is None:
             return None
         sends = self._sends(ask.gateway, ask.incarnation)
-        sends.tickets[ask.number] = ticket
-        source = ticket.source
+        sends.tickets[ask.number] = attempt
+        source = attempt.source
         return Assigned(
-            ticket.record.name,
+            attempt.record.name,
             "" if source is None else source.name,
-            ticket.unread_tokens,
-            max(ticket.queued_tokens, 0),
+            attempt.unread_tokens,
+            max(attempt.queued_tokens, 0),
         )
 
     def note(self, notes: Notes) -> None:
@@ -77,8 +79,8 @@
         sends = self._sends(gateway, incarnation)
         now = self._clock.elapsed()
         listed = frozenset(open_sends)
-        for number, ticket in list(sends.tickets.items()):
-            if number not in listed and now - ticket.began_at > UNLISTED:
+        for number, attempt in list(sends.tickets.items()):
+            if number not in listed and now - attempt.began_at > UNLISTED:
                 self._fleet.end_here(sends.tickets.pop(number))
 
     def forget_silent(self) -> None:
@@ -105,23 +107,23 @@
         return sends
 
     def _note_first(self, sends: _Sends, first: FirstToken) -> None:
-        ticket = sends.tickets.get(first.number)
-        if ticket is None:
+        attempt = sends.tickets.get(first.number)
+        if attempt is None:
             return
         seconds = first.took_s
         took = None if seconds is None else timedelta(seconds=seconds)
-        self._fleet.first_here(ticket, took)
+        self._fleet.first_here(attempt, took)
 
     def _note_end(self, sends: _Sends, ended: Ended) -> None:
-        ticket = sends.tickets.pop(ended.number, None)
-        if ticket is not None:
-            self._fleet.end_here(ticket)
+        attempt = sends.tickets.pop(ended.number, None)
+        if attempt is not None:
+            self._fleet.end_here(attempt)
             pause = timedelta(seconds=ended.pause_s)
-            self._fleet.observe(ticket.record, ended.end, pause)
+            self._fleet.observe(attempt.record, ended.end, pause)
 
     def _drop(self, gateway: str) -> None:
         sends = self._gateways.pop(gateway)
         if sends.tickets:
             log.info("sends dropped", gateway=gateway, sends=len(sends.tickets))
-        for ticket in sends.tickets.values():
-            self._fleet.end_here(ticket)
+        for attempt in sends.tickets.values():
+            self._fleet.end_here(attempt)
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -1,7 +1,7 @@
-"""One request's way: sends to endpoints until one answers, or a refusal.
+"""Forwarding of one request to endpoints until one responds.
 
-What may be sent again follows from what is known of the last send: nothing went
-out, the endpoint says that it did not run the request, or it may have run.
+Whether a failed attempt may be retried depends on what is known of it: nothing was
+sent, the endpoint reports that it did not run the request, or it may have run.
 """
 
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.suspects import Suspects
-from sassafrasdale.gateway.tickets import Ticket
+from sassafrasdale.gateway.tickets import Attempt
 from sassafrasdale.http.connections import HttpConnection
 from sassafrasdale.http.exceptions import (
     CallerGone,
@@ -46,24 +46,25 @@
 
 log = Logger("exchange")
 
-# A stream that goes on elsewhere is broken off if nothing comes for this long. Its
-# caller gives up after a gap of two seconds or more.
-SILENCE_LIMIT = timedelta(seconds=1.2)
-# When a caller is told to come back after a refusal for want of endpoints.
-COME_BACK = timedelta(milliseconds=300)
-# Pauses between a stream's events that are noted; they tell the engine's pace.
-MOST_PAUSES = 64
-# A non-idempotent request goes out on a kept connection only if that was used this
-# lately: one that the endpoint closes meanwhile may have read it.
-FRESH_USE = timedelta(seconds=1.5)
+# A stream that another endpoint could resume is abandoned after this time without data.
+# Its caller gives up after a gap of two seconds or more.
+STREAM_IDLE_TIMEOUT = timedelta(seconds=1.2)
+# Retry-After if no endpoint is available.
+NO_ENDPOINT_RETRY_AFTER = timedelta(milliseconds=300)
+# Most pauses between a stream's events that are recorded to estimate the engine's
+# speed.
+MAX_PAUSES = 64
+# A non-idempotent request reuses only connections that were used this recently: if the
+# endpoint closes an idle connection at the same moment, it may have read the request.
+NON_IDEMPOTENT_MAX_IDLE = timedelta(seconds=1.5)
 
 
 @dataclass(slots=True)
-class Job:
-    """A request that was let in.
+class AdmittedRequest:
+    """A request that was admitted.
 
-    :param until: elapsed time at which its caller must have an answer.
-    :param avoided: endpoints that must not get it.
+    :param deadline: elapsed time at which its caller must have a response.
+    :param avoided: endpoints that it must not be sent to.
     """
 
     request: Request
@@ -72,7 +73,7 @@
     service: str
     customer: Customer | None
     received_at: timedelta
-    until: timedelta
+    deadline: timedelta
     avoided: frozenset[str] = frozenset()
 
     @property
@@ -82,95 +83,99 @@
 
 
 class RequestExchange:
-    """Has one request answered by an endpoint.
+    """Forwards one request to endpoints and relays the response.
 
-    :param job: the request.
+    :param admitted: the request.
     :param caller: the caller's connection.
-    :param fleet: the endpoints and what is known of them.
-    :param suspects: told of the endpoints that end under the request.
+    :param fleet: chooses endpoints and tracks their load.
+    :param suspects: is told of endpoints that crash while they run the request.
     :param clock: source of elapsed time.
     """
 
     def __init__(
         self,
-        job: Job,
+        admitted: AdmittedRequest,
         caller: ServerConnection,
         fleet: Fleet,
         suspects: Suspects,
         clock: Clock,
     ) -> None:
         self._suspects = suspects
-        self._job = job
+        self._admitted = admitted
         self._caller = caller
         self._fleet = fleet
         self._clock = clock
-        self._sends = 0
-        self._tried: set[str] = set(job.avoided)
-        self._endpoint_ended = False
-        self._events_before = 0
+        self._attempts = 0
+        self._tried: set[str] = set(admitted.avoided)
+        self._endpoint_crashed = False
+        self._events_before_attempt = 0
         self._may_have_run = False
-        self._splitter = EventSplitter(job.traits.resume_after)
+        self._splitter = EventSplitter(admitted.traits.resume_after)
         self._first_at: timedelta | None = None
         self._last_failure = ""
         self._endpoint: str | None = None
-        self._ticket: Ticket | None = None
+        self._last_attempt: Attempt | None = None
 
     @property
-    def ticket(self) -> Ticket | None:
-        """What decided on the last send; None without one."""
-        return self._ticket
+    def last_attempt(self) -> Attempt | None:
+        """The last attempt; None if there was none."""
+        return self._last_attempt
 
     @property
     def endpoint(self) -> str | None:
-        """Name of the endpoint that the request was last sent to."""
+        """Name of the endpoint of the last attempt."""
         return self._endpoint
 
     @property
-    def sends(self) -> int:
-        """Endpoints that the request was sent to."""
-        return self._sends
+    def attempts(self) -> int:
+        """Number of attempts."""
+        return self._attempts
 
     @property
     def first_byte_after(self) -> timedelta | None:
-        """Time until the first part of an answer came; None without one."""
+        """Time to the first byte of a response; None if there was none."""
         if self._first_at is None:
             return None
-        return self._first_at - self._job.received_at
+        return self._first_at - self._admitted.received_at
 
     def run(self) -> int:
-        """Answer the caller and return the status.
+        """Respond to the caller and return the status.
 
-        :raises RequestRefused: if no endpoint answers and no answer has begun; with
+        :raises RequestRefused: if no endpoint responds and no response has begun; with
             status 503 the request did not run.
-        :raises StreamBrokenOff: if a stream that has begun can't go on.
-        :raises CallerGone: if the caller leaves.
+        :raises StreamBrokenOff: if a stream that has begun can't be resumed.
+        :raises CallerGone: if the caller disconnects.
         """
         while True:
-            ticket = self._begin()
+            attempt = self._start_attempt()
             try:
-                return self._send(ticket)
+                return self._run_attempt(attempt)
             except SendFailed as failure:
                 if not self._may_send_again(failure):
                     self._give_up(failure)
 
-    def _begin(self) -> Ticket:
-        job = self._job
-        again = self._sends > 0
-        ticket = self._fleet.begin(
-            job.service, job.traits, self._tried, job.route.name, again=again
+    def _start_attempt(self) -> Attempt:
+        admitted = self._admitted
+        again = self._attempts > 0
+        attempt = self._fleet.begin(
+            admitted.service,
+            admitted.traits,
+            self._tried,
+            admitted.route.name,
+            again=again,
         )
-        if ticket is None:
+        if attempt is None:
             self._give_up(SendFailed(SendOutcome.NOT_SENT, "no endpoint"))
-        self._tried.add(ticket.record.name)
-        self._endpoint = ticket.record.name
-        self._ticket = ticket
-        return ticket
-
-    def _send(self, ticket: Ticket) -> int:
-        """Send the request to an endpoint and pass its answer on."""
-        job = self._job
-        record = ticket.record
-        limit = None if job.route.repeatable else FRESH_USE
+        self._tried.add(attempt.record.name)
+        self._endpoint = attempt.record.name
+        self._last_attempt = attempt
+        return attempt
+
+    def _run_attempt(self, attempt: Attempt) -> int:
+        """Send the request to an endpoint and relay its response."""
+        admitted = self._admitted
+        record = attempt.record
+        limit = None if admitted.route.repeatable else NON_IDEMPOTENT_MAX_IDLE
         connection: HttpConnection | None = None
         try:
             try:
@@ -181,47 +186,48 @@
             self._caller.when_gone(connection.close)
             if self._caller.is_gone:
                 raise CallerGone
-            return self._converse(record, connection, ticket)
+            return self._forward(record, connection, attempt)
         except SendFailed as failure:
-            self._note_failure(ticket, failure)
+            self._record_failure(attempt, failure)
             raise
         except CallerGone:
             if connection is not None:
                 connection.close()
-                self._fleet.left(ticket)
+                self._fleet.left(attempt)
             raise
         finally:
             self._caller.when_gone(None)
-            self._fleet.ended(ticket)
+            self._fleet.ended(attempt)
             if connection is not None:
                 record.connections.discard(connection)
                 record.pool.give_back(connection)
 
-    def _converse(
-        self, record: EndpointRecord, connection: HttpConnection, ticket: Ticket
+    def _forward(
+        self, record: EndpointRecord, connection: HttpConnection, attempt: Attempt
     ) -> int:
-        job = self._job
-        self._sends += 1
-        self._endpoint_ended = False
-        self._events_before = self._splitter.count
-        left = job.until - self._clock.elapsed()
+        admitted = self._admitted
+        self._attempts += 1
+        self._endpoint_crashed = False
+        self._events_before_attempt = self._splitter.count
+        left = admitted.deadline - self._clock.elapsed()
         if left <= timedelta():
             raise SendFailed(SendOutcome.NOT_SENT, "no time left")
-        self._fleet.note_send(ticket, again=self._sends > 1)
+        self._fleet.note_send(attempt, again=self._attempts > 1)
         order = EndpointOrder(
             endpoint=record.name,
-            customer=job.customer_name,
+            customer=admitted.customer_name,
             time_left=left,
             priority=self._priority(),
             resume_after=self._splitter.last_id,
-            fetch_from=ticket.source.endpoint.address if ticket.source else None,
+            fetch_from=attempt.source.endpoint.address if attempt.source else None,
         )
         try:
-            connection.send(endpoint_request(job.request, order))
+            connection.send(endpoint_request(admitted.request, order))
             head = connection.read_head(
-                job.until, echoed=(REQUEST_ID, job.request.header(REQUEST_ID))
+                admitted.deadline,
+                echoed=(REQUEST_ID, admitted.request.header(REQUEST_ID)),
             )
-            return self._pass_on(record, connection, head, ticket)
+            return self._relay_response(record, connection, head, attempt)
         except HttpError as error:
             connection.close()
             if isinstance(error, CallerGone) or self._caller.is_gone:
@@ -229,64 +235,64 @@
             raise SendFailed(SendOutcome.UNKNOWN, reason_of(error)) from error
 
     def _priority(self) -> int | None:
-        """Return the rank of a stream at its engine; plain services have none."""
-        job = self._job
-        if job.route.kind is not RequestKind.STREAM:
+        """Return the priority of a stream at its engine; None for plain services."""
+        admitted = self._admitted
+        if admitted.route.kind is not RequestKind.STREAM:
             return None
-        if job.customer is not None and job.customer.priority is not None:
-            return job.customer.priority
-        return job.route.priority
+        if admitted.customer is not None and admitted.customer.priority is not None:
+            return admitted.customer.priority
+        return admitted.route.priority
 
-    def _pass_on(
+    def _relay_response(
         self,
         record: EndpointRecord,
         connection: HttpConnection,
         head: AnswerHead,
-        ticket: Ticket,
+        attempt: Attempt,
     ) -> int:
-        job = self._job
+        admitted = self._admitted
         if says_not_run(head):
-            connection.read_body(job.until)
+            connection.read_body(admitted.deadline)
             raise SendFailed(SendOutcome.NOT_RUN, f"refused with {head.status}")
         succeeded = 200 <= head.status < 300
         if succeeded and not is_signed(head):
             raise MalformedAnswer("a success without a signature")
-        if job.route.kind is RequestKind.STREAM and succeeded:
-            return self._stream(connection, head, ticket)
-        body = connection.read_body(job.until)
-        self._note_first(ticket, has_read=succeeded)
-        if head.status >= 500 and self._may_retry_failure():
+        if admitted.route.kind is RequestKind.STREAM and succeeded:
+            return self._relay_stream(connection, head, attempt)
+        body = connection.read_body(admitted.deadline)
+        self._record_first_byte(attempt, has_read=succeeded)
+        if head.status >= 500 and self._may_retry_status():
             raise SendFailed(SendOutcome.UNKNOWN, f"failed with {head.status}")
         self._fleet.answered(
-            ticket, head.status, self._clock.elapsed() - ticket.began_at
+            attempt, head.status, self._clock.elapsed() - attempt.began_at
         )
         if succeeded:
-            self._suspects.ended_well(job.request, job.customer_name)
+            self._suspects.ended_well(admitted.request, admitted.customer_name)
         self._caller.answer(head.status, caller_headers(head), body)
         return head.status
 
-    def _stream(
-        self, connection: HttpConnection, head: AnswerHead, ticket: Ticket
+    def _relay_stream(
+        self, connection: HttpConnection, head: AnswerHead, attempt: Attempt
     ) -> int:
-        """Pass a stream's whole events on as they come."""
-        job = self._job
+        """Relay a stream, complete events only."""
+        admitted = self._admitted
         splitter = self._splitter
-        # An engine may have a queue before a prompt; silence tells something only
-        # once it has begun to hand out events.
-        until = job.until
+        # An engine may queue the prompt, so silence is no sign of a failure before its
+        # first event.
+        deadline = admitted.deadline
         pauses: list[timedelta] = []
         last_at: timedelta | None = None
         try:
-            while data := connection.read_data(until):
-                until = self._silence_until()
+            while data := connection.read_data(deadline):
+                deadline = self._next_read_deadline()
                 whole = splitter.feed(data)
                 if not whole:
                     continue
                 now = self._clock.elapsed()
-                if last_at is not None and len(pauses) < MOST_PAUSES:
+                if last_at is not None and len(pauses) < MAX_PAUSES:
                     pauses.append(now - last_at)
                 last_at = now
-                self._note_first(ticket)
+                self._record_first_byte(attempt)
                 if not self._caller.head_sent:
                     self._caller.begin(head.status, caller_headers(head))
                 self._caller.write(whole)
@@ -299,94 +305,94 @@
         if not self._caller.head_sent:
             self._caller.begin(head.status, caller_headers(head))
         self._caller.end()
-        self._fleet.streamed(ticket, pauses)
-        self._suspects.ended_well(job.request, job.customer_name)
+        self._fleet.streamed(attempt, pauses)
+        self._suspects.ended_well(admitted.request, admitted.customer_name)
         return head.status
 
-    def _silence_until(self) -> timedelta:
-        """Return until when the next part of a stream is awaited.
+    def _next_read_deadline(self) -> timedelta:
+        """Return the deadline for the next data of a stream.
 
-        Silence ends an engine's part only if another engine can go on.
+        A silent engine is abandoned early only if another engine can resume the stream.
         """
-        job = self._job
+        admitted = self._admitted
         may_go_on = (
-            job.route.repeatable
-            and self._sends < job.route.max_sends
-            and self._fleet.has_another(job.service, self._tried)
+            admitted.route.repeatable
+            and self._attempts < admitted.route.max_sends
+            and self._fleet.has_another(admitted.service, self._tried)
         )
         if not may_go_on:
-            return job.until
-        return min(self._clock.elapsed() + SILENCE_LIMIT, job.until)
+            return admitted.deadline
+        return min(self._clock.elapsed() + STREAM_IDLE_TIMEOUT, admitted.deadline)
 
-    def _note_first(self, ticket: Ticket, *, has_read: bool = True) -> None:
-        self._fleet.first_token(ticket, has_read=has_read)
+    def _record_first_byte(self, attempt: Attempt, *, has_read: bool = True) -> None:
+        self._fleet.first_token(attempt, has_read=has_read)
         if self._first_at is None:
             self._first_at = self._clock.elapsed()
-            self._fleet.began_to_run(self._job.customer)
+            self._fleet.began_to_run(self._admitted.customer)
 
-    def _note_failure(self, ticket: Ticket, failure: SendFailed) -> None:
+    def _record_failure(self, attempt: Attempt, failure: SendFailed) -> None:
         if failure.outcome is SendOutcome.UNKNOWN:
             self._may_have_run = True
         counts = failure.reason != "no time left"
         is_fault = failure.outcome is not SendOutcome.NOT_RUN
         if counts:
-            self._fleet.failed(ticket, is_fault)
-        # This looks at the endpoint, which takes time; its health is noted before.
-        ended = self._note_loss(ticket, failure)
+            self._fleet.failed(attempt, is_fault)
+        # This probes the endpoint, which takes time, so the failure is counted first.
+        ended = self._check_crash(attempt, failure)
         if counts and is_fault and not ended:
-            self._fleet.failed_by_version(ticket)
+            self._fleet.failed_by_version(attempt)
         self._last_failure = failure.reason
         log.info(
             "send failed",
-            endpoint=ticket.record.name,
+            endpoint=attempt.record.name,
             endpoint_ended=ended,
             fingerprint=self._fingerprint,
             outcome=str(failure.outcome),
             why=failure.reason,
-            send=self._sends,
+            send=self._attempts,
             begun=self._caller.head_sent,
-            left_ms=milliseconds(self._job.until - self._clock.elapsed()),
+            left_ms=milliseconds(self._admitted.deadline - self._clock.elapsed()),
         )
 
-    def _note_loss(self, ticket: Ticket, failure: SendFailed) -> bool | None:
-        """Return whether the endpoint has ended; None where nothing hints at it."""
+    def _check_crash(self, attempt: Attempt, failure: SendFailed) -> bool | None:
+        """Return whether the endpoint has crashed; None if nothing suggests it."""
         if failure.reason != LOST:
             return None
-        begun = self._splitter.count > self._events_before
-        record = ticket.record
-        self._endpoint_ended = self._suspects.lost(
+        begun = self._splitter.count > self._events_before_attempt
+        record = attempt.record
+        self._endpoint_crashed = self._suspects.lost(
             self._fingerprint, record, begun=begun, listed=self._fleet.is_listed(record)
         )
-        return self._endpoint_ended
+        return self._endpoint_crashed
 
     @cached_property
     def _fingerprint(self) -> str:
-        return fingerprint(self._job.request, self._job.customer_name)
+        return fingerprint(self._admitted.request, self._admitted.customer_name)
 
-    def _may_retry_failure(self) -> bool:
-        """Return whether an endpoint's own failure is worth another send."""
+    def _may_retry_status(self) -> bool:
+        """Return whether a 5xx response may be retried at another endpoint."""
         return (
-            self._job.route.repeatable
-            and self._sends < self._job.route.max_sends
-            and self._fleet.has_another(self._job.service, self._tried)
-            and self._fleet.repeats.may_repeat(self._job.service, spend=False)
+            self._admitted.route.repeatable
+            and self._attempts < self._admitted.route.max_sends
+            and self._fleet.has_another(self._admitted.service, self._tried)
+            and self._fleet.repeats.may_repeat(self._admitted.service, spend=False)
         )
 
     def _may_send_again(self, failure: SendFailed) -> bool:
-        job = self._job
-        if failure.outcome is SendOutcome.UNKNOWN and not job.route.repeatable:
+        admitted = self._admitted
+        if failure.outcome is SendOutcome.UNKNOWN and not admitted.route.repeatable:
             return False
-        if self._endpoint_ended and not self._suspects.may_send_again(
+        if self._endpoint_crashed and not self._suspects.may_send_again(
             self._fingerprint
         ):
             return False
-        if self._clock.elapsed() >= job.until:
+        if self._clock.elapsed() >= admitted.deadline:
             return False
-        if self._sends == 0:
+        if self._attempts == 0:
             return True
-        if self._sends >= job.route.max_sends:
+        if self._attempts >= admitted.route.max_sends:
             return False
-        return self._fleet.repeats.may_repeat(job.service, spend=True)
+        return self._fleet.repeats.may_repeat(admitted.service, spend=True)
 
     def _give_up(self, failure: SendFailed) -> None:
         if self._caller.head_sent:
@@ -394,13 +400,13 @@
                 "stream broken off",
                 why=failure.reason,
                 events=self._splitter.count,
-                sends=self._sends,
+                sends=self._attempts,
             )
             self._caller.abort()
             raise StreamBrokenOff(failure.reason)
         reason = self._last_failure or failure.reason
         if not self._may_have_run:
-            raise RequestRefused(503, reason, retry_after=COME_BACK)
-        if self._clock.elapsed() >= self._job.until:
+            raise RequestRefused(503, reason, retry_after=NO_ENDPOINT_RETRY_AFTER)
+        if self._clock.elapsed() >= self._admitted.deadline:
             raise RequestRefused(504, reason)
         raise RequestRefused(502, reason)
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -23,7 +23,7 @@
 from sassafrasdale.gateway.reading import ReadingTimes
 from sassafrasdale.gateway.repeats import Repeats
 from sassafrasdale.gateway.rollouts import Rollouts
-from sassafrasdale.gateway.tickets import Ticket
+from sassafrasdale.gateway.tickets import Attempt
 from sassafrasdale.gateway.usage import UsageCounts
 
 # Time over which the engines' load is averaged. Requests come in clumps; endpoints
@@ -118,7 +118,7 @@
         route: str = "",
         *,
         again: bool,
-    ) -> Ticket | None:
+    ) -> Attempt | None:
         """Choose the endpoint for a request's next send, which begins.
 
         :param tried: endpoints that it was sent to before.
@@ -126,10 +126,10 @@
         :param again: whether it was sent to any.
         :returns: None if there is no endpoint.
         """
-        ticket = self._begin_next(service, traits, tried, route, again=again)
-        if ticket is not None:
-            ticket.route = route
-        return ticket
+        attempt = self._begin_next(service, traits, tried, route, again=again)
+        if attempt is not None:
+            attempt.route = route
+        return attempt
 
     def _begin_next(
         self,
@@ -139,15 +139,15 @@
         route: str,
         *,
         again: bool,
-    ) -> Ticket | None:
+    ) -> Attempt | None:
         if not again:
-            ticket = self._begin_on_trial(service, traits, tried, route)
-            if ticket is not None:
-                return ticket
+            attempt = self._begin_on_trial(service, traits, tried, route)
+            if attempt is not None:
+                return attempt
         if self._asking is not None and self._service(service).engine is not None:
-            ticket = self._begin_as_named(service, traits, tried)
-            if ticket is not None:
-                return ticket
+            attempt = self._begin_as_named(service, traits, tried)
+            if attempt is not None:
+                return attempt
         return self.begin_here(service, traits, tried, again=again)
 
     def _begin_on_trial(
@@ -156,7 +156,7 @@
         traits: RequestTraits,
         tried: Collection[str],
         route: str,
-    ) -> Ticket | None:
+    ) -> Attempt | None:
         """Choose an endpoint of a version on trial, if the request is in the sample."""
         if not self._rollouts:
             return None
@@ -167,18 +167,18 @@
             return None
         return self._begin_among(candidates, sample, service, traits, again=False)
 
-    def note_send(self, ticket: Ticket, *, again: bool) -> None:
+    def note_send(self, attempt: Attempt, *, again: bool) -> None:
         """Note that a request goes out to an endpoint.
 
         :param again: whether it was sent before.
         """
-        self._repeats.note_send(ticket.service, again=again)
+        self._repeats.note_send(attempt.service, again=again)
         if not again and self._rollouts:
-            self._rollouts.note_send(ticket.record, ticket.route)
+            self._rollouts.note_send(attempt.record, attempt.route)
 
     def _begin_as_named(
         self, service: str, traits: RequestTraits, tried: Collection[str]
-    ) -> Ticket | None:
+    ) -> Attempt | None:
         named = self._asking.ask(service, traits, tried)
         if named is None:
             return None
@@ -188,7 +188,7 @@
             self._asking.ended(number, SendEnd.OTHERWISE)
             return None
         self._cache.sent(record.name, traits.parts, self._cache_tokens(service))
-        ticket = Ticket(
+        attempt = Attempt(
             record,
             service,
             self._clock.elapsed(),
@@ -198,8 +198,8 @@
             number=number,
             named_by=self._asking.dispatcher,
         )
-        self._asking.opened(number, lambda: self._take_over(ticket))
-        return ticket
+        self._asking.opened(number, lambda: self._take_over(attempt))
+        return attempt
 
     def _may_use(
         self, record: EndpointRecord, service: str, tried: Collection[str]
@@ -219,12 +219,12 @@
         """Return what an endpoint's health lets it have, by name; 0 for nothing."""
         return self._directory.health_of(service).weights(self._clock.elapsed())
 
-    def _take_over(self, ticket: Ticket) -> None:
+    def _take_over(self, attempt: Attempt) -> None:
         """Count a send here that a dispatcher no longer counts."""
-        ticket.number = None
-        ticket.record.in_flight += 1
-        if not ticket.has_first:
-            ticket.record.unread_tokens += ticket.unread_tokens
+        attempt.number = None
+        attempt.record.in_flight += 1
+        if not attempt.has_first:
+            attempt.record.unread_tokens += attempt.unread_tokens
 
     def begin_here(
         self,
@@ -233,7 +233,7 @@
         tried: Collection[str],
         *,
         again: bool,
-    ) -> Ticket | None:
+    ) -> Attempt | None:
         """Choose by what this gateway knows, and count the send as under way."""
         listed = self.endpoints(service)
         candidates = [record for record in listed if record.name not in tried]
@@ -247,7 +247,7 @@
         traits: RequestTraits,
         *,
         again: bool,
-    ) -> Ticket | None:
+    ) -> Attempt | None:
         """Choose among some endpoints, and count the send as under way.
 
         :param listed: those of the same versions, among which parts have their homes.
@@ -295,7 +295,7 @@
         weights: Mapping[str, float],
         *,
         again: bool,
-    ) -> Ticket:
+    ) -> Attempt:
         """Note a send as under way.
 
         :param listed: endpoints among which the home of a part is found.
@@ -326,7 +326,7 @@
         queued = record.unread_tokens
         record.in_flight += 1
         record.unread_tokens += unread
-        return Ticket(
+        return Attempt(
             record,
             service.name,
             self._clock.elapsed(),
@@ -336,48 +336,48 @@
             self._news_age,
         )
 
-    def first_token(self, ticket: Ticket, *, has_read: bool = True) -> None:
+    def first_token(self, attempt: Attempt, *, has_read: bool = True) -> None:
         """Note that an endpoint has read the whole prompt, or need not any more.
 
         :param has_read: whether it has. An endpoint that fails a request at once would
             look like one that reads in no time.
         """
-        if ticket.has_first:
+        if attempt.has_first:
             return
-        took = self._clock.elapsed() - ticket.began_at if has_read else None
+        took = self._clock.elapsed() - attempt.began_at if has_read else None
         if took is not None:
-            self._rollouts.note_first(ticket.record, ticket.route, took)
-        if ticket.number is None:
-            self.first_here(ticket, took)
+            self._rollouts.note_first(attempt.record, attempt.route, took)
+        if attempt.number is None:
+            self.first_here(attempt, took)
         else:
-            ticket.has_first = True
-            self._asking.first_token(ticket.number, took)
+            attempt.has_first = True
+            self._asking.first_token(attempt.number, took)
 
-    def first_here(self, ticket: Ticket, took: timedelta | None) -> None:
+    def first_here(self, attempt: Attempt, took: timedelta | None) -> None:
         """Note the same of a send that is counted here.
 
         :param took: time since it was sent; None where the prompt was not read.
         """
-        if ticket.has_first:
+        if attempt.has_first:
             return
-        ticket.has_first = True
-        ticket.record.unread_tokens -= ticket.unread_tokens
+        attempt.has_first = True
+        attempt.record.unread_tokens -= attempt.unread_tokens
         if took is not None:
-            self._reading.observe(ticket.service, ticket.unread_tokens, took)
+            self._reading.observe(attempt.service, attempt.unread_tokens, took)
 
-    def ended(self, ticket: Ticket) -> None:
+    def ended(self, attempt: Attempt) -> None:
         """Note that a send is no longer under way."""
-        if ticket.number is None:
-            self.end_here(ticket)
+        if attempt.number is None:
+            self.end_here(attempt)
         else:
-            self._asking.ended(ticket.number, ticket.end, ticket.pause)
+            self._asking.ended(attempt.number, attempt.end, attempt.pause)
 
-    def end_here(self, ticket: Ticket) -> None:
+    def end_here(self, attempt: Attempt) -> None:
         """Note the same of a send that is counted here."""
-        if not ticket.has_first:
-            ticket.has_first = True
-            ticket.record.unread_tokens -= ticket.unread_tokens
-        ticket.record.in_flight -= 1
+        if not attempt.has_first:
+            attempt.has_first = True
+            attempt.record.unread_tokens -= attempt.unread_tokens
+        attempt.record.in_flight -= 1
 
     def observe(
         self, record: EndpointRecord, end: SendEnd, pause: timedelta | None
@@ -398,40 +398,40 @@
             weight=NO_ANSWER_WEIGHT if end is SendEnd.FAILED else 1,
         )
 
-    def answered(self, ticket: Ticket, status: int, took: timedelta) -> None:
+    def answered(self, attempt: Attempt, status: int, took: timedelta) -> None:
         """Note an endpoint's answer."""
-        record = ticket.record
-        self._rollouts.note_end(record, ticket.route, ok=status < 500)
+        record = attempt.record
+        self._rollouts.note_end(record, attempt.route, ok=status < 500)
         self._directory.health_of(record.endpoint.service).observe(
             record.name, ok=status < 500, now=self._clock.elapsed(), latency=took
         )
 
-    def streamed(self, ticket: Ticket, pauses: Sequence[timedelta] = ()) -> None:
+    def streamed(self, attempt: Attempt, pauses: Sequence[timedelta] = ()) -> None:
         """Note a stream that ended whole.
 
         :param pauses: times between its events.
         """
-        ticket.end = SendEnd.ANSWERED
-        self._rollouts.note_end(ticket.record, ticket.route, ok=True)
-        ticket.pause = low_pause(pauses)
-        if ticket.pause is not None:
-            self._paces.observe_low(ticket.record.name, ticket.pause)
-        self._directory.health_of(ticket.service).observe(
-            ticket.record.name, ok=True, now=self._clock.elapsed()
+        attempt.end = SendEnd.ANSWERED
+        self._rollouts.note_end(attempt.record, attempt.route, ok=True)
+        attempt.pause = low_pause(pauses)
+        if attempt.pause is not None:
+            self._paces.observe_low(attempt.record.name, attempt.pause)
+        self._directory.health_of(attempt.service).observe(
+            attempt.record.name, ok=True, now=self._clock.elapsed()
         )
 
-    def failed_by_version(self, ticket: Ticket) -> None:
+    def failed_by_version(self, attempt: Attempt) -> None:
         """Hold a failure against the version of its endpoint, too.
 
         Not where the endpoint itself has ended: all that ran there fails at once.
         """
-        self._rollouts.note_end(ticket.record, ticket.route, ok=False)
+        self._rollouts.note_end(attempt.record, attempt.route, ok=False)
 
-    def failed(self, ticket: Ticket, is_fault: bool) -> None:
+    def failed(self, attempt: Attempt, is_fault: bool) -> None:
         """Note a send without an answer; a refusal is no fault."""
-        record = ticket.record
+        record = attempt.record
         if is_fault:
-            ticket.end = SendEnd.FAILED
+            attempt.end = SendEnd.FAILED
             self._directory.health_of(record.endpoint.service).observe(
                 record.name,
                 ok=False,
@@ -439,11 +439,11 @@
                 weight=NO_ANSWER_WEIGHT,
             )
 
-    def left(self, ticket: Ticket) -> None:
+    def left(self, attempt: Attempt) -> None:
         """Note that a caller has left; what it did not wait for took this long."""
-        if not ticket.has_first:
-            waited = self._clock.elapsed() - ticket.began_at
-            self._rollouts.note_first(ticket.record, ticket.route, waited)
+        if not attempt.has_first:
+            waited = self._clock.elapsed() - attempt.began_at
+            self._rollouts.note_first(attempt.record, attempt.route, waited)
 
     def began_to_run(self, customer: Customer | None) -> None:
         """Count a request as begun for its customer's usage."""
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -1,4 +1,4 @@
-"""What happens to a caller's request before and after its exchange."""
+"""Admission, error responses and access log for callers' requests."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -9,12 +9,12 @@
 from sassafrasdale.clock import Clock, milliseconds
 from sassafrasdale.deployment import Customer, RequestTraits, Route, name_of
 from sassafrasdale.gateway.exceptions import RequestRefused, StreamBrokenOff
-from sassafrasdale.gateway.exchange import Job, RequestExchange
+from sassafrasdale.gateway.exchange import AdmittedRequest, RequestExchange
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.routing import RouteTable, draw_service
 from sassafrasdale.gateway.suspects import Suspects
-from sassafrasdale.gateway.tickets import Ticket
+from sassafrasdale.gateway.tickets import Attempt
 from sassafrasdale.green import sleep
 from sassafrasdale.http.exceptions import CallerGone
 from sassafrasdale.http.messages import Request
@@ -26,29 +26,31 @@
 
 log = Logger("frontend")
 
-# When a caller is told to come back while this gateway knows no configuration.
-NOT_READY_PAUSE = timedelta(milliseconds=500)
-# How long a request waits for a gateway that has just started.
-START_WAIT = timedelta(milliseconds=150)
-START_STEP = timedelta(milliseconds=10)
-# When a caller of a gateway that stops is told to come back: another one is free.
-STOPPING_PAUSE = timedelta(milliseconds=50)
-# A request that is kept from the endpoints is let through again after minutes, if at
-# all; a caller that comes back sooner only hears the same.
-QUARANTINE_PAUSE = timedelta(seconds=60)
-# Longest time that a caller without a deadline and a route without a limit waits.
-LONGEST_WAIT = timedelta(seconds=60)
+# Retry-After while this gateway has no configuration yet.
+NOT_READY_RETRY_AFTER = timedelta(milliseconds=500)
+# Longest time that a request waits for a gateway that has just started.
+STARTUP_WAIT = timedelta(milliseconds=150)
+STARTUP_POLL_INTERVAL = timedelta(milliseconds=10)
+# Retry-After while this gateway is stopping; the balancer sends the retry to another
+# one.
+STOPPING_RETRY_AFTER = timedelta(milliseconds=50)
+# Retry-After for a quarantined request: it is not allowed again for minutes, if at all,
+# so an earlier retry gets the same response.
+QUARANTINE_RETRY_AFTER = timedelta(seconds=60)
+# Time limit of a request without a deadline whose route allows more time.
+DEFAULT_TIMEOUT = timedelta(seconds=60)
 
 
 class Frontend:
-    """Lets requests in, has them answered, and says what became of each.
+    """Admits requests, has them forwarded, and logs the outcome of each.
 
-    :param routes: look-ups in the configuration in force; None before there is one.
+    :param routes: returns the look-ups for the current configuration; None before one
+        is loaded.
     :param fleet: the endpoints.
-    :param quotas: customers' limits.
-    :param suspects: requests that endpoints have ended under.
-    :param may_serve: whether this gateway knows enough to serve.
-    :param last_end: elapsed time by which new requests must end; None without bound.
+    :param quotas: customers' rate limits.
+    :param suspects: quarantine of requests that crash endpoints.
+    :param may_serve: whether this gateway has the state that it needs to serve.
+    :param last_end: elapsed time by which new requests must end; None for no limit.
     """
 
     def __init__(
@@ -74,10 +76,10 @@
         self._last_end = last_end
 
     def answer(self, caller: ServerConnection, request: Request) -> None:
-        """Answer one request, whatever happens."""
+        """Handle one request; errors become responses and are never raised."""
         with request_context(request.header(REQUEST_ID) or "none"):
             began = self._clock.elapsed()
-            record = _Record()
+            record = _AccessRecord()
             try:
                 self._answer(caller, request, record)
             except RequestRefused as refusal:
@@ -89,7 +91,7 @@
                 record.outcome = record.outcome or "caller gone"
             except Exception:
                 record.outcome = "internal error"
-                log.exception("request failed within the gateway")
+                log.exception("unhandled exception while serving a request")
                 if caller.head_sent:
                     caller.abort()
                 else:
@@ -98,49 +100,49 @@
                 self._log_end(record, self._clock.elapsed() - began)
 
     def _answer(
-        self, caller: ServerConnection, request: Request, record: "_Record"
+        self, caller: ServerConnection, request: Request, record: "_AccessRecord"
     ) -> None:
-        job = self._admit(request, record)
+        admitted = self._admit(request, record)
         exchange = RequestExchange(
-            job, caller, self._fleet, self._suspects, self._clock
+            admitted, caller, self._fleet, self._suspects, self._clock
         )
         try:
             record.status = exchange.run()
             record.outcome = "answered"
         except RequestRefused as refusal:
-            # Only then is it sure that the request takes nothing of the limit.
-            if refusal.status == 503 and job.customer is not None:
-                self._quotas.restore(job.customer, job.traits)
+            # A 503 means that the request did not run, so its quota is returned.
+            if refusal.status == 503 and admitted.customer is not None:
+                self._quotas.restore(admitted.customer, admitted.traits)
             raise
         finally:
-            record.sends = exchange.sends
+            record.attempts = exchange.attempts
             record.endpoint = exchange.endpoint
             record.first_after = exchange.first_byte_after
-            record.ticket = exchange.ticket
+            record.last_attempt = exchange.last_attempt
 
-    def _admit(self, request: Request, record: "_Record") -> Job:
-        """Return the request as one that may run.
+    def _admit(self, request: Request, record: "_AccessRecord") -> AdmittedRequest:
+        """Check that a request may run, and return it with its routing decision.
 
-        :raises RequestRefused: if it may not.
+        :raises RequestRefused: if it may not run.
         """
         now = self._clock.elapsed()
-        self._wait_until_ready(now + START_WAIT)
+        self._wait_until_ready(now + STARTUP_WAIT)
         routes = self._routes()
         if routes is None or not self._may_serve():
-            raise RequestRefused(503, "not ready", retry_after=NOT_READY_PAUSE)
+            raise RequestRefused(503, "not ready", retry_after=NOT_READY_RETRY_AFTER)
         record.version = routes.configuration.version
         route = routes.route(request.header("host"), request.target)
         if route is None:
             raise RequestRefused(404, "no route")
         record.route = route.name
         traits = self._traits(request)
-        until = now + min(route.timeout, traits.deadline or LONGEST_WAIT)
+        deadline = now + min(route.timeout, traits.deadline or DEFAULT_TIMEOUT)
         last_end = self._last_end()
-        if last_end is not None and until > last_end:
-            raise RequestRefused(503, "stopping", retry_after=STOPPING_PAUSE)
+        if last_end is not None and deadline > last_end:
+            raise RequestRefused(503, "stopping", retry_after=STOPPING_RETRY_AFTER)
         customer = self._customer(routes, route, traits)
         service = draw_service(route, self._rng)
-        avoided = self._check_suspicion(request, customer, service, record)
+        avoided = self._check_quarantine(request, customer, service, record)
         if customer is not None:
             record.customer = customer.name
             pause = self._quotas.admit(customer, traits)
@@ -151,18 +153,20 @@
                 )
         record.service = service
         self._metrics.request_began(service)
-        return Job(request, traits, route, service, customer, now, until, avoided)
+        return AdmittedRequest(
+            request, traits, route, service, customer, now, deadline, avoided
+        )
 
-    def _check_suspicion(
+    def _check_quarantine(
         self,
         request: Request,
         customer: Customer | None,
         service: str,
-        record: "_Record",
+        record: "_AccessRecord",
     ) -> frozenset[str]:
-        """Return the endpoints that must not get a request.
+        """Return the endpoints that the request must not be sent to.
 
-        :raises RequestRefused: if none may.
+        :raises RequestRefused: if the request is quarantined.
         """
         verdict = self._suspects.verdict(
             request, name_of(customer), self._fleet.endpoints(service)
@@ -170,15 +174,15 @@
         if not verdict.refused:
             return verdict.avoided
         record.fingerprint = verdict.fingerprint
-        raise RequestRefused(503, "quarantined", retry_after=QUARANTINE_PAUSE)
+        raise RequestRefused(503, "quarantined", retry_after=QUARANTINE_RETRY_AFTER)
 
-    def _wait_until_ready(self, until: timedelta) -> None:
-        """Wait for the first answers of the store, a few milliseconds after a start.
+    def _wait_until_ready(self, deadline: timedelta) -> None:
+        """Wait for the store's first responses, a few milliseconds after startup.
 
-        Callers' connections wait from before the program was loaded.
+        Callers may connect before the program has finished loading.
         """
-        while not self._may_serve() and self._clock.elapsed() < until:
-            sleep(START_STEP)
+        while not self._may_serve() and self._clock.elapsed() < deadline:
+            sleep(STARTUP_POLL_INTERVAL)
 
     def _traits(self, request: Request) -> RequestTraits:
         try:
@@ -197,7 +201,7 @@
         return customer
 
     def _refuse(
-        self, caller: ServerConnection, refusal: RequestRefused, record: "_Record"
+        self, caller: ServerConnection, refusal: RequestRefused, record: "_AccessRecord"
     ) -> None:
         record.status = refusal.status
         record.outcome = "refused"
@@ -211,14 +215,14 @@
         except CallerGone:
             record.outcome = "caller gone"
 
-    def _log_end(self, record: "_Record", took: timedelta) -> None:
+    def _log_end(self, record: "_AccessRecord", took: timedelta) -> None:
         self._metrics.count(
             "request", outcome=record.outcome, status=str(record.status)
         )
         if record.service is not None:
             self._metrics.request_ended(record.service, record.outcome, took)
         first = record.first_after
-        ticket = record.ticket
+        attempt = record.last_attempt
         log.info(
             "request ended",
             outcome=record.outcome,
@@ -230,20 +234,20 @@
             version=record.version,
             endpoint=record.endpoint,
             fingerprint=record.fingerprint,
-            sends=record.sends,
+            sends=record.attempts,
             limit=record.limit,
-            unread=ticket and ticket.unread_tokens,
-            queued=ticket and ticket.queued_tokens,
-            news_ms=ticket and milliseconds(ticket.news_age),
-            named_by=(ticket and ticket.named_by) or None,
-            fetched_from=ticket and ticket.source and ticket.source.name,
+            unread=attempt and attempt.unread_tokens,
+            queued=attempt and attempt.queued_tokens,
+            news_ms=attempt and milliseconds(attempt.news_age),
+            named_by=(attempt and attempt.named_by) or None,
+            fetched_from=attempt and attempt.source and attempt.source.name,
             first_ms=None if first is None else milliseconds(first),
             took_ms=milliseconds(took),
         )
 
 
-class _Record:
-    """What the log says of a request."""
+class _AccessRecord:
+    """Fields of a request's access log line."""
 
     def __init__(self) -> None:
         self.outcome = ""
@@ -254,8 +258,8 @@
         self.customer: str | None = None
         self.endpoint: str | None = None
         self.version = 0
-        self.sends = 0
+        self.attempts = 0
         self.first_after: timedelta | None = None
         self.limit: str | None = None
         self.fingerprint: str | None = None
-        self.ticket: Ticket | None = None
+        self.last_attempt: Attempt | None = None
--- a/src/sassafrasdale/gateway/tickets.py
+++ b/src/sassafrasdale/gateway/tickets.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class Ticket:
+class Attempt:
     """One send that is under way.
 
     :param unread_tokens: prompt tokens that the endpoint has yet to read for it.
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -159,14 +159,14 @@
 
 
 def test_first_tokens_and_ends_are_told(zone):
-    ticket = zone.send(0, 8000)
+    attempt = zone.send(0, 8000)
     assert zone.central.unread() == 8000
     zone.clock.advance(SECOND / 5)
-    zone.gateways[0].fleet.first_token(ticket)
+    zone.gateways[0].fleet.first_token(attempt)
     zone.tell()
     assert zone.central.unread() == 0
     assert sum(zone.central.under_way()) == 1
-    zone.gateways[0].fleet.ended(ticket)
+    zone.gateways[0].fleet.ended(attempt)
     zone.tell()
     assert sum(zone.central.under_way()) == 0
 
@@ -178,8 +178,8 @@
     hears that nothing came of it.
     """
     zone.answers = False
-    ticket = zone.send(0)
-    assert ticket is not None
+    attempt = zone.send(0)
+    assert attempt is not None
     assert sum(zone.gateways[0].under_way()) == 1
     zone.tell()
     assert sum(zone.central.under_way()) == 0
@@ -221,9 +221,9 @@
 
 def test_lost_notes_are_made_good_by_the_next_report(zone):
     """An engine would be held to be full for good."""
-    ticket = zone.send(0)
+    attempt = zone.send(0)
     zone.hears_notes = False
-    zone.gateways[0].fleet.ended(ticket)
+    zone.gateways[0].fleet.ended(attempt)
     zone.tell()
     assert sum(zone.central.under_way()) == 1
     zone.clock.advance(UNLISTED * 2)
@@ -277,8 +277,8 @@
     for number in range(4):
         if f"i-{number}" != named:
             zone.central.directory.remove(f"i-{number}")
-    ticket = zone.send(0)
-    assert ticket.record.name != named
+    attempt = zone.send(0)
+    assert attempt.record.name != named
     zone.tell()
     assert sum(zone.central.under_way()) == 1
 
@@ -286,11 +286,11 @@
 def test_failures_at_one_gateway_are_known_to_the_dispatcher(zone):
     """Each gateway of a zone would send a request to an endpoint that fails them."""
     for _ in range(4):
-        ticket = zone.send(0)
-        zone.gateways[0].fleet.failed(ticket, is_fault=True)
-        zone.gateways[0].fleet.ended(ticket)
+        attempt = zone.send(0)
+        zone.gateways[0].fleet.failed(attempt, is_fault=True)
+        zone.gateways[0].fleet.ended(attempt)
         zone.tell()
-        failed = ticket.record.name
+        failed = attempt.record.name
     weights = zone.central.directory.health_of("models").weights(zone.clock.elapsed())
     assert weights[failed] < 1
 
@@ -316,10 +316,10 @@
     gateway = zone.gateways[0].fleet
     for _ in range(20):
         for tokens in (200, 8000):
-            ticket = zone.send(0, tokens)
+            attempt = zone.send(0, tokens)
             zone.clock.advance(SECOND / 500)
-            gateway.first_token(ticket, has_read=False)
-            gateway.ended(ticket)
+            gateway.first_token(attempt, has_read=False)
+            gateway.ended(attempt)
             zone.tell()
     assert zone.central.fleet.token_times() == {}
     assert sum(zone.central.under_way()) == 0
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -1,4 +1,4 @@
-"""One request's way to endpoints that fail in every manner."""
+"""Forwarding of a request to endpoints that fail in various ways."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -66,8 +66,8 @@
     return int(answer.split(b" ", 2)[1])
 
 
-def test_a_failure_counts_before_the_endpoint_is_looked_at():
-    """Guards against requests that go on to a failed endpoint during the look."""
+def test_a_failure_counts_before_the_endpoint_is_probed():
+    """Guards against requests sent to a failed endpoint while it is being probed."""
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(reset))
     noted = []
@@ -81,7 +81,7 @@
     assert noted == ["failed", "looked at"]
 
 
-def test_an_endpoints_answer_goes_through():
+def test_an_endpoints_response_is_relayed():
     world = World()
     endpoint = ScriptedEndpoint(plain(b"record"))
     world.add("i-1", "records", endpoint)
@@ -96,7 +96,7 @@
     assert 0 < int(header(sent, "deadline-ms")) <= 600
 
 
-def test_an_endpoints_own_failure_goes_through():
+def test_an_endpoints_error_response_is_relayed():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(plain(b"no", "500 Error")))
     answer = world.ask(request("/certificates/7"))
@@ -129,11 +129,11 @@
 
 
 def test_a_non_idempotent_request_runs_at_most_once():
-    """A batch would get two certificates.
+    """Guards against running a non-idempotent request twice.
 
-    The endpoint reads the request and closes without an answer: it may have run
-    it. Another endpoint is free, but must not get the request, and the caller must
-    not be told that it did not run.
+    The endpoint reads the request and closes the connection without a response, so it
+    may have run it. The request must not be retried at the other endpoint, and the
+    caller must not be told that it did not run.
     """
     world = World()
     endpoints = [ScriptedEndpoint(reset), ScriptedEndpoint(reset)]
@@ -144,7 +144,7 @@
     assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
 
-def test_a_request_that_an_endpoint_did_not_run_is_refused_so():
+def test_a_request_that_did_not_run_gets_status_503():
     world = World()
     shed = plain(b"", "503 Unavailable", "Not-Run: 1\r\n")
     world.add("i-1", "records", ScriptedEndpoint(shed))
@@ -153,7 +153,7 @@
     assert float(header(answer, "retry-after")) > 0
 
 
-def test_an_idempotent_request_goes_on_elsewhere():
+def test_an_idempotent_request_is_retried():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(reset))
     world.add("i-2", "records", ScriptedEndpoint(plain(b"page")))
@@ -162,7 +162,7 @@
         assert status_of(answer) == 200
 
 
-def test_no_more_sends_than_the_route_allows():
+def test_attempts_are_limited_by_the_route():
     world = World()
     endpoints = [ScriptedEndpoint(reset) for _ in range(5)]
     for number, endpoint in enumerate(endpoints):
@@ -173,7 +173,7 @@
     assert sum(len(endpoint.requests) for endpoint in endpoints) <= 3
 
 
-def test_an_endpoint_that_nobody_listens_at_costs_no_send():
+def test_a_refused_connection_counts_as_no_attempt():
     world = World()
     address = serve_raw(hang)
     gone = ScriptedEndpoint(plain())
@@ -184,7 +184,7 @@
         assert status_of(world.ask(request("/certificates/7", f"r-{number}"))) == 200
 
 
-def test_a_success_without_a_signature_is_no_answer():
+def test_a_success_without_a_signature_is_rejected():
     world = World()
 
     def unsigned(sock, raw):
@@ -194,7 +194,7 @@
     assert status_of(world.ask(request("/certificates/7"))) == 502
 
 
-def test_a_stream_goes_through():
+def test_a_stream_is_relayed():
     world = World()
     world.add("i-1", "models", ScriptedEndpoint(streamed(1, 2, 3)))
     world.add("i-2", "models-next", ScriptedEndpoint(streamed(1, 2, 3)))
@@ -204,11 +204,11 @@
     assert answer.endswith(b"0\r\n\r\n")
 
 
-def test_a_stream_that_breaks_off_goes_on_elsewhere():
-    """A caller would see a stream end early, or with half an event.
+def test_an_interrupted_stream_is_resumed_elsewhere():
+    """Guards against streams that end early or with part of an event.
 
-    The first endpoint stops within event 3. The second gets the same request with
-    the id of the last whole event; the caller sees one stream without a seam.
+    The first endpoint stops within event 3. The second one gets the same request with
+    the id of the last complete event; the caller sees one continuous stream.
     """
     world = World()
     first = ScriptedEndpoint(streamed(1, 2, ends=False, tail=b"id: 3\nda"))
@@ -226,11 +226,11 @@
     assert header(second.requests[0], "last-event-id") == "2"
 
 
-def test_a_stream_that_an_engine_fails_goes_on_elsewhere():
-    """A contractor would wait for a report that one engine could not begin.
+def test_a_stream_that_fails_before_its_first_event_is_retried():
+    """Guards against a failed stream that another engine could have served.
 
-    The engine answers with a failure of its own before the first event; the stream
-    may be resumed, so it may as well begin at another engine.
+    The engine responds with a 5xx status before the first event; the route allows
+    resuming, so the stream may start at another engine.
     """
     world = World(routes=_only_reports())
     engines = [
@@ -246,7 +246,7 @@
     assert [status_of(answer) for answer in answers] == [200] * 3
 
 
-def test_a_stream_that_may_not_be_resumed_is_broken_off():
+def test_a_stream_that_may_not_be_resumed_is_aborted():
     world = World(routes=_only_reports(allowResume=False))
     world.add("i-1", "models", ScriptedEndpoint(streamed(1, ends=False)))
     answer = world.ask(request("/reports/7", **STREAM))
@@ -254,7 +254,7 @@
     assert not answer.endswith(b"0\r\n\r\n")
 
 
-def test_a_stream_that_ends_within_an_event_is_not_complete():
+def test_a_stream_that_ends_within_an_event_is_aborted():
     world = World(routes=_only_reports(allowResume=False))
     world.add("i-1", "models", ScriptedEndpoint(streamed(1, tail=b"id: 2\nda")))
     answer = world.ask(request("/reports/7", **STREAM))
@@ -273,15 +273,15 @@
     return script
 
 
-def test_the_last_engine_is_waited_for(monkeypatch):
-    """A caller would lose a stream that only paused.
+def test_the_last_engine_has_no_idle_timeout(monkeypatch):
+    """Guards against abandoning a stream that only pauses.
 
-    The stream may be sent to two engines. The first fails at once; the second has
-    a queue and pauses after its first event for longer than an engine is waited for
-    while there is another.
+    The route allows two attempts. The first one fails at once; the second engine queues
+    the request and pauses after its first event for longer than the idle timeout that
+    applies while another engine is available.
     """
     monkeypatch.setattr(
-        "sassafrasdale.gateway.exchange.SILENCE_LIMIT", timedelta(milliseconds=50)
+        "sassafrasdale.gateway.exchange.STREAM_IDLE_TIMEOUT", timedelta(milliseconds=50)
     )
     world = World(routes=_only_reports())
     engines = [
@@ -298,9 +298,9 @@
     assert body_of(answer) == event(1) + event(2)
 
 
-def test_a_silent_engine_is_left_while_there_is_another(monkeypatch):
+def test_a_silent_engine_is_abandoned_for_another(monkeypatch):
     monkeypatch.setattr(
-        "sassafrasdale.gateway.exchange.SILENCE_LIMIT", timedelta(milliseconds=50)
+        "sassafrasdale.gateway.exchange.STREAM_IDLE_TIMEOUT", timedelta(milliseconds=50)
     )
     world = World(routes=_only_reports())
     silent = ScriptedEndpoint(pausing(0, 5))
@@ -312,11 +312,11 @@
     assert body_of(answer) == event(1) + event(2) + event(3)
 
 
-def test_a_limit_is_given_back_only_for_what_did_not_run():
-    """A customer would get more than its limit by leaving early.
+def test_quota_is_returned_only_for_requests_that_did_not_run():
+    """Guards against customers who exceed their limit by disconnecting early.
 
-    The caller leaves while the endpoint works on its request, which counts; another
-    request is refused by the endpoint as not run, which doesn't.
+    A request whose caller disconnects while the endpoint runs it counts against the
+    limit; one that the endpoint refuses as not run doesn't.
     """
     world = World()
     taken = []
@@ -335,11 +335,11 @@
     assert taken == ["lab-a"]
 
 
-def test_a_caller_that_leaves_frees_its_endpoint():
-    """An endpoint would work for a caller that has left.
+def test_a_disconnect_closes_the_endpoints_connection():
+    """Guards against endpoints that keep working for a disconnected caller.
 
-    The caller closes while the endpoint works; the endpoint's connection must end
-    at once, and the request must not be sent to another.
+    The caller disconnects while the endpoint runs the request; the endpoint's
+    connection must be closed at once, and the request must not be retried.
     """
     world = World()
     endpoint = ScriptedEndpoint(hang)
@@ -355,7 +355,7 @@
     assert other.requests == []
 
 
-def test_the_final_answer_comes_when_the_time_is_up():
+def test_the_deadline_gives_status_504():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(hang))
     began = CLOCK.elapsed()
@@ -365,7 +365,7 @@
     assert CLOCK.elapsed() - began < timedelta(milliseconds=300)
 
 
-def test_loads_are_given_back():
+def test_load_counts_return_to_zero():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(plain(), reset, plain()))
     for number in range(3):
@@ -374,7 +374,7 @@
     assert world.directory.records["i-1"].unread_tokens == 0
 
 
-def test_usage_counts_what_began_to_run():
+def test_usage_counts_requests_that_ran():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(plain()))
     world.ask(request("/certificates/7"))
@@ -383,10 +383,10 @@
     assert counts == {"lab-a": 1}
 
 
-def test_an_endpoint_that_gives_no_answer_is_soon_passed_over():
-    """Each caller in turn would lose its request to the same dead endpoint.
+def test_an_endpoint_without_responses_is_soon_ejected():
+    """Guards against one failing endpoint that costs many callers their request.
 
-    One of two endpoints reads requests and closes without an answer.
+    One of two endpoints reads requests and closes the connection without a response.
     """
     world = World()
     dead = ScriptedEndpoint(reset)
@@ -397,8 +397,8 @@
     assert len(dead.requests) <= 2
 
 
-def test_a_failure_of_an_engines_own_teaches_no_reading_time():
-    """Engines that fail everything at once would be held to be the fastest."""
+def test_error_responses_are_no_prefill_samples():
+    """Guards against failing engines that are taken for the fastest ones."""
     world = World()
     world.quotas.admit = lambda customer, traits: None
     world.add("m-1", "models", ScriptedEndpoint(plain(b"no", "500 No")))
@@ -436,8 +436,8 @@
     ]
 
 
-def test_a_request_that_ended_three_endpoints_is_refused_at_once():
-    """Guards against an endpoint lost with each attempt of a caller that persists."""
+def test_a_request_that_crashed_three_endpoints_is_refused_at_once():
+    """Guards against one more crashed endpoint with each retry by the caller."""
     world = World(routes=_only_reports(allowResume=False))
     for number in range(3):
         world.add(f"i-{number}", "models", CrashingEndpoint())
@@ -459,8 +459,8 @@
     assert status_of(innocent) == 200
 
 
-def test_one_attempt_without_an_event_ends_two_endpoints_at_most():
-    """Guards against an attempt that takes as many endpoints as its route allows."""
+def test_a_request_without_events_crashes_two_endpoints_at_most():
+    """Guards against a request that crashes an endpoint with each allowed attempt."""
     world = World(routes=_only_reports(maxTries=5))
     endpoints = [CrashingEndpoint() for _ in range(4)]
     for number, endpoint in enumerate(endpoints):
@@ -470,8 +470,8 @@
     assert sum(len(endpoint.requests) for endpoint in endpoints) == 2
 
 
-def test_a_stream_that_met_two_crashes_goes_on():
-    """Guards against streams broken off that only ran beside a crashing request."""
+def test_a_stream_survives_two_crashes():
+    """Guards against aborting streams that only ran beside a crashing request."""
     world = World(routes=_only_reports(maxTries=5))
     crashes = iter([True, True, False])
     for number in range(4):
@@ -484,8 +484,8 @@
 
 
 @pytest.mark.parametrize("how", ["draining", "removed"])
-def test_what_ran_at_an_endpoint_that_left_is_no_suspect(how):
-    """Guards against refusals of what was cut off as endpoints were reclaimed."""
+def test_requests_at_a_leaving_endpoint_get_no_strike(how):
+    """Guards against quarantining requests cut off when endpoints are reclaimed."""
     world = World(routes=_only_reports(allowResume=False))
 
     def leave() -> bool:
@@ -501,11 +501,11 @@
     assert world.suspects.described() == []
 
 
-def test_a_request_goes_on_once_its_silent_endpoint_is_gone():
-    """Guards against callers that wait to their deadline on an instance that is off.
+def test_a_request_is_retried_once_its_endpoint_is_unreachable():
+    """Guards against callers that wait until their deadline for a lost instance.
 
-    The endpoint reads a request and falls silent, as its instance loses power: nothing
-    is reset, and new connections get no answer. Its entry lapses in the list.
+    The endpoint reads a request and then its instance loses power: connections are not
+    reset, and new ones get no reply. Its registration expires.
     """
     world = World(routes=_only_reports())
     silent = DarkEndpoint()
@@ -522,8 +522,8 @@
     silent.close()
 
 
-def test_a_request_that_turns_endpoints_dark_is_kept_back():
-    """Guards against instances lost without a reset, one with each attempt."""
+def test_a_request_that_makes_endpoints_unreachable_is_quarantined():
+    """Guards against losing one instance, without a reset, per retry by the caller."""
     world = World(routes=_only_reports(allowResume=False))
     silent = [DarkEndpoint() for _ in range(3)]
     for number, endpoint in enumerate(silent):
@@ -539,8 +539,8 @@
         endpoint.close()
 
 
-def test_a_request_at_an_endpoint_that_only_lapsed_in_the_list_is_left_alone():
-    """Guards against streams broken off as entries lapse while their endpoints live."""
+def test_an_expired_registration_does_not_abort_streams():
+    """Guards against aborting streams when only the endpoint's registration expires."""
     world = World(routes=_only_reports(allowResume=False))
     world.add("i-1", "models", ScriptedEndpoint(pausing(2.0, 0.1)))
     caller = world.caller()
@@ -552,8 +552,8 @@
     assert world.suspects.described() == []
 
 
-def test_an_endpoint_that_crashed_is_left_alone_and_used_once_it_is_back():
-    """Guards against requests that go to an endpoint while it starts, or not after."""
+def test_a_crashed_endpoint_is_used_again_after_its_restart():
+    """Guards against requests sent to a crashed endpoint, or none after its restart."""
     world = World(routes=_only_reports(allowResume=False))
     dead = CrashingEndpoint()
     world.add("i-1", "models", dead)
