--- a/src/sassafrasdale/gateway/placement.py
+++ b/src/sassafrasdale/gateway/placement.py
@@ -1,4 +1,4 @@
-"""Which endpoint gets a request."""
+"""Choice of the endpoint for a request."""
 
 from collections import OrderedDict
 from collections.abc import Collection, Mapping, Sequence
@@ -13,27 +13,28 @@
 from sassafrasdale.deployment import PromptPart, RequestTraits, Service
 from sassafrasdale.gateway.directory import EndpointRecord
 
-# Time that each request that runs on an engine adds to another's.
-RUNNING_TIME = timedelta(milliseconds=2)
-# Time that a request takes at a plain endpoint while it has free places.
-PLAIN_TIME = timedelta(milliseconds=20)
-# Handicap of an endpoint in another availability zone: the way there and back, and
-# the price of the bytes.
-OTHER_ZONE = timedelta(milliseconds=4)
-# Part of an engine's memory that cached parts are expected to keep; running
+# Time that each running request on an engine adds to another's.
+RUNNING_REQUEST_TIME = timedelta(milliseconds=2)
+# Time that a request takes at a plain endpoint while it has free slots.
+PLAIN_REQUEST_TIME = timedelta(milliseconds=20)
+# Penalty for an endpoint in another availability zone: the network round trip and the
+# price of the traffic.
+CROSS_ZONE_PENALTY = timedelta(milliseconds=4)
+# Share of an engine's KV cache that cached prompt parts are expected to keep; running
 # requests have the rest.
 CACHED_SHARE = 0.6
-# Time in which an engine that starts gets most of the shared parts that are in use.
-FILLING = timedelta(seconds=8)
+# Time in which a new engine's cache receives most of the shared parts that are in use.
+CACHE_WARMUP_TIME = timedelta(seconds=8)
 
 
 class CacheBelief:
-    """Which prompt parts each engine is expected to have in its memory.
+    """Estimate of the prompt parts that each engine has in its KV cache.
 
-    Known from this gateway's own sends. Besides, a part is expected at its home,
-    which all gateways find by the same hash: some of them will have sent it there.
-    Without that, a gateway that once went elsewhere for the load would go on doing
-    so, and each part would be read by many engines.
+    It is based on this gateway's own attempts. In addition, a part is assumed to be
+    cached at its owner, the endpoint that rendezvous hashing picks on all gateways
+    alike: some of them will have sent it there. Otherwise a gateway that once chose
+    another engine because of the load would keep doing so, and many engines would
+    prefill the same part.
     """
 
     def __init__(self) -> None:
@@ -41,47 +42,47 @@
         self._tokens: dict[str, int] = {}
 
     def sent(self, endpoint: str, parts: Sequence[PromptPart], capacity: int) -> None:
-        """Note that an engine reads a prompt."""
-        held = self._parts.setdefault(endpoint, OrderedDict())
+        """Record that an engine gets a prompt."""
+        cached = self._parts.setdefault(endpoint, OrderedDict())
         total = self._tokens.get(endpoint, 0)
         for part in parts:
-            total += part.tokens - held.pop(part.name, 0)
-            held[part.name] = part.tokens
-        while total > capacity * CACHED_SHARE and held:
-            total -= held.popitem(last=False)[1]
+            total += part.tokens - cached.pop(part.name, 0)
+            cached[part.name] = part.tokens
+        while total > capacity * CACHED_SHARE and cached:
+            total -= cached.popitem(last=False)[1]
         self._tokens[endpoint] = total
 
     def cached_tokens(self, endpoint: str, parts: Sequence[PromptPart]) -> int:
-        """Return how much of a prompt's beginning an engine is expected to have."""
-        held = self._parts.get(endpoint, {})
+        """Return the tokens of a prompt's prefix that an engine is expected to have."""
+        cached = self._parts.get(endpoint, {})
         tokens = 0
         for part in parts:
-            if part.name not in held:
+            if part.name not in cached:
                 break
             tokens += part.tokens
         return tokens
 
     def forget(self, endpoint: str) -> None:
-        """Drop what is known of an engine that is gone."""
+        """Drop the estimate for an engine that is gone."""
         self._parts.pop(endpoint, None)
         self._tokens.pop(endpoint, None)
 
 
 def shared_parts(traits: RequestTraits) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt that other requests may have, too."""
+    """Return the parts of a prompt that other requests may share."""
     return traits.parts[:-1]
 
 
-def home_of(part: str, names: Collection[str]) -> str:
-    """Return the endpoint that a part's hash names, on all gateways alike."""
+def owner_of(part: str, names: Collection[str]) -> str:
+    """Return the owner of a part by rendezvous hashing, the same on all gateways."""
     return max(names, key=lambda name: xxh64_intdigest(f"{part} {name}".encode()))
 
 
 class Placement:
-    """Chooses endpoints by the time that a request is expected to take there.
+    """Chooses endpoints by a request's expected completion time there.
 
     :param availability_zone: where this gateway runs.
-    :param cache: expected contents of the engines' memories.
+    :param cache: estimated contents of the engines' KV caches.
     :param paces: how much slower some engines are than others.
     """
 
@@ -105,30 +106,32 @@
         peers: Mapping[str, ToldLoad],
         weights: Mapping[str, float],
         token_time: timedelta,
-        unseen: timedelta = timedelta(),
+        unreported_work: timedelta = timedelta(),
     ) -> EndpointRecord | None:
         """Return the best of the candidates, or None if there are none.
 
         :param peers: load from the other gateways, by endpoint.
         :param weights: health by endpoint; 0 for one that is ejected.
-        :param token_time: time that an engine takes for a prompt token.
-        :param unseen: engine time that the other gateways' requests have most likely
-            taken at an endpoint since they told their loads.
+        :param token_time: time that an engine takes to prefill a token.
+        :param unreported_work: engine time that the other gateways' requests have most
+            likely taken at an endpoint since they reported their loads.
         """
         if not candidates:
             return None
-        sound = [rec for rec in candidates if weights.get(rec.name, 1.0) > 0]
-        home = self._home(sound or candidates, traits)
+        healthy = [rec for rec in candidates if weights.get(rec.name, 1.0) > 0]
+        owner = self._owner(healthy or candidates, traits)
         slowness = self._paces.slowness([record.name for record in candidates])
 
         def cost(record: EndpointRecord) -> timedelta:
             load = peers.get(record.name, NO_LOAD)
-            pace = token_time * slowness.get(record.name, 1.0)
-            expected = self._expected_time(record, service, traits, load, home, pace)
-            expected += unseen * self._rng.random()
+            scaled_token_time = token_time * slowness.get(record.name, 1.0)
+            expected = self._expected_time(
+                record, service, traits, load, owner, scaled_token_time
+            )
+            expected += unreported_work * self._rng.random()
             return expected / max(weights.get(record.name, 1.0), 0.05)
 
-        return min(sound or candidates, key=lambda rec: (cost(rec), rec.name))
+        return min(healthy or candidates, key=lambda rec: (cost(rec), rec.name))
 
     def source(
         self,
@@ -139,14 +142,14 @@
         token_time: timedelta,
         now: timedelta,
     ) -> EndpointRecord | None:
-        """Return the engine from which another one should fetch shared parts.
+        """Return the engine from which another one should fetch shared prompt parts.
 
-        That is the one that this gateway sent them to, or else their home among the
-        others: a new engine becomes the home of parts that the next one has had so far.
-        An engine that has them already fetches nothing.
+        That is the one that this gateway sent them to, or else their owner among the
+        others: a new engine becomes the owner of parts that another one has owned so
+        far. An engine that has them cached fetches nothing.
 
         :param record: the engine that gets the request.
-        :param others: engines that still serve, leaving ones too.
+        :param others: engines that still serve, including leaving ones.
         :param now: elapsed time.
         """
         shared = shared_parts(traits)
@@ -161,10 +164,12 @@
         best = max(others, key=lambda rec: self._cache.cached_tokens(rec.name, shared))
         if self._cache.cached_tokens(best.name, shared) >= wanted:
             return best
-        # New ones have had little yet; where all are new, any may be the one.
-        filled = [rec for rec in others if now - rec.listed_at > FILLING] or others
-        home = self._home(filled, traits)
-        return next(other for other in filled if other.name == home)
+        # New engines have little cached yet; if all are new, any may have the parts.
+        warmed_up = [
+            rec for rec in others if now - rec.listed_at > CACHE_WARMUP_TIME
+        ] or others
+        owner = self._owner(warmed_up, traits)
+        return next(other for other in warmed_up if other.name == owner)
 
     def unread_tokens(
         self,
@@ -172,27 +177,29 @@
         candidates: Sequence[EndpointRecord],
         traits: RequestTraits,
     ) -> int:
-        """Return the prompt tokens that an engine is expected to have to read.
+        """Return the prompt tokens that an engine is expected to prefill.
 
-        :param candidates: the engines among which the home of a part is found.
+        :param candidates: the engines among which the owner of a part is found.
         """
-        return self._uncached_tokens(record, traits, self._home(candidates, traits))
+        return self._uncached_tokens(record, traits, self._owner(candidates, traits))
 
     def _uncached_tokens(
-        self, record: EndpointRecord, traits: RequestTraits, home: str
+        self, record: EndpointRecord, traits: RequestTraits, owner: str
     ) -> int:
         prompt = traits.prompt_tokens or 0
-        if record.name == home:
+        if record.name == owner:
             cached = sum(part.tokens for part in shared_parts(traits))
         else:
             cached = self._cache.cached_tokens(record.name, traits.parts)
         return max(prompt - cached, 0)
 
-    def _home(self, candidates: Sequence[EndpointRecord], traits: RequestTraits) -> str:
+    def _owner(
+        self, candidates: Sequence[EndpointRecord], traits: RequestTraits
+    ) -> str:
         parts = shared_parts(traits)
         if not parts:
             return ""
-        return home_of(parts[-1].name, [rec.name for rec in candidates])
+        return owner_of(parts[-1].name, [rec.name for rec in candidates])
 
     def _expected_time(
         self,
@@ -200,27 +207,33 @@
         service: Service,
         traits: RequestTraits,
         load: ToldLoad,
-        home: str,
+        owner: str,
         token_time: timedelta,
     ) -> timedelta:
-        here = record.endpoint.availability_zone == self._availability_zone
-        distance = timedelta() if here else OTHER_ZONE
+        same_zone = record.endpoint.availability_zone == self._availability_zone
+        network_delay = timedelta() if same_zone else CROSS_ZONE_PENALTY
         in_flight = record.in_flight + load.in_flight
         if service.engine is None:
-            return distance + PLAIN_TIME * (1 + in_flight / record.endpoint.slots)
-        unread = record.unread_tokens + still_unread(load, token_time)
-        own = self._uncached_tokens(record, traits, home)
-        shared = self._missing_shared(record, traits, home)
+            return network_delay + PLAIN_REQUEST_TIME * (
+                1 + in_flight / record.endpoint.slots
+            )
+        queued_tokens = record.unread_tokens + still_unread(load, token_time)
+        uncached = self._uncached_tokens(record, traits, owner)
+        shared = self._missing_shared_tokens(record, traits, owner)
         if pays(shared, service.engine.link, token_time):
-            own -= shared
-            distance += transfer_time(shared, service.engine.link)
-        return distance + token_time * (unread + own) + RUNNING_TIME * in_flight
-
-    def _missing_shared(
-        self, record: EndpointRecord, traits: RequestTraits, home: str
+            uncached -= shared
+            network_delay += transfer_time(shared, service.engine.link)
+        return (
+            network_delay
+            + token_time * (queued_tokens + uncached)
+            + RUNNING_REQUEST_TIME * in_flight
+        )
+
+    def _missing_shared_tokens(
+        self, record: EndpointRecord, traits: RequestTraits, owner: str
     ) -> int:
         """Return the tokens of shared parts that an engine is expected to lack."""
-        if record.name == home:
+        if record.name == owner:
             return 0
         shared = shared_parts(traits)
         wanted = sum(part.tokens for part in shared)
