--- a/src/sassafrasdale/gateway/routing.py
+++ b/src/sassafrasdale/gateway/routing.py
@@ -1,4 +1,4 @@
-"""Which route and which customer a request belongs to."""
+"""Look-up of a request's route and customer."""
 
 from random import Random
 
@@ -26,11 +26,11 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The version that is looked up in."""
+        """The version that the look-ups use."""
         return self._configuration
 
     def route(self, host: str, target: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest matching path prefix."""
         name = host.rpartition(":")[0] if ":" in host else host
         path = target.partition("?")[0]
         for route in self._by_host.get(name.lower(), ()):
@@ -39,12 +39,12 @@
         return None
 
     def customer(self, key: str) -> Customer | None:
-        """Return the customer that has a key."""
+        """Return the customer that an API key belongs to."""
         return self._by_key.get(key)
 
 
 def draw_service(route: Route, rng: Random) -> str:
-    """Return one of the route's services, as often as their weights say."""
+    """Return one of the route's services, chosen at random by weight."""
     if len(route.services) == 1:
         return route.services[0].service
     weights = [part.weight for part in route.services]
--- a/tests/gateway/test_routing.py
+++ b/tests/gateway/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes and customers of a request."""
+"""Look-up of a request's route and customer."""
 
 from random import Random
 
