--- a/src/sassafrasdale/gateway/directory.py
+++ b/src/sassafrasdale/gateway/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that this gateway knows, with what it has under way at each."""
+"""Registered endpoints, with this gateway's connections and load at each."""
 
 from collections.abc import Callable, Iterable, Mapping
 from datetime import timedelta
@@ -13,28 +13,30 @@
 
 log = Logger("directory")
 
-# Endpoints are milliseconds away, and a lost opening packet would be sent again after a
-# second: what isn't open by now won't be soon. A request that meets a dark endpoint
-# goes on to another one after this time, and is still on time where its objective is
-# half a second; with 0.4 s it was late.
+# Endpoints are milliseconds away, and a lost SYN packet would be sent again only after
+# a second, so a connection that isn't open by now won't open soon. A request to an
+# unreachable endpoint is retried at another one after this time, and still meets an
+# objective of half a second; with 0.4 s it was late.
 CONNECT_LIMIT = timedelta(milliseconds=200)
-# Entries that lapsed during an outage of the store are back within two seconds of
-# its return, if their endpoints live.
-LAPSE_ALLOWANCE = timedelta(seconds=2.5)
-# The outage itself may have been noticed this long ago.
-OUTAGE_MEMORY = timedelta(seconds=6)
-# An endpoint that fails a third more of its requests than the others is passed over.
-HEALTH = HealthSettings(failure_cost=3.0)
+# Registrations that expired during an outage of the store are back within two seconds
+# of its return, if their endpoints are alive.
+EXPIRY_GRACE = timedelta(seconds=2.5)
+# An outage of the store that explains an expired registration may have been noticed
+# this long ago.
+OUTAGE_WINDOW = timedelta(seconds=6)
+# Endpoints that fail a third more of their requests than the others are avoided.
+HEALTH_SETTINGS = HealthSettings(failure_cost=3.0)
 
 
 class EndpointRecord:
     """An endpoint with its connections and this gateway's requests there.
 
-    :param endpoint: as it is listed now.
-    :param pool: connections to it that are idle.
+    :param endpoint: its current registration.
+    :param pool: idle connections to it.
     :param listed_at: elapsed time at which it was first seen.
-    :ivar connections: those that requests are under way on.
-    :ivar is_dark: whether its entry has lapsed and its address gives no answer.
+    :ivar connections: connections that are in use by requests.
+    :ivar is_unreachable: whether its registration has expired and connections to its
+        address get no reply.
     """
 
     def __init__(
@@ -47,7 +49,7 @@
         self.pool = pool
         self.listed_at = listed_at
         self.connections: set[HttpConnection] = set()
-        self.is_dark = False
+        self.is_unreachable = False
         self.in_flight = 0
         self.unread_tokens = 0
 
@@ -58,7 +60,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it is listed as taking requests."""
+        """Whether it is registered as ready for requests."""
         return self.endpoint.state is EndpointState.READY
 
 
@@ -67,12 +69,13 @@
 
     :param clock: source of elapsed time.
     :param rng: source of randomness for health.
-    :param drain_time: time in which a leaving endpoint must get no more.
-    :param since_outage: time since the store last failed; None if it never did.
+    :param drain_time: time within which requests to a leaving endpoint must stop.
+    :param since_outage: returns the time since the store last failed; None if it never
+        did.
     :param opened: called for each connection that is opened.
-    :param restarted: told of each endpoint that has started anew under its name.
-    :param vanished: told of each whose entry is gone though it has not said that it
-        leaves.
+    :param restarted: called with the name of each endpoint that has restarted.
+    :param vanished: called with each endpoint whose registration has disappeared while
+        it was ready.
     """
 
     def __init__(
@@ -94,19 +97,20 @@
         self._vanished = vanished
         self._records: dict[str, EndpointRecord] = {}
         self._services: dict[str, list[EndpointRecord]] = {}
-        self._last_resort: dict[str, tuple[EndpointRecord, timedelta]] = {}
+        self._fallback: dict[str, tuple[EndpointRecord, timedelta]] = {}
         self._health: dict[str, Health] = {}
 
     @property
     def records(self) -> Mapping[str, EndpointRecord]:
-        """All listed endpoints by name."""
+        """All registered endpoints by name."""
         return self._records
 
     def of_service(self, service: str) -> list[EndpointRecord]:
-        """Return the endpoints of a service that take requests.
+        """Return the endpoints of a service that are ready.
 
-        If there are none, those whose entries vanished a moment ago: an entry also
-        lapses while the store is out, and its endpoint then still serves.
+        If there are none, return those whose registrations disappeared a moment ago: a
+        registration also expires while the store is out, though its endpoint still
+        serves.
         """
         listed = [rec for rec in self._services.get(service, ()) if rec.is_ready]
         if listed:
@@ -114,39 +118,39 @@
         now = self._clock.elapsed()
         return [
             record
-            for record, until in self._last_resort.values()
+            for record, until in self._fallback.values()
             if record.endpoint.service == service and now < until
         ]
 
     def all_of_service(self, service: str) -> list[EndpointRecord]:
-        """Return all listed endpoints of a service, leaving ones too."""
+        """Return all registered endpoints of a service, including leaving ones."""
         return list(self._services.get(service, ()))
 
     def health_of(self, service: str) -> Health:
         """Return the health of a service's endpoints."""
         health = self._health.get(service)
         if health is None:
-            health = self._health[service] = Health(self._rng, HEALTH)
+            health = self._health[service] = Health(self._rng, HEALTH_SETTINGS)
         return health
 
     def put(self, endpoint: Endpoint) -> bool:
-        """Take an endpoint as it is listed now.
+        """Add an endpoint or update its registration.
 
-        An endpoint that crashed may start again under its name. It knows nothing of
-        before: connections lead nowhere, its load is gone and so are its failures.
+        An endpoint that crashed may restart under the same name. Its connections are
+        dead then, and its load and failures no longer count.
 
-        :returns: whether it has started since it was last seen here.
+        :returns: whether it has restarted since it was last seen here.
         """
         record = self._records.get(endpoint.name)
-        self._last_resort.pop(endpoint.name, None)
-        started_anew = record is not None and _started_anew(record.endpoint, endpoint)
-        if started_anew:
+        self._fallback.pop(endpoint.name, None)
+        has_restarted = record is not None and _has_restarted(record.endpoint, endpoint)
+        if has_restarted:
             log.info(
                 "endpoint started anew",
                 born=endpoint.born,
                 before=record.endpoint.born,
                 in_flight=record.in_flight,
-                **_facts(endpoint),
+                **_log_fields(endpoint),
             )
             record.pool.close()
             self.health_of(endpoint.service).forget(endpoint.name)
@@ -157,34 +161,36 @@
                 endpoint, self._pool(endpoint), self._clock.elapsed()
             )
             self._records[endpoint.name] = record
-            log.info("endpoint listed", **_facts(endpoint))
+            log.info("endpoint listed", **_log_fields(endpoint))
         elif record.endpoint.state is not endpoint.state:
-            log.info("endpoint changed state", **_facts(endpoint))
+            log.info("endpoint changed state", **_log_fields(endpoint))
         record.endpoint = endpoint
         self._index()
-        return started_anew
+        return has_restarted
 
     def remove(self, name: str) -> None:
-        """Drop an endpoint whose entry is gone."""
+        """Remove an endpoint whose registration is gone."""
         record = self._records.pop(name, None)
         if record is None:
             return
         outage = self._since_outage()
-        lapsed = outage is not None and outage <= OUTAGE_MEMORY
+        expired = outage is not None and outage <= OUTAGE_WINDOW
         if record.is_ready:
-            allowance = LAPSE_ALLOWANCE if lapsed else self._drain_time / 2
-            self._last_resort[name] = (record, self._clock.elapsed() + allowance)
+            grace = EXPIRY_GRACE if expired else self._drain_time / 2
+            self._fallback[name] = (record, self._clock.elapsed() + grace)
             self._vanished(record)
-        log.info("endpoint removed", during_outage=lapsed, **_facts(record.endpoint))
+        log.info(
+            "endpoint removed", during_outage=expired, **_log_fields(record.endpoint)
+        )
         self._index()
 
     def forget_lapsed(self) -> None:
-        """Drop what is kept of endpoints that are gone for good."""
+        """Drop endpoints whose registration has not come back in time."""
         now = self._clock.elapsed()
-        for name, (record, until) in list(self._last_resort.items()):
+        for name, (record, until) in list(self._fallback.items()):
             if now >= until and not record.in_flight:
                 record.pool.close()
-                del self._last_resort[name]
+                del self._fallback[name]
 
     def _pool(self, endpoint: Endpoint) -> ConnectionPool:
         return ConnectionPool(
@@ -200,7 +206,7 @@
             self.health_of(service).set_endpoints(_names(records))
 
 
-def _started_anew(before: Endpoint, now: Endpoint) -> bool:
+def _has_restarted(before: Endpoint, now: Endpoint) -> bool:
     if before.born is None or now.born is None:
         return False
     return before.born != now.born
@@ -210,7 +216,7 @@
     return frozenset(record.name for record in records)
 
 
-def _facts(endpoint: Endpoint) -> dict[str, object]:
+def _log_fields(endpoint: Endpoint) -> dict[str, object]:
     return {
         "endpoint": endpoint.name,
         "service": endpoint.service,
--- a/src/sassafrasdale/gateway/suspects.py
+++ b/src/sassafrasdale/gateway/suspects.py
@@ -13,8 +13,8 @@
     StrikeLedger,
     trial_scope,
 )
+from sassafrasdale.gateway.crash_detection import Endings
 from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.endings import Endings
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import TrueTime
@@ -125,8 +125,8 @@
         """
         run = Run(name, record.name, record.endpoint.version, begun)
         now = self._clock.elapsed()
-        has_ended = record.is_dark or self._endings.has_ended(record)
-        if not listed and not record.is_dark:
+        has_ended = record.is_unreachable or self._endings.has_ended(record)
+        if not listed and not record.is_unreachable:
             return has_ended
         if has_ended:
             self._strike(run, now)
@@ -158,7 +158,7 @@
         log.notice(
             "endpoint gone dark", endpoint=record.name, runs=len(record.connections)
         )
-        record.is_dark = True
+        record.is_unreachable = True
         for connection in list(record.connections):
             connection.close()
 
--- a/tests/gateway/test_endings.py
+++ b/tests/gateway/test_crash_detection.py
@@ -5,8 +5,8 @@
 
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.deployment import Endpoint, EndpointState
+from sassafrasdale.gateway.crash_detection import Endings
 from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.endings import Endings
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.http.connections import Reach
 from sassafrasdale.structures import Address
--- a/tests/gateway/test_directory.py
+++ b/tests/gateway/test_directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that a gateway knows."""
+"""The directory of registered endpoints."""
 
 from datetime import timedelta
 from random import Random
@@ -19,7 +19,7 @@
 
 
 class World:
-    """A directory and the time since the store last failed."""
+    """A directory, and the time since the store last failed."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -40,26 +40,26 @@
     return world
 
 
-def test_ready_endpoints_take_requests(world):
+def test_ready_endpoints_are_used(world):
     assert world.names() == ["i-1", "i-2"]
 
 
-def test_draining_ones_do_not(world):
+def test_draining_endpoints_are_not_used(world):
     world.directory.put(endpoint("i-1", state=EndpointState.DRAINING))
     assert world.names() == ["i-2"]
     assert len(world.directory.all_of_service("records")) == 2
 
 
-def test_removed_ones_do_not_while_there_are_others(world):
+def test_removed_endpoints_are_not_used_while_there_are_others(world):
     world.directory.remove("i-1")
     assert world.names() == ["i-2"]
 
 
-def test_the_last_entry_lapses_in_an_outage(world):
-    """All requests would be refused though all endpoints serve.
+def test_endpoints_stay_usable_if_all_registrations_expire_in_an_outage(world):
+    """Guards against refusing all requests though all endpoints serve.
 
-    The store is out, entries lapse meanwhile, and they are back two seconds after
-    its return.
+    The store is out, all registrations expire meanwhile, and they are back two seconds
+    after its return.
     """
     world.since_outage = timedelta(seconds=1)
     for name in ("i-1", "i-2"):
@@ -70,10 +70,10 @@
     assert world.names() == []
 
 
-def test_an_entry_that_goes_in_calm_weather_is_left_in_time(world):
-    """A leaving endpoint would get requests after its time to drain.
+def test_an_endpoint_removed_without_an_outage_is_dropped_in_time(world):
+    """Guards against requests to a leaving endpoint after its drain time.
 
-    Some endpoints never say that they are draining: their entry just goes.
+    Some endpoints never register as draining: their registration just disappears.
     """
     for name in ("i-1", "i-2"):
         world.directory.remove(name)
@@ -81,23 +81,23 @@
     assert world.names() == []
 
 
-def test_an_address_that_another_endpoint_has_now(world):
+def test_a_new_address_gets_a_new_connection_pool(world):
     before = world.directory.records["i-1"]
     world.directory.put(endpoint("i-1", port=2))
     assert world.directory.records["i-1"].pool is not before.pool
 
 
-def test_a_change_of_state_keeps_what_is_under_way(world):
+def test_a_state_change_keeps_the_load(world):
     world.directory.records["i-1"].in_flight = 3
     world.directory.put(endpoint("i-1", state=EndpointState.DRAINING))
     assert world.directory.records["i-1"].in_flight == 3
 
 
-def test_an_endpoint_that_started_anew_is_taken_for_another(world):
-    """Requests would wait on dead connections behind a load that no longer exists.
+def test_a_restarted_endpoint_gets_a_new_record(world):
+    """Guards against dead connections and stale load counts after a restart.
 
-    An endpoint crashes with requests under way and starts again under its name and
-    address, before its entry lapses. Only the time of its start has changed.
+    An endpoint crashes with requests in progress and restarts under its name and
+    address before its registration expires. Only its start time changes.
     """
     world.directory.put(endpoint("i-1", born=1))
     before = world.directory.records["i-1"]
@@ -108,7 +108,7 @@
     assert after.in_flight == 0
 
 
-def test_failures_of_before_a_restart_are_forgotten(world):
+def test_a_restart_resets_health(world):
     health = world.directory.health_of("records")
     world.directory.put(endpoint("i-1", born=1))
     for _ in range(6):
@@ -118,7 +118,7 @@
     assert health.weights(world.clock.elapsed())["i-1"] == 1
 
 
-def test_an_entry_written_again_is_the_same_endpoint(world):
+def test_a_renewed_registration_keeps_the_record(world):
     world.directory.put(endpoint("i-1", born=1))
     before = world.directory.records["i-1"]
     assert not world.directory.put(endpoint("i-1", born=1))
