--- a/src/sassafrasdale/gateway/assignment.py
+++ b/src/sassafrasdale/gateway/assignment.py
@@ -1,4 +1,4 @@
-"""What a gateway and the dispatcher of its zone say to each other about one send."""
+"""Messages between a gateway and the dispatcher of its zone about an attempt."""
 
 from enum import IntEnum
 
@@ -9,19 +9,19 @@
 from sassafrasdale.gateway.rollout_news import Count
 
 
-class SendEnd(IntEnum):
-    """How a send ended, for the endpoint's health."""
+class AttemptResult(IntEnum):
+    """How an attempt ended, for the endpoint's health."""
 
     ANSWERED = 0
     FAILED = 1
-    # Refused, or left by the caller: it says nothing of the endpoint.
-    OTHERWISE = 2
+    # Refused, or the caller disconnected: no evidence of the endpoint's health.
+    NEUTRAL = 2
 
 
 class Ask(Message):
-    """Question which endpoint a request should be sent to.
+    """Request for the endpoint that a caller's request should be sent to.
 
-    :param number: distinguishes the sends of one incarnation of the gateway.
+    :param number: identifies the attempt within one incarnation of the gateway.
     :param parts: names and tokens of the prompt's parts.
     :param tried: endpoints that the request was sent to before.
     """
@@ -44,14 +44,14 @@
         traits: RequestTraits,
         tried: tuple[str, ...],
     ) -> "Ask":
-        """Return the question for a request."""
+        """Return the assignment request for a caller's request."""
         parts = tuple((part.name, part.tokens) for part in traits.parts)
         tokens = traits.prompt_tokens or 0
         return cls(gateway, incarnation, number, service, tokens, parts, tried)
 
     @property
     def traits(self) -> RequestTraits:
-        """What decides on the endpoint."""
+        """The properties that decide on the endpoint."""
         return RequestTraits(
             "",
             prompt_tokens=self.prompt_tokens,
@@ -60,11 +60,11 @@
 
 
 class Assigned(Message):
-    """The endpoint for a send, which counts as under way there from now on.
+    """The endpoint for an attempt, which counts as in progress there from now on.
 
-    :param source: engine from which it fetches shared parts of the prompt.
-    :param unread_tokens: prompt tokens that it has yet to read.
-    :param queued_tokens: what it has to read before them.
+    :param source: engine from which it fetches the KV cache of shared prompt parts.
+    :param unread_tokens: prompt tokens that it has yet to prefill.
+    :param queued_tokens: prefill tokens ahead of them.
     """
 
     endpoint: str
@@ -74,33 +74,34 @@
 
 
 class FirstToken(Message):
-    """That an endpoint has read a send's prompt, or need not any more.
+    """Report that an endpoint has finished a prefill, or need not any more.
 
-    :param took_s: time since the question, in seconds; None where it was not read.
+    :param took_s: time since the assignment request, in seconds; None without a
+        prefill.
     """
 
     number: int
     took_s: float | None
 
 
-class Ended(Message):
-    """That a send is no longer under way.
+class AttemptEnded(Message):
+    """Report that an attempt is no longer in progress.
 
-    :param pause_s: a low pause between the stream's events, in seconds; 0 for too few.
+    :param gap_s: a low gap between the stream's events, in seconds; 0 for too few.
     """
 
     number: int
-    end: SendEnd
-    pause_s: float = 0.0
+    result: AttemptResult
+    gap_s: float = 0.0
 
 
 class Notes(Message):
-    """What became of a gateway's sends."""
+    """Report on a gateway's attempts."""
 
     gateway: str
     incarnation: int
     first: tuple[FirstToken, ...] = ()
-    ended: tuple[Ended, ...] = ()
+    ended: tuple[AttemptEnded, ...] = ()
 
 
 ASK = Decoder(Ask)
--- /dev/null
+++ b/src/sassafrasdale/gateway/attempts.py
@@ -0,0 +1,39 @@
+"""Attempts that are in progress."""
+
+from dataclasses import dataclass
+from datetime import timedelta
+
+from sassafrasdale.gateway.assignment import AttemptResult
+from sassafrasdale.gateway.directory import EndpointRecord
+
+
+@dataclass(slots=True)
+class Attempt:
+    """One attempt that is in progress.
+
+    :param unread_tokens: prompt tokens that the endpoint has yet to prefill for it.
+    :param source: engine from which it fetches the KV cache of shared prompt parts.
+    :param queued_tokens: prefill tokens ahead of it at the endpoint, as far as the
+        gateway knew that chose it.
+    :param peer_report_age: age of the other gateways' load reports at the time.
+    :param number: number under which the dispatcher counts it; None if this gateway
+        counts it itself.
+    :param assigned_by: the dispatcher that assigned the endpoint, if one did.
+    :param result: how it ended, once it has.
+    :param gap: a low gap between its events.
+    :param route: name of the request's route; empty for another gateway's attempt.
+    """
+
+    record: EndpointRecord
+    service: str
+    began_at: timedelta
+    unread_tokens: int
+    source: EndpointRecord | None = None
+    queued_tokens: int = 0
+    peer_report_age: timedelta = timedelta()
+    has_first_token: bool = False
+    number: int | None = None
+    assigned_by: str = ""
+    result: AttemptResult = AttemptResult.NEUTRAL
+    gap: timedelta | None = None
+    route: str = ""
--- a/src/sassafrasdale/gateway/dispatcher.py
+++ b/src/sassafrasdale/gateway/dispatcher.py
@@ -1,9 +1,9 @@
-"""The dispatcher of a zone: chooses engines for the sends of all its gateways.
+"""The dispatcher of a zone, which assigns engines to the attempts of all its gateways.
 
-The aggregator of a zone is its dispatcher. It counts each send from the moment at which
-it names the endpoint, so no two gateways choose the same engine on the same old news.
-What it knows is soft: a dispatcher that starts knows nothing of earlier sends, which
-their gateways count themselves from then on.
+The aggregator of a zone is its dispatcher. It counts each attempt from the moment it
+assigns the endpoint, so no two gateways choose the same engine from the same outdated
+load reports. Its state is not replicated: a new dispatcher knows nothing of earlier
+attempts, which their gateways count themselves from then on.
 """
 
 from collections.abc import Collection
@@ -14,48 +14,55 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.aggregators import LIFETIME
-from sassafrasdale.gateway.assignment import Ask, Assigned, Ended, FirstToken, Notes
+from sassafrasdale.gateway.assignment import (
+    Ask,
+    Assigned,
+    AttemptEnded,
+    FirstToken,
+    Notes,
+)
+from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.fleet import Fleet
-from sassafrasdale.gateway.tickets import Attempt
 
 log = Logger("dispatcher")
 
-# A send that its gateway doesn't list as open has ended, and the note was lost; the
-# answer to a question that was just asked may still be on its way.
-UNLISTED = timedelta(seconds=1)
+# An attempt that its gateway doesn't report as open has ended, and the report of that
+# was lost. Attempts younger than this are exempt: the assignment may still be on its
+# way to the gateway.
+RECONCILE_GRACE = timedelta(seconds=1)
 
 
 @dataclass(slots=True)
-class _Sends:
-    """Sends of one incarnation of a gateway, by number."""
+class _GatewayAttempts:
+    """Attempts of one incarnation of a gateway, by number."""
 
     incarnation: int
-    heard_at: timedelta
-    tickets: dict[int, Attempt] = field(default_factory=dict)
+    last_seen_at: timedelta
+    attempts: dict[int, Attempt] = field(default_factory=dict)
 
 
 class Dispatcher:
-    """Names endpoints to other gateways, and follows what becomes of their sends.
+    """Assigns endpoints to other gateways' attempts and tracks their results.
 
-    :param fleet: chooses, and counts what is under way.
+    :param fleet: chooses endpoints and counts the attempts in progress.
     :param clock: source of elapsed time.
     """
 
     def __init__(self, fleet: Fleet, clock: Clock) -> None:
         self._fleet = fleet
         self._clock = clock
-        self._gateways: dict[str, _Sends] = {}
+        self._gateways: dict[str, _GatewayAttempts] = {}
 
-    def assign(self, ask: Ask) -> Assigned | None:
-        """Return the endpoint for a send; None if there is none."""
-        again = bool(ask.tried)
-        attempt = self._fleet.begin_here(
-            ask.service, ask.traits, ask.tried, again=again
+    def assign(self, request: Ask) -> Assigned | None:
+        """Return the endpoint for an attempt; None if there is none."""
+        is_retry = bool(request.tried)
+        attempt = self._fleet.start_local_attempt(
+            request.service, request.traits, request.tried, is_retry=is_retry
         )
         if attempt is None:
             return None
-        sends = self._sends(ask.gateway, ask.incarnation)
-        sends.tickets[ask.number] = attempt
+        state = self._state_of(request.gateway, request.incarnation)
+        state.attempts[request.number] = attempt
         source = attempt.source
         return Assigned(
             attempt.record.name,
@@ -65,65 +72,65 @@
         )
 
     def note(self, notes: Notes) -> None:
-        """Take what became of a gateway's sends."""
-        sends = self._sends(notes.gateway, notes.incarnation)
+        """Apply a gateway's report on its attempts."""
+        state = self._state_of(notes.gateway, notes.incarnation)
         for first in notes.first:
-            self._note_first(sends, first)
+            self._record_first_token(state, first)
         for ended in notes.ended:
-            self._note_end(sends, ended)
+            self._record_end(state, ended)
 
     def reconcile(
-        self, gateway: str, incarnation: int, open_sends: Collection[int]
+        self, gateway: str, incarnation: int, open_attempts: Collection[int]
     ) -> None:
-        """Drop the sends of a gateway that it doesn't list as open."""
-        sends = self._sends(gateway, incarnation)
+        """Drop the attempts of a gateway that it doesn't report as open."""
+        state = self._state_of(gateway, incarnation)
         now = self._clock.elapsed()
-        listed = frozenset(open_sends)
-        for number, attempt in list(sends.tickets.items()):
-            if number not in listed and now - attempt.began_at > UNLISTED:
-                self._fleet.end_here(sends.tickets.pop(number))
+        listed = frozenset(open_attempts)
+        for number, attempt in list(state.attempts.items()):
+            if number not in listed and now - attempt.began_at > RECONCILE_GRACE:
+                self._fleet.finish_local_attempt(state.attempts.pop(number))
 
     def forget_silent(self) -> None:
-        """Drop the sends of gateways that have fallen silent."""
+        """Drop the attempts of gateways that have stopped responding."""
         now = self._clock.elapsed()
-        for gateway, sends in list(self._gateways.items()):
-            if now - sends.heard_at > LIFETIME:
+        for gateway, state in list(self._gateways.items()):
+            if now - state.last_seen_at > LIFETIME:
                 self._drop(gateway)
 
     def lay_down(self) -> None:
-        """Drop all sends: another gateway is the dispatcher from now on."""
+        """Drop all attempts: another gateway is the dispatcher from now on."""
         for gateway in list(self._gateways):
             self._drop(gateway)
 
-    def _sends(self, gateway: str, incarnation: int) -> _Sends:
+    def _state_of(self, gateway: str, incarnation: int) -> _GatewayAttempts:
         now = self._clock.elapsed()
-        sends = self._gateways.get(gateway)
-        if sends is not None and sends.incarnation != incarnation:
+        state = self._gateways.get(gateway)
+        if state is not None and state.incarnation != incarnation:
             self._drop(gateway)
-            sends = None
-        if sends is None:
-            sends = self._gateways[gateway] = _Sends(incarnation, now)
-        sends.heard_at = now
-        return sends
-
-    def _note_first(self, sends: _Sends, first: FirstToken) -> None:
-        attempt = sends.tickets.get(first.number)
+            state = None
+        if state is None:
+            state = self._gateways[gateway] = _GatewayAttempts(incarnation, now)
+        state.last_seen_at = now
+        return state
+
+    def _record_first_token(self, state: _GatewayAttempts, first: FirstToken) -> None:
+        attempt = state.attempts.get(first.number)
         if attempt is None:
             return
         seconds = first.took_s
         took = None if seconds is None else timedelta(seconds=seconds)
-        self._fleet.first_here(attempt, took)
+        self._fleet.record_local_first_token(attempt, took)
 
-    def _note_end(self, sends: _Sends, ended: Ended) -> None:
-        attempt = sends.tickets.pop(ended.number, None)
+    def _record_end(self, state: _GatewayAttempts, ended: AttemptEnded) -> None:
+        attempt = state.attempts.pop(ended.number, None)
         if attempt is not None:
-            self._fleet.end_here(attempt)
-            pause = timedelta(seconds=ended.pause_s)
-            self._fleet.observe(attempt.record, ended.end, pause)
+            self._fleet.finish_local_attempt(attempt)
+            gap = timedelta(seconds=ended.gap_s)
+            self._fleet.record_remote_result(attempt.record, ended.result, gap)
 
     def _drop(self, gateway: str) -> None:
-        sends = self._gateways.pop(gateway)
-        if sends.tickets:
-            log.info("sends dropped", gateway=gateway, sends=len(sends.tickets))
-        for attempt in sends.tickets.values():
-            self._fleet.end_here(attempt)
+        state = self._gateways.pop(gateway)
+        if state.attempts:
+            log.info("sends dropped", gateway=gateway, sends=len(state.attempts))
+        for attempt in state.attempts.values():
+            self._fleet.finish_local_attempt(attempt)
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -18,14 +18,19 @@
     Route,
     name_of,
 )
+from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.directory import EndpointRecord
 from sassafrasdale.gateway.events import EventSplitter
 from sassafrasdale.gateway.exceptions import RequestRefused, StreamBrokenOff
-from sassafrasdale.gateway.failures import LOST, SendFailed, SendOutcome, reason_of
+from sassafrasdale.gateway.failures import (
+    CONNECTION_LOST,
+    SendFailed,
+    SendOutcome,
+    reason_of,
+)
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.suspects import Suspects
-from sassafrasdale.gateway.tickets import Attempt
 from sassafrasdale.http.connections import HttpConnection
 from sassafrasdale.http.exceptions import (
     CallerGone,
@@ -51,9 +56,8 @@
 STREAM_IDLE_TIMEOUT = timedelta(seconds=1.2)
 # Retry-After if no endpoint is available.
 NO_ENDPOINT_RETRY_AFTER = timedelta(milliseconds=300)
-# Most pauses between a stream's events that are recorded to estimate the engine's
-# speed.
-MAX_PAUSES = 64
+# Most gaps between a stream's events that are recorded to estimate the engine's speed.
+MAX_EVENT_GAPS = 64
 # A non-idempotent request reuses only connections that were used this recently: if the
 # endpoint closes an idle connection at the same moment, it may have read the request.
 NON_IDEMPOTENT_MAX_IDLE = timedelta(seconds=1.5)
@@ -156,13 +160,13 @@
 
     def _start_attempt(self) -> Attempt:
         admitted = self._admitted
-        again = self._attempts > 0
-        attempt = self._fleet.begin(
+        is_retry = self._attempts > 0
+        attempt = self._fleet.start_attempt(
             admitted.service,
             admitted.traits,
             self._tried,
             admitted.route.name,
-            again=again,
+            is_retry=is_retry,
         )
         if attempt is None:
             self._give_up(SendFailed(SendOutcome.NOT_SENT, "no endpoint"))
@@ -193,11 +197,11 @@
         except CallerGone:
             if connection is not None:
                 connection.close()
-                self._fleet.left(attempt)
+                self._fleet.record_disconnect(attempt)
             raise
         finally:
             self._caller.when_gone(None)
-            self._fleet.ended(attempt)
+            self._fleet.finish_attempt(attempt)
             if connection is not None:
                 record.connections.discard(connection)
                 record.pool.give_back(connection)
@@ -212,7 +216,7 @@
         left = admitted.deadline - self._clock.elapsed()
         if left <= timedelta():
             raise SendFailed(SendOutcome.NOT_SENT, "no time left")
-        self._fleet.note_send(attempt, again=self._attempts > 1)
+        self._fleet.count_attempt(attempt, is_retry=self._attempts > 1)
         order = EndpointOrder(
             endpoint=record.name,
             customer=admitted.customer_name,
@@ -260,10 +264,10 @@
         if admitted.route.kind is RequestKind.STREAM and succeeded:
             return self._relay_stream(connection, head, attempt)
         body = connection.read_body(admitted.deadline)
-        self._record_first_byte(attempt, has_read=succeeded)
+        self._record_first_byte(attempt, is_prefilled=succeeded)
         if head.status >= 500 and self._may_retry_status():
             raise SendFailed(SendOutcome.UNKNOWN, f"failed with {head.status}")
-        self._fleet.answered(
+        self._fleet.record_response(
             attempt, head.status, self._clock.elapsed() - attempt.began_at
         )
         if succeeded:
@@ -280,7 +284,7 @@
         # An engine may queue the prompt, so silence is no sign of a failure before its
         # first event.
         deadline = admitted.deadline
-        pauses: list[timedelta] = []
+        gaps: list[timedelta] = []
         last_at: timedelta | None = None
         try:
             while data := connection.read_data(deadline):
@@ -289,8 +293,8 @@
                 if not whole:
                     continue
                 now = self._clock.elapsed()
-                if last_at is not None and len(pauses) < MAX_PAUSES:
-                    pauses.append(now - last_at)
+                if last_at is not None and len(gaps) < MAX_EVENT_GAPS:
+                    gaps.append(now - last_at)
                 last_at = now
                 self._record_first_byte(attempt)
                 if not self._caller.head_sent:
@@ -305,7 +309,7 @@
         if not self._caller.head_sent:
             self._caller.begin(head.status, caller_headers(head))
         self._caller.end()
-        self._fleet.streamed(attempt, pauses)
+        self._fleet.record_stream(attempt, gaps)
         self._suspects.ended_well(admitted.request, admitted.customer_name)
         return head.status
 
@@ -318,17 +322,19 @@
         may_go_on = (
             admitted.route.repeatable
             and self._attempts < admitted.route.max_sends
-            and self._fleet.has_another(admitted.service, self._tried)
+            and self._fleet.has_alternative(admitted.service, self._tried)
         )
         if not may_go_on:
             return admitted.deadline
         return min(self._clock.elapsed() + STREAM_IDLE_TIMEOUT, admitted.deadline)
 
-    def _record_first_byte(self, attempt: Attempt, *, has_read: bool = True) -> None:
-        self._fleet.first_token(attempt, has_read=has_read)
+    def _record_first_byte(
+        self, attempt: Attempt, *, is_prefilled: bool = True
+    ) -> None:
+        self._fleet.record_first_token(attempt, is_prefilled=is_prefilled)
         if self._first_at is None:
             self._first_at = self._clock.elapsed()
-            self._fleet.began_to_run(self._admitted.customer)
+            self._fleet.count_usage(self._admitted.customer)
 
     def _record_failure(self, attempt: Attempt, failure: SendFailed) -> None:
         if failure.outcome is SendOutcome.UNKNOWN:
@@ -336,11 +342,11 @@
         counts = failure.reason != "no time left"
         is_fault = failure.outcome is not SendOutcome.NOT_RUN
         if counts:
-            self._fleet.failed(attempt, is_fault)
+            self._fleet.record_failure(attempt, is_fault)
         # This probes the endpoint, which takes time, so the failure is counted first.
         ended = self._check_crash(attempt, failure)
         if counts and is_fault and not ended:
-            self._fleet.failed_by_version(attempt)
+            self._fleet.record_version_failure(attempt)
         self._last_failure = failure.reason
         log.info(
             "send failed",
@@ -356,7 +362,7 @@
 
     def _check_crash(self, attempt: Attempt, failure: SendFailed) -> bool | None:
         """Return whether the endpoint has crashed; None if nothing suggests it."""
-        if failure.reason != LOST:
+        if failure.reason != CONNECTION_LOST:
             return None
         begun = self._splitter.count > self._events_before_attempt
         record = attempt.record
@@ -374,8 +380,10 @@
         return (
             self._admitted.route.repeatable
             and self._attempts < self._admitted.route.max_sends
-            and self._fleet.has_another(self._admitted.service, self._tried)
-            and self._fleet.repeats.may_repeat(self._admitted.service, spend=False)
+            and self._fleet.has_alternative(self._admitted.service, self._tried)
+            and self._fleet.retry_budgets.allow_retry(
+                self._admitted.service, spend=False
+            )
         )
 
     def _may_send_again(self, failure: SendFailed) -> bool:
@@ -392,7 +400,7 @@
             return True
         if self._attempts >= admitted.route.max_sends:
             return False
-        return self._fleet.repeats.may_repeat(admitted.service, spend=True)
+        return self._fleet.retry_budgets.allow_retry(admitted.service, spend=True)
 
     def _give_up(self, failure: SendFailed) -> None:
         if self._caller.head_sent:
--- a/src/sassafrasdale/gateway/failures.py
+++ b/src/sassafrasdale/gateway/failures.py
@@ -1,4 +1,4 @@
-"""Sends that brought no answer for the caller, and what is known of them."""
+"""Errors of attempts without a response for the caller."""
 
 from enum import StrEnum
 
@@ -10,12 +10,12 @@
     MalformedAnswer,
 )
 
-# Why a send failed whose connection ended before the answer.
-LOST = "connection lost"
+# Reason of an attempt whose connection was lost before the response.
+CONNECTION_LOST = "connection lost"
 
 
 class SendOutcome(StrEnum):
-    """What is known of a send that brought no answer for the caller."""
+    """What is known of an attempt that got no response for the caller."""
 
     NOT_SENT = "not sent"
     NOT_RUN = "not run"
@@ -23,10 +23,10 @@
 
 
 class SendFailed(SassafrasdaleError):
-    """A send brought no answer that the caller can have.
+    """An attempt got no response that the caller can be given.
 
     :param outcome: what is known of the request at the endpoint.
-    :param reason: short name of the cause.
+    :param reason: short description of the cause.
     """
 
     def __init__(self, outcome: SendOutcome, reason: str) -> None:
@@ -36,12 +36,12 @@
 
 
 def reason_of(error: HttpError) -> str:
-    """Return the short name of what went wrong, for logs."""
+    """Return a short description of an error, for logs."""
     match error:
         case AnswerTimeout():
             return "no answer in time"
         case ConnectionLost():
-            return LOST
+            return CONNECTION_LOST
         case MalformedAnswer():
             return "malformed answer"
         case _:
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -1,4 +1,4 @@
-"""The endpoints as one request's exchange sees them: choices, loads, budgets."""
+"""Endpoint choice and load accounting for the attempts of this gateway's requests."""
 
 from collections.abc import Callable, Collection, Mapping, Sequence
 from datetime import timedelta
@@ -15,39 +15,39 @@
     Service,
 )
 from sassafrasdale.gateway.asking import Asking
-from sassafrasdale.gateway.assignment import SendEnd
+from sassafrasdale.gateway.assignment import AttemptResult
+from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.directory import Directory, EndpointRecord
 from sassafrasdale.gateway.peer_states import loads_by_endpoint
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.placement import CacheBelief, Placement, shared_parts
-from sassafrasdale.gateway.reading import ReadingTimes
-from sassafrasdale.gateway.repeats import Repeats
+from sassafrasdale.gateway.prefill_times import PrefillTimes
+from sassafrasdale.gateway.retry_budgets import RetryBudgets
 from sassafrasdale.gateway.rollouts import Rollouts
-from sassafrasdale.gateway.tickets import Attempt
 from sassafrasdale.gateway.usage import UsageCounts
 
-# Time over which the engines' load is averaged. Requests come in clumps; endpoints
-# take seconds to start, so a clump is over before they would help.
+# Time over which the engines' load is averaged. Requests arrive in bursts, and
+# endpoints take seconds to start, so a burst is over before they would help.
 WORK_WINDOW = timedelta(seconds=5)
-# An endpoint that gives no answer at all is most likely gone; one that answers with
-# a failure of its own now and then may be as good as the others.
-NO_ANSWER_WEIGHT = 3
+# An endpoint that doesn't respond is most likely gone; one that returns an occasional
+# error may be as good as the others.
+NO_RESPONSE_WEIGHT = 3
 
 
 class Fleet:
-    """All endpoints, with what this gateway and its peers have under way there.
+    """All endpoints, with this gateway's and its peers' attempts in progress.
 
-    :param directory: listed endpoints.
-    :param placement: choice among them.
-    :param cache: expected contents of the engines' memories.
-    :param paces: told of the streams' pauses.
+    :param directory: registered endpoints.
+    :param placement: chooses among them.
+    :param cache: estimated contents of the engines' KV caches.
+    :param paces: estimates the engines' step times from the gaps between stream events.
     :param peering: the other gateways.
-    :param usage: counts of the requests that began.
-    :param configuration: the version in force.
-    :param bounds: share of repeats that is allowed.
+    :param usage: counts of the requests that ran.
+    :param configuration: returns the current configuration.
+    :param bounds: share of requests that may be retried.
     :param rollouts: which versions of a service's endpoints get requests.
-    :param asking: asks the zone's dispatcher; None where this gateway always chooses
-        by itself.
+    :param asking: client of the zone's dispatcher; None if this gateway always chooses
+        endpoints itself.
     """
 
     def __init__(
@@ -74,90 +74,92 @@
         self._usage = usage
         self._configuration = configuration
         self._clock = clock
-        self._repeats = Repeats(bounds, peering.count, clock)
-        self._reading = ReadingTimes(peering.token_times)
+        self._retry_budgets = RetryBudgets(bounds, peering.count, clock)
+        self._prefill_times = PrefillTimes(peering.token_times)
         self._work = DemandShares(WORK_WINDOW)
         self._peer_loads: dict[str, ToldLoad] = {}
-        self._news_age = timedelta()
+        self._peer_report_age = timedelta()
         self._peer_work: dict[str, float] = {}
 
     @property
-    def repeats(self) -> Repeats:
-        """Budget of sends beyond the first."""
-        return self._repeats
+    def retry_budgets(self) -> RetryBudgets:
+        """Budgets for retries."""
+        return self._retry_budgets
 
     def endpoints(self, service: str) -> list[EndpointRecord]:
-        """Return the endpoints of a service that get requests."""
+        """Return the endpoints of a service that may get requests."""
         return self._rollouts.usable(service, self._directory.of_service(service))
 
     def is_listed(self, record: EndpointRecord) -> bool:
-        """Return whether an endpoint is listed as one that takes requests."""
+        """Return whether an endpoint is registered as ready."""
         return self._directory.records.get(record.name) is record and record.is_ready
 
     def token_times(self) -> dict[str, float]:
-        """Return the time for a prompt token that was seen here, s, by service."""
-        return self._reading.seen()
+        """Return the measured time per prompt token, in seconds, by service."""
+        return self._prefill_times.measured()
 
     def work(self) -> Mapping[str, float]:
-        """Return the engine time that this gateway's requests take a second."""
+        """Return the engine time that this gateway's requests take per second."""
         return self._work.report(self._clock.elapsed())
 
     def refresh_peer_loads(self) -> None:
-        """Take the peers' loads as last heard."""
+        """Update the peers' loads from their latest reports."""
         groups = self._peering.in_touch()
         self._peer_loads = loads_by_endpoint(groups)
         self._peer_work.clear()
         ages = [group.age for group in groups]
-        self._news_age = sum(ages, timedelta()) / max(len(ages), 1)
+        self._peer_report_age = sum(ages, timedelta()) / max(len(ages), 1)
 
-    def begin(
+    def start_attempt(
         self,
         service: str,
         traits: RequestTraits,
         tried: Collection[str],
         route: str = "",
         *,
-        again: bool,
+        is_retry: bool,
     ) -> Attempt | None:
-        """Choose the endpoint for a request's next send, which begins.
+        """Choose the endpoint for a request's next attempt and start the attempt.
 
-        :param tried: endpoints that it was sent to before.
+        :param tried: endpoints that the request was sent to before.
         :param route: name of its route.
-        :param again: whether it was sent to any.
+        :param is_retry: whether this attempt is a retry.
         :returns: None if there is no endpoint.
         """
-        attempt = self._begin_next(service, traits, tried, route, again=again)
+        attempt = self._choose_and_start(
+            service, traits, tried, route, is_retry=is_retry
+        )
         if attempt is not None:
             attempt.route = route
         return attempt
 
-    def _begin_next(
+    def _choose_and_start(
         self,
         service: str,
         traits: RequestTraits,
         tried: Collection[str],
         route: str,
         *,
-        again: bool,
+        is_retry: bool,
     ) -> Attempt | None:
-        if not again:
-            attempt = self._begin_on_trial(service, traits, tried, route)
+        if not is_retry:
+            attempt = self._start_canary_attempt(service, traits, tried, route)
             if attempt is not None:
                 return attempt
         if self._asking is not None and self._service(service).engine is not None:
-            attempt = self._begin_as_named(service, traits, tried)
+            attempt = self._start_assigned_attempt(service, traits, tried)
             if attempt is not None:
                 return attempt
-        return self.begin_here(service, traits, tried, again=again)
+        return self.start_local_attempt(service, traits, tried, is_retry=is_retry)
 
-    def _begin_on_trial(
+    def _start_canary_attempt(
         self,
         service: str,
         traits: RequestTraits,
         tried: Collection[str],
         route: str,
     ) -> Attempt | None:
-        """Choose an endpoint of a version on trial, if the request is in the sample."""
+        """Start at a canary endpoint if the request is in the canary's sample."""
         if not self._rollouts:
             return None
         listed = self._directory.of_service(service)
@@ -165,27 +167,27 @@
         candidates = [record for record in sample if record.name not in tried]
         if not candidates:
             return None
-        return self._begin_among(candidates, sample, service, traits, again=False)
+        return self._start_among(candidates, sample, service, traits, is_retry=False)
 
-    def note_send(self, attempt: Attempt, *, again: bool) -> None:
-        """Note that a request goes out to an endpoint.
+    def count_attempt(self, attempt: Attempt, *, is_retry: bool) -> None:
+        """Count an attempt for the retry budget and the canary's statistics.
 
-        :param again: whether it was sent before.
+        :param is_retry: whether this attempt is a retry.
         """
-        self._repeats.note_send(attempt.service, again=again)
-        if not again and self._rollouts:
+        self._retry_budgets.count_attempt(attempt.service, is_retry=is_retry)
+        if not is_retry and self._rollouts:
             self._rollouts.note_send(attempt.record, attempt.route)
 
-    def _begin_as_named(
+    def _start_assigned_attempt(
         self, service: str, traits: RequestTraits, tried: Collection[str]
     ) -> Attempt | None:
-        named = self._asking.ask(service, traits, tried)
-        if named is None:
+        assignment = self._asking.request_assignment(service, traits, tried)
+        if assignment is None:
             return None
-        number, assigned = named
+        number, assigned = assignment
         record = self._directory.records.get(assigned.endpoint)
-        if record is None or not self._may_use(record, service, tried):
-            self._asking.ended(number, SendEnd.OTHERWISE)
+        if record is None or not self._is_usable(record, service, tried):
+            self._asking.record_end(number, AttemptResult.NEUTRAL)
             return None
         self._cache.sent(record.name, traits.parts, self._cache_tokens(service))
         attempt = Attempt(
@@ -196,17 +198,18 @@
             self._directory.records.get(assigned.source),
             assigned.queued_tokens,
             number=number,
-            named_by=self._asking.dispatcher,
+            assigned_by=self._asking.dispatcher,
         )
-        self._asking.opened(number, lambda: self._take_over(attempt))
+        self._asking.add_attempt(number, lambda: self._count_locally(attempt))
         return attempt
 
-    def _may_use(
+    def _is_usable(
         self, record: EndpointRecord, service: str, tried: Collection[str]
     ) -> bool:
-        """Return whether an endpoint that was named is one for this gateway, too.
+        """Return whether this gateway can use an endpoint that was assigned.
 
-        It may have learned of a departure first, or be the one that can't reach it.
+        This gateway may have learned first that the endpoint is leaving, or be the only
+        one that can't reach it.
         """
         if record.name in tried or not record.is_ready:
             return False
@@ -215,48 +218,49 @@
         health = self._directory.health_of(service)
         return health.may_serve(record.name, self._clock.elapsed())
 
-    def _weights(self, service: str) -> Mapping[str, float]:
-        """Return what an endpoint's health lets it have, by name; 0 for nothing."""
+    def _health_weights(self, service: str) -> Mapping[str, float]:
+        """Return the endpoints' health weights by name; 0 excludes an endpoint."""
         return self._directory.health_of(service).weights(self._clock.elapsed())
 
-    def _take_over(self, attempt: Attempt) -> None:
-        """Count a send here that a dispatcher no longer counts."""
+    def _count_locally(self, attempt: Attempt) -> None:
+        """Count an attempt locally that the dispatcher no longer counts."""
         attempt.number = None
         attempt.record.in_flight += 1
-        if not attempt.has_first:
+        if not attempt.has_first_token:
             attempt.record.unread_tokens += attempt.unread_tokens
 
-    def begin_here(
+    def start_local_attempt(
         self,
         service: str,
         traits: RequestTraits,
         tried: Collection[str],
         *,
-        again: bool,
+        is_retry: bool,
     ) -> Attempt | None:
-        """Choose by what this gateway knows, and count the send as under way."""
+        """Choose an endpoint by this gateway's own data, and count the attempt."""
         listed = self.endpoints(service)
         candidates = [record for record in listed if record.name not in tried]
-        return self._begin_among(candidates, listed, service, traits, again=again)
+        return self._start_among(candidates, listed, service, traits, is_retry=is_retry)
 
-    def _begin_among(
+    def _start_among(
         self,
         candidates: Sequence[EndpointRecord],
         listed: Sequence[EndpointRecord],
         service: str,
         traits: RequestTraits,
         *,
-        again: bool,
+        is_retry: bool,
     ) -> Attempt | None:
-        """Choose among some endpoints, and count the send as under way.
+        """Choose among the candidates, and count the attempt as in progress.
 
-        :param listed: those of the same versions, among which parts have their homes.
+        :param listed: endpoints of the same versions, among which prompt parts have
+            their owners.
         """
-        weights = self._weights(service)
+        weights = self._health_weights(service)
         record = self._choose(candidates, service, traits, weights)
         if record is None:
             return None
-        return self._began(record, listed, traits, weights, again=again)
+        return self._start_at(record, listed, traits, weights, is_retry=is_retry)
 
     def _choose(
         self,
@@ -265,195 +269,204 @@
         traits: RequestTraits,
         weights: Mapping[str, float],
     ) -> EndpointRecord | None:
-        """Return the endpoint for a request's next send, if there is one."""
+        """Return the endpoint for a request's next attempt, if there is one."""
         return self._placement.choose(
             candidates,
             self._service(service),
             traits,
             self._peer_loads,
             weights,
-            self._reading.token_time(service),
-            unseen_work(self._work_of_peers(service), self._news_age, len(candidates)),
+            self._prefill_times.token_time(service),
+            unseen_work(
+                self._get_peer_work(service), self._peer_report_age, len(candidates)
+            ),
         )
 
-    def _work_of_peers(self, service: str) -> float:
-        """Return the peers' work as of the last refresh: many requests ask for it."""
+    def _get_peer_work(self, service: str) -> float:
+        """Return the peers' work as of the last refresh; many requests need it."""
         if service not in self._peer_work:
             work = self._peering.work(service)
             self._peer_work[service] = work
         return self._peer_work[service]
 
-    def has_another(self, service: str, tried: Collection[str]) -> bool:
+    def has_alternative(self, service: str, tried: Collection[str]) -> bool:
         """Return whether a service has endpoints that were not tried."""
         return any(record.name not in tried for record in self.endpoints(service))
 
-    def _began(
+    def _start_at(
         self,
         record: EndpointRecord,
         listed: Sequence[EndpointRecord],
         traits: RequestTraits,
         weights: Mapping[str, float],
         *,
-        again: bool,
+        is_retry: bool,
     ) -> Attempt:
-        """Note a send as under way.
+        """Count an attempt as in progress.
 
-        :param listed: endpoints among which the home of a part is found.
-        :param again: whether the request was sent before. Its work counts once:
-            where endpoints are too few, sends that they refuse would look like load.
+        :param listed: endpoints among which the owner of a prompt part is found.
+        :param is_retry: whether this attempt is a retry. A request's work counts once:
+            otherwise attempts that overloaded endpoints refuse would look like load.
         """
         service = self._service(record.endpoint.service)
-        unread = 0
+        prefill_tokens = 0
         source = None
         if service.engine is not None:
-            unread = self._placement.unread_tokens(record, listed or [record], traits)
+            prefill_tokens = self._placement.unread_tokens(
+                record, listed or [record], traits
+            )
             source = self._placement.source(
                 record,
-                self._fetchable(record, weights),
+                self._fetch_sources(record, weights),
                 service,
                 traits,
-                self._reading.token_time(service.name),
+                self._prefill_times.token_time(service.name),
                 self._clock.elapsed(),
             )
             if source is not None:
                 tokens = sum(part.tokens for part in shared_parts(traits))
-                unread = min(unread, max((traits.prompt_tokens or 0) - tokens, 0))
+                prefill_tokens = min(
+                    prefill_tokens, max((traits.prompt_tokens or 0) - tokens, 0)
+                )
             self._cache.sent(record.name, traits.parts, service.engine.cache_tokens)
-            took = unread * self._reading.token_time(service.name)
+            took = prefill_tokens * self._prefill_times.token_time(service.name)
             now = self._clock.elapsed()
-            if not again:
+            if not is_retry:
                 self._work.add(service.name, now, took.total_seconds())
         queued = record.unread_tokens
         record.in_flight += 1
-        record.unread_tokens += unread
+        record.unread_tokens += prefill_tokens
         return Attempt(
             record,
             service.name,
             self._clock.elapsed(),
-            unread,
+            prefill_tokens,
             source,
             queued,
-            self._news_age,
+            self._peer_report_age,
         )
 
-    def first_token(self, attempt: Attempt, *, has_read: bool = True) -> None:
-        """Note that an endpoint has read the whole prompt, or need not any more.
+    def record_first_token(
+        self, attempt: Attempt, *, is_prefilled: bool = True
+    ) -> None:
+        """Record that an endpoint has finished a prefill, or need not any more.
 
-        :param has_read: whether it has. An endpoint that fails a request at once would
-            look like one that reads in no time.
+        :param is_prefilled: whether it has finished. An endpoint that fails a request
+            at once would look like one whose prefill takes no time.
         """
-        if attempt.has_first:
+        if attempt.has_first_token:
             return
-        took = self._clock.elapsed() - attempt.began_at if has_read else None
+        took = self._clock.elapsed() - attempt.began_at if is_prefilled else None
         if took is not None:
             self._rollouts.note_first(attempt.record, attempt.route, took)
         if attempt.number is None:
-            self.first_here(attempt, took)
+            self.record_local_first_token(attempt, took)
         else:
-            attempt.has_first = True
-            self._asking.first_token(attempt.number, took)
+            attempt.has_first_token = True
+            self._asking.record_first_token(attempt.number, took)
 
-    def first_here(self, attempt: Attempt, took: timedelta | None) -> None:
-        """Note the same of a send that is counted here.
+    def record_local_first_token(
+        self, attempt: Attempt, took: timedelta | None
+    ) -> None:
+        """Record the first token of an attempt that is counted locally.
 
-        :param took: time since it was sent; None where the prompt was not read.
+        :param took: time since it was sent; None if there was no prefill.
         """
-        if attempt.has_first:
+        if attempt.has_first_token:
             return
-        attempt.has_first = True
+        attempt.has_first_token = True
         attempt.record.unread_tokens -= attempt.unread_tokens
         if took is not None:
-            self._reading.observe(attempt.service, attempt.unread_tokens, took)
+            self._prefill_times.observe(attempt.service, attempt.unread_tokens, took)
 
-    def ended(self, attempt: Attempt) -> None:
-        """Note that a send is no longer under way."""
+    def finish_attempt(self, attempt: Attempt) -> None:
+        """Record that an attempt is no longer in progress."""
         if attempt.number is None:
-            self.end_here(attempt)
+            self.finish_local_attempt(attempt)
         else:
-            self._asking.ended(attempt.number, attempt.end, attempt.pause)
+            self._asking.record_end(attempt.number, attempt.result, attempt.gap)
 
-    def end_here(self, attempt: Attempt) -> None:
-        """Note the same of a send that is counted here."""
-        if not attempt.has_first:
-            attempt.has_first = True
+    def finish_local_attempt(self, attempt: Attempt) -> None:
+        """Record the end of an attempt that is counted locally."""
+        if not attempt.has_first_token:
+            attempt.has_first_token = True
             attempt.record.unread_tokens -= attempt.unread_tokens
         attempt.record.in_flight -= 1
 
-    def observe(
-        self, record: EndpointRecord, end: SendEnd, pause: timedelta | None
+    def record_remote_result(
+        self, record: EndpointRecord, result: AttemptResult, gap: timedelta | None
     ) -> None:
-        """Note how another gateway's send ended, which was counted here.
+        """Record the result of another gateway's attempt that was counted here.
 
-        :param pause: a low pause between the stream's events; none where there were
-            too few.
+        :param gap: a low gap between the stream's events; None if there were too few.
         """
-        if pause:
-            self._paces.observe_low(record.name, pause)
-        if end is SendEnd.OTHERWISE:
+        if gap:
+            self._paces.observe_low(record.name, gap)
+        if result is AttemptResult.NEUTRAL:
             return
         self._directory.health_of(record.endpoint.service).observe(
             record.name,
-            ok=end is SendEnd.ANSWERED,
+            ok=result is AttemptResult.ANSWERED,
             now=self._clock.elapsed(),
-            weight=NO_ANSWER_WEIGHT if end is SendEnd.FAILED else 1,
+            weight=NO_RESPONSE_WEIGHT if result is AttemptResult.FAILED else 1,
         )
 
-    def answered(self, attempt: Attempt, status: int, took: timedelta) -> None:
-        """Note an endpoint's answer."""
+    def record_response(self, attempt: Attempt, status: int, took: timedelta) -> None:
+        """Record an endpoint's response."""
         record = attempt.record
         self._rollouts.note_end(record, attempt.route, ok=status < 500)
         self._directory.health_of(record.endpoint.service).observe(
             record.name, ok=status < 500, now=self._clock.elapsed(), latency=took
         )
 
-    def streamed(self, attempt: Attempt, pauses: Sequence[timedelta] = ()) -> None:
-        """Note a stream that ended whole.
+    def record_stream(self, attempt: Attempt, gaps: Sequence[timedelta] = ()) -> None:
+        """Record a stream that was complete.
 
-        :param pauses: times between its events.
+        :param gaps: times between its events.
         """
-        attempt.end = SendEnd.ANSWERED
+        attempt.result = AttemptResult.ANSWERED
         self._rollouts.note_end(attempt.record, attempt.route, ok=True)
-        attempt.pause = low_pause(pauses)
-        if attempt.pause is not None:
-            self._paces.observe_low(attempt.record.name, attempt.pause)
+        attempt.gap = low_pause(gaps)
+        if attempt.gap is not None:
+            self._paces.observe_low(attempt.record.name, attempt.gap)
         self._directory.health_of(attempt.service).observe(
             attempt.record.name, ok=True, now=self._clock.elapsed()
         )
 
-    def failed_by_version(self, attempt: Attempt) -> None:
-        """Hold a failure against the version of its endpoint, too.
+    def record_version_failure(self, attempt: Attempt) -> None:
+        """Count a failure against the version of its endpoint, too.
 
-        Not where the endpoint itself has ended: all that ran there fails at once.
+        Not if the endpoint itself has crashed: then all its requests fail at once.
         """
         self._rollouts.note_end(attempt.record, attempt.route, ok=False)
 
-    def failed(self, attempt: Attempt, is_fault: bool) -> None:
-        """Note a send without an answer; a refusal is no fault."""
+    def record_failure(self, attempt: Attempt, is_fault: bool) -> None:
+        """Record an attempt without a response; a refusal is no fault."""
         record = attempt.record
         if is_fault:
-            attempt.end = SendEnd.FAILED
+            attempt.result = AttemptResult.FAILED
             self._directory.health_of(record.endpoint.service).observe(
                 record.name,
                 ok=False,
                 now=self._clock.elapsed(),
-                weight=NO_ANSWER_WEIGHT,
+                weight=NO_RESPONSE_WEIGHT,
             )
 
-    def left(self, attempt: Attempt) -> None:
-        """Note that a caller has left; what it did not wait for took this long."""
-        if not attempt.has_first:
+    def record_disconnect(self, attempt: Attempt) -> None:
+        """Record that the caller disconnected and, before a first token, its wait."""
+        if not attempt.has_first_token:
             waited = self._clock.elapsed() - attempt.began_at
             self._rollouts.note_first(attempt.record, attempt.route, waited)
 
-    def began_to_run(self, customer: Customer | None) -> None:
-        """Count a request as begun for its customer's usage."""
+    def count_usage(self, customer: Customer | None) -> None:
+        """Count a request that began to run towards its customer's usage."""
         if customer is not None:
             self._usage.add(customer.name)
 
-    def _fetchable(
+    def _fetch_sources(
         self, record: EndpointRecord, weights: Mapping[str, float]
     ) -> list[EndpointRecord]:
-        """Return the engines whose memory an engine can have.
+        """Return the engines whose KV cache an engine may fetch from.
 
         They are healthy or about to leave, and of its version while there are two.
         """
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -8,13 +8,13 @@
 
 from sassafrasdale.clock import Clock, milliseconds
 from sassafrasdale.deployment import Customer, RequestTraits, Route, name_of
+from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.exceptions import RequestRefused, StreamBrokenOff
 from sassafrasdale.gateway.exchange import AdmittedRequest, RequestExchange
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.routing import RouteTable, draw_service
 from sassafrasdale.gateway.suspects import Suspects
-from sassafrasdale.gateway.tickets import Attempt
 from sassafrasdale.green import sleep
 from sassafrasdale.http.exceptions import CallerGone
 from sassafrasdale.http.messages import Request
@@ -238,8 +238,8 @@
             limit=record.limit,
             unread=attempt and attempt.unread_tokens,
             queued=attempt and attempt.queued_tokens,
-            news_ms=attempt and milliseconds(attempt.news_age),
-            named_by=(attempt and attempt.named_by) or None,
+            news_ms=attempt and milliseconds(attempt.peer_report_age),
+            named_by=(attempt and attempt.assigned_by) or None,
             fetched_from=attempt and attempt.source and attempt.source.name,
             first_ms=None if first is None else milliseconds(first),
             took_ms=milliseconds(took),
--- a/tests/gateway/test_asking.py
+++ b/tests/gateway/test_asking.py
@@ -1,36 +1,36 @@
-"""When a gateway tells its dispatcher what came of its sends."""
+"""When a gateway reports to its dispatcher on its attempts."""
 
 from datetime import timedelta
 
 import pytest
 
 from sassafrasdale.clock import SystemClock
-from sassafrasdale.gateway.asking import GATHERING, LONGEST_PAUSE, Asking
-from sassafrasdale.gateway.assignment import SendEnd
+from sassafrasdale.gateway.asking import BATCH_DELAY, MAX_REPORT_INTERVAL, Asking
+from sassafrasdale.gateway.assignment import AttemptResult
 from sassafrasdale.green import sleep, spawn
 from tests.gateway.fleets import contact
 
-SOON = GATHERING + timedelta(milliseconds=80)
+SOON = BATCH_DELAY + timedelta(milliseconds=80)
 
 
 class Gateway:
-    """A gateway's asking task, and what it has told."""
+    """A gateway's dispatcher client, and what it has reported."""
 
     def __init__(self):
         self.dispatcher = contact("central")
-        self.looks = 0
-        self.told = []
+        self.lookups = 0
+        self.reports = []
         self.asking = Asking(
-            contact("g-1"), self._look, lambda *_: None, self._tell, SystemClock()
+            contact("g-1"), self._look_up, lambda *_: None, self._report, SystemClock()
         )
         self.task = spawn(self.asking.run)
 
-    def _look(self):
-        self.looks += 1
+    def _look_up(self):
+        self.lookups += 1
         return self.dispatcher
 
-    def _tell(self, _, notes):
-        self.told.append(notes)
+    def _report(self, _, report):
+        self.reports.append(report)
         return True
 
 
@@ -41,29 +41,29 @@
     gateway.task.kill()
 
 
-def test_notes_are_told_soon_and_together(gateway):
-    """Guards against engines that a dispatcher takes for busy long after a send."""
-    sleep(LONGEST_PAUSE + SOON)
-    gateway.asking.opened(1, lambda: None)
-    gateway.asking.first_token(1, timedelta())
-    gateway.asking.ended(1, SendEnd.ANSWERED)
+def test_results_are_reported_soon_and_in_batches(gateway):
+    """Guards against a dispatcher that considers engines busy long after an attempt."""
+    sleep(MAX_REPORT_INTERVAL + SOON)
+    gateway.asking.add_attempt(1, lambda: None)
+    gateway.asking.record_first_token(1, timedelta())
+    gateway.asking.record_end(1, AttemptResult.ANSWERED)
     sleep(SOON)
-    (notes,) = gateway.told
-    assert len(notes.first) == len(notes.ended) == 1
+    (report,) = gateway.reports
+    assert len(report.first) == len(report.ended) == 1
 
 
-def test_nothing_to_tell_wakes_nobody_often(gateway):
-    """Guards against hundreds of idle gateways that look at nothing all the time."""
-    sleep(1.5 * LONGEST_PAUSE)
-    assert gateway.told == []
-    assert gateway.looks <= 3
+def test_an_idle_client_wakes_up_rarely(gateway):
+    """Guards against hundreds of idle gateways that wake up all the time."""
+    sleep(1.5 * MAX_REPORT_INTERVAL)
+    assert gateway.reports == []
+    assert gateway.lookups <= 3
 
 
-def test_another_dispatcher_is_found_without_notes(gateway):
-    """Guards against sends that nobody counts once their dispatcher is another."""
-    taken = []
-    sleep(LONGEST_PAUSE + SOON)
-    gateway.asking.opened(1, lambda: taken.append(1))
+def test_a_new_dispatcher_is_found_without_results(gateway):
+    """Guards against attempts that nobody counts after a change of the dispatcher."""
+    local = []
+    sleep(MAX_REPORT_INTERVAL + SOON)
+    gateway.asking.add_attempt(1, lambda: local.append(1))
     gateway.dispatcher = contact("other")
-    sleep(LONGEST_PAUSE + SOON)
-    assert taken == [1]
+    sleep(MAX_REPORT_INTERVAL + SOON)
+    assert local == [1]
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Engines named by the dispatcher of a zone, and what its gateways tell it."""
+"""Engines assigned by the dispatcher of a zone, and its gateways' reports."""
 
 from datetime import timedelta
 from random import Random
@@ -17,18 +17,18 @@
     RequestTraits,
     Service,
 )
-from sassafrasdale.gateway.asking import SUSPENDED, Asking
+from sassafrasdale.gateway.asking import FALLBACK_TIME, Asking
 from sassafrasdale.gateway.assignment import (
     ASK,
     ASSIGNED,
     NOTES,
     Ask,
-    Ended,
+    AttemptEnded,
+    AttemptResult,
     Notes,
-    SendEnd,
 )
 from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.dispatcher import UNLISTED, Dispatcher
+from sassafrasdale.gateway.dispatcher import RECONCILE_GRACE, Dispatcher
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.peer_states import encode
 from sassafrasdale.gateway.placement import CacheBelief, Placement
@@ -43,7 +43,7 @@
 
 
 class Gateway:
-    """What a gateway knows of four engines, and whom it asks."""
+    """A gateway's view of four engines, and its dispatcher client."""
 
     def __init__(self, name, clock, asking=None):
         self.name = name
@@ -74,27 +74,27 @@
         records = self.directory.records.values()
         return [record.in_flight for record in records]
 
-    def unread(self):
+    def prefill_tokens(self):
         records = self.directory.records.values()
         return sum(record.unread_tokens for record in records)
 
 
 class Zone:
-    """A dispatcher and the gateways that ask it; messages go over as bytes."""
+    """A dispatcher and its client gateways; messages are encoded between them."""
 
     def __init__(self, gateways=3):
         self.clock = ManualClock()
         self.central = Gateway("central", self.clock)
         self.dispatcher = Dispatcher(self.central.fleet, self.clock)
         self.answers = True
-        self.hears_notes = True
+        self.receives_reports = True
         self.contact = contact("central")
         self.asking = [
             Asking(
                 contact(f"g-{number}"),
                 lambda: self.contact,
                 self._ask,
-                self._tell,
+                self._report,
                 self.clock,
             )
             for number in range(gateways)
@@ -110,14 +110,14 @@
             return None
         return ASSIGNED.decode(encode(assigned))
 
-    def _tell(self, _, notes):
-        if self.hears_notes:
+    def _report(self, _, notes):
+        if self.receives_reports:
             self.dispatcher.note(NOTES.decode(encode(notes)))
-        return self.hears_notes
+        return self.receives_reports
 
     def send(self, number, tokens=5000):
-        return self.gateways[number].fleet.begin(
-            "models", prompt(tokens), frozenset(), again=False
+        return self.gateways[number].fleet.start_attempt(
+            "models", prompt(tokens), frozenset(), is_retry=False
         )
 
     def tell(self):
@@ -140,42 +140,42 @@
     return Zone()
 
 
-def test_gateways_that_send_at_once_choose_different_engines(zone):
-    """All would send to the same engine, which all see as the emptiest.
+def test_simultaneous_attempts_get_different_engines(zone):
+    """Guards against simultaneous requests that all go to the same idle engine.
 
-    Pattern: three gateways get a long prompt within the same millisecond, before any
-    has told the others of its own.
+    Workload: three gateways get a long prompt within the same millisecond, before any
+    has reported its own to the others.
     """
     names = [zone.send(number, 20_000).record.name for number in range(3)]
     assert len(set(names)) == 3
     assert zone.central.under_way().count(1) == 3
 
 
-def test_a_send_is_counted_once(zone):
-    """An engine would look twice as full as it is, and be passed over."""
+def test_an_attempt_is_counted_once(zone):
+    """Guards against an engine that looks twice as loaded as it is and is avoided."""
     zone.send(0)
     assert sum(zone.central.under_way()) == 1
     assert [sum(gateway.under_way()) for gateway in zone.gateways] == [0, 0, 0]
 
 
-def test_first_tokens_and_ends_are_told(zone):
+def test_first_tokens_and_ends_are_reported(zone):
     attempt = zone.send(0, 8000)
-    assert zone.central.unread() == 8000
+    assert zone.central.prefill_tokens() == 8000
     zone.clock.advance(SECOND / 5)
-    zone.gateways[0].fleet.first_token(attempt)
+    zone.gateways[0].fleet.record_first_token(attempt)
     zone.tell()
-    assert zone.central.unread() == 0
+    assert zone.central.prefill_tokens() == 0
     assert sum(zone.central.under_way()) == 1
-    zone.gateways[0].fleet.ended(attempt)
+    zone.gateways[0].fleet.finish_attempt(attempt)
     zone.tell()
     assert sum(zone.central.under_way()) == 0
 
 
-def test_without_an_answer_a_gateway_chooses_by_itself(zone):
-    """Requests would wait for a dispatcher that was killed.
+def test_without_a_response_a_gateway_chooses_itself(zone):
+    """Guards against requests that wait for a dispatcher that was killed.
 
-    Its question gets no answer in time. The dispatcher may have counted the send; it
-    hears that nothing came of it.
+    The assignment request gets no timely response. The dispatcher may have counted the
+    attempt; it is told that the attempt ended.
     """
     zone.answers = False
     attempt = zone.send(0)
@@ -186,59 +186,59 @@
     zone.answers = True
     zone.send(0)
     assert sum(zone.central.under_way()) == 0
-    zone.clock.advance(SUSPENDED)
+    zone.clock.advance(FALLBACK_TIME)
     zone.send(0)
     assert sum(zone.central.under_way()) == 1
 
 
-def test_open_sends_are_counted_here_once_the_dispatcher_is_another_one(zone):
-    """A new dispatcher would take full engines for empty ones.
+def test_open_attempts_are_counted_locally_after_a_dispatcher_change(zone):
+    """Guards against a new dispatcher that considers loaded engines idle.
 
-    The dispatcher is replaced while a prompt is being read. Its gateway counts it
-    itself from then on, and reports it as its own load.
+    The dispatcher is replaced during a prefill. The gateway counts the attempt itself
+    from then on, and reports it as its own load.
     """
     first = zone.send(0, 8000)
     second = zone.send(0, 6000)
-    zone.gateways[0].fleet.first_token(second)
+    zone.gateways[0].fleet.record_first_token(second)
     zone.contact = contact("next")
     zone.tell()
     gateway = zone.gateways[0]
     assert sum(gateway.under_way()) == 2
-    assert gateway.unread() == 8000
-    gateway.fleet.first_token(first)
-    gateway.fleet.ended(first)
-    gateway.fleet.ended(second)
+    assert gateway.prefill_tokens() == 8000
+    gateway.fleet.record_first_token(first)
+    gateway.fleet.finish_attempt(first)
+    gateway.fleet.finish_attempt(second)
     assert sum(gateway.under_way()) == 0
-    assert gateway.unread() == 0
+    assert gateway.prefill_tokens() == 0
 
 
-def test_a_restarted_dispatcher_is_another_one(zone):
+def test_a_restarted_dispatcher_counts_as_changed(zone):
     zone.send(0)
     zone.contact = contact("central", incarnation=2)
     zone.tell()
     assert sum(zone.gateways[0].under_way()) == 1
 
 
-def test_lost_notes_are_made_good_by_the_next_report(zone):
-    """An engine would be held to be full for good."""
+def test_the_next_report_makes_up_for_lost_results(zone):
+    """Guards against an engine that looks loaded forever after a lost report."""
     attempt = zone.send(0)
-    zone.hears_notes = False
-    zone.gateways[0].fleet.ended(attempt)
+    zone.receives_reports = False
+    zone.gateways[0].fleet.finish_attempt(attempt)
     zone.tell()
     assert sum(zone.central.under_way()) == 1
-    zone.clock.advance(UNLISTED * 2)
+    zone.clock.advance(RECONCILE_GRACE * 2)
     zone.report()
     assert sum(zone.central.under_way()) == 0
 
 
-def test_a_report_that_crosses_an_answer_drops_nothing(zone):
-    """The report was written before the answer came, so it lists the send not yet."""
+def test_a_report_written_before_an_assignment_drops_nothing(zone):
+    """The report was written before the assignment arrived, so it lacks the attempt."""
     zone.send(0)
     zone.dispatcher.reconcile("g-0", 1, ())
     assert sum(zone.central.under_way()) == 1
 
 
-def test_sends_of_a_gateway_that_is_gone_are_dropped(zone):
+def test_attempts_of_a_lost_gateway_are_dropped(zone):
     zone.send(0)
     zone.send(1)
     zone.clock.advance(LIFETIME / 2)
@@ -248,24 +248,24 @@
     assert sum(zone.central.under_way()) == 1
 
 
-def test_sends_of_an_earlier_start_are_dropped(zone):
+def test_attempts_of_an_earlier_incarnation_are_dropped(zone):
     zone.send(0)
     zone.dispatcher.reconcile("g-0", 2, ())
     assert sum(zone.central.under_way()) == 0
 
 
-def test_a_gateway_that_lays_down_counts_no_sends_of_others(zone):
-    """Two would count the same sends, one as a dispatcher and one as its own."""
+def test_a_dispatcher_that_resigns_drops_all_attempts(zone):
+    """Guards against two gateways counting the same attempts after a resignation."""
     zone.send(0)
     zone.dispatcher.lay_down()
     assert sum(zone.central.under_way()) == 0
-    assert zone.central.unread() == 0
+    assert zone.central.prefill_tokens() == 0
 
 
-def test_an_endpoint_that_this_gateway_can_not_use_is_not_taken(zone):
-    """A gateway would send to an endpoint that it alone can't reach, again and again.
+def test_an_assigned_endpoint_that_is_unusable_here_is_declined(zone):
+    """Guards against repeated attempts at an endpoint that one gateway can't reach.
 
-    Its own sends there had no answer; those of the others are fine.
+    Its own attempts there got no response; those of the others succeed.
     """
     gateway = zone.gateways[0]
     named = zone.send(0).record.name
@@ -283,43 +283,44 @@
     assert sum(zone.central.under_way()) == 1
 
 
-def test_failures_at_one_gateway_are_known_to_the_dispatcher(zone):
-    """Each gateway of a zone would send a request to an endpoint that fails them."""
+def test_failures_are_reported_to_the_dispatcher(zone):
+    """Guards against each gateway of a zone losing requests to one bad endpoint."""
     for _ in range(4):
         attempt = zone.send(0)
-        zone.gateways[0].fleet.failed(attempt, is_fault=True)
-        zone.gateways[0].fleet.ended(attempt)
+        zone.gateways[0].fleet.record_failure(attempt, is_fault=True)
+        zone.gateways[0].fleet.finish_attempt(attempt)
         zone.tell()
         failed = attempt.record.name
     weights = zone.central.directory.health_of("models").weights(zone.clock.elapsed())
     assert weights[failed] < 1
 
 
-def test_notes_of_sends_that_nobody_knows_change_nothing(zone):
-    zone.dispatcher.note(Notes("g-0", 1, (), (Ended(99, SendEnd.FAILED),)))
+def test_results_of_unknown_attempts_are_ignored(zone):
+    zone.dispatcher.note(Notes("g-0", 1, (), (AttemptEnded(99, AttemptResult.FAILED),)))
     assert sum(zone.central.under_way()) == 0
 
 
-def test_a_question_tells_all_that_decides():
+def test_an_assignment_request_keeps_the_traits():
     traits = prompt(700)
     ask = Ask.of("g-0", 1, 5, "models", traits, ("i-1",))
     again = ASK.decode(encode(ask)).traits
     assert (again.prompt_tokens, again.parts) == (700, traits.parts)
 
 
-def test_failures_teach_no_reading_time(zone):
-    """Loads and orders would go by engines that read a prompt in no time.
+def test_failures_are_no_prefill_samples(zone):
+    """Guards against prefill times that are learned from failed requests.
 
-    An engine fails all streams at once for some seconds. Each failure is an answer, and
-    its few milliseconds were taken for the time that the prompt took.
+    An engine fails all streams at once for some seconds. Each failure is a response,
+    and its few milliseconds were taken for the prefill time, on which loads and orders
+    for capacity are based.
     """
     gateway = zone.gateways[0].fleet
     for _ in range(20):
         for tokens in (200, 8000):
             attempt = zone.send(0, tokens)
             zone.clock.advance(SECOND / 500)
-            gateway.first_token(attempt, has_read=False)
-            gateway.ended(attempt)
+            gateway.record_first_token(attempt, is_prefilled=False)
+            gateway.finish_attempt(attempt)
             zone.tell()
     assert zone.central.fleet.token_times() == {}
     assert sum(zone.central.under_way()) == 0
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -71,8 +71,8 @@
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(reset))
     noted = []
-    failed, lost = world.fleet.failed, world.suspects.lost
-    world.fleet.failed = lambda *args: (noted.append("failed"), failed(*args))
+    failed, lost = world.fleet.record_failure, world.suspects.lost
+    world.fleet.record_failure = lambda *args: (noted.append("failed"), failed(*args))
     world.suspects.lost = lambda *args, **also: (
         noted.append("looked at"),
         lost(*args, **also),
@@ -167,7 +167,7 @@
     endpoints = [ScriptedEndpoint(reset) for _ in range(5)]
     for number, endpoint in enumerate(endpoints):
         world.add(f"i-{number}", "records", endpoint)
-    world.fleet.repeats.note_send("records", again=False)
+    world.fleet.retry_budgets.count_attempt("records", is_retry=False)
     answer = world.ask(request("/reports/open/1", method="GET"))
     assert status_of(answer) == 502
     assert sum(len(endpoint.requests) for endpoint in endpoints) <= 3
--- a/tests/gateway/test_reading.py
+++ b/tests/gateway/test_reading.py
@@ -1,4 +1,4 @@
-"""Times for a prompt token, seen here and told by others."""
+"""Prefill times per token, measured here and reported by others."""
 
 from datetime import timedelta
 
@@ -9,45 +9,48 @@
     FIRST_GUESS,
     LEAST_OBSERVATIONS,
 )
-from sassafrasdale.gateway.reading import ReadingTimes
+from sassafrasdale.gateway.prefill_times import PrefillTimes
 
 MILLISECOND = timedelta(milliseconds=1)
 
 
-def seen(told=()):
-    reading = ReadingTimes(lambda service: list(told))
+def measured(reported=()):
+    times = PrefillTimes(lambda service: list(reported))
     for _ in range(LEAST_OBSERVATIONS):
-        reading.observe("models", 100, 10 * MILLISECOND)
-        reading.observe("models", 5000, 110 * MILLISECOND)
-    return reading
+        times.observe("models", 100, 10 * MILLISECOND)
+        times.observe("models", 5000, 110 * MILLISECOND)
+    return times
 
 
-def test_without_any_sight_it_is_a_guess():
-    reading = ReadingTimes(lambda service: [])
-    assert reading.token_time("models") == FIRST_GUESS
-    assert reading.seen() == {}
+def test_without_measurements_it_is_an_estimate():
+    times = PrefillTimes(lambda service: [])
+    assert times.token_time("models") == FIRST_GUESS
+    assert times.measured() == {}
 
 
-def test_a_gateway_that_has_just_started_goes_by_what_others_have_seen():
-    """It would order two engines for three, until it has seen eight long prompts."""
-    reading = ReadingTimes(lambda service: [2e-5, 3e-5])
-    assert reading.token_time("models") == timedelta(seconds=2.5e-5)
+def test_a_new_gateway_uses_reported_times():
+    """Guards against ordering two engines instead of three on a guess.
+
+    A gateway has no measurement of its own until it has seen eight long prompts.
+    """
+    times = PrefillTimes(lambda service: [2e-5, 3e-5])
+    assert times.token_time("models") == timedelta(seconds=2.5e-5)
 
 
-def test_what_was_seen_here_counts_with_the_others():
-    assert seen().seen()["models"] == pytest.approx(2e-5)
-    assert seen([4e-5]).token_time("models") == timedelta(seconds=3e-5)
+def test_own_measurements_count_with_reported_ones():
+    assert measured().measured()["models"] == pytest.approx(2e-5)
+    assert measured([4e-5]).token_time("models") == timedelta(seconds=3e-5)
 
 
-def test_a_time_of_nothing_is_not_believed():
-    """All streams of a site would end with an internal error, for good.
+def test_a_time_of_zero_is_rejected():
+    """Guards against a prefill time of zero, by which queue lengths are divided.
 
-    Engines answer long prompts with failures of their own within a millisecond, or a
-    gateway tells a time of nothing. What is queued is divided by that time.
+    All streams of a site would end with an internal error, for good. Engines respond to
+    long prompts with errors within a millisecond, or a gateway reports a time of zero.
     """
-    assert ReadingTimes(lambda service: [0.0]).token_time("models") == FASTEST
-    reading = ReadingTimes(lambda service: [])
+    assert PrefillTimes(lambda service: [0.0]).token_time("models") == FASTEST
+    times = PrefillTimes(lambda service: [])
     for _ in range(LEAST_OBSERVATIONS):
-        reading.observe("models", 100, timedelta())
-        reading.observe("models", 5000, timedelta())
-    assert reading.token_time("models") >= FASTEST
+        times.observe("models", 100, timedelta())
+        times.observe("models", 5000, timedelta())
+    assert times.token_time("models") >= FASTEST
--- a/tests/gateway/test_repeats.py
+++ b/tests/gateway/test_repeats.py
@@ -1,29 +1,29 @@
-"""The budget of sends beyond the first."""
+"""Retry budgets."""
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.gateway.repeats import USED_RETRIES, Repeats
+from sassafrasdale.gateway.retry_budgets import USED_SHARE, RetryBudgets
 from tests.gateway.test_quotas import bounds
 
 
 def spent_at_once(gateways: int) -> int:
-    repeats = Repeats(bounds(), lambda: gateways, ManualClock())
+    budgets = RetryBudgets(bounds(), lambda: gateways, ManualClock())
     for _ in range(10_000):
-        repeats.note_send("records", again=False)
+        budgets.count_attempt("records", is_retry=False)
     spent = 0
-    while repeats.may_repeat("records", spend=True):
+    while budgets.allow_retry("records", spend=True):
         spent += 1
     return spent
 
 
-def test_parts_of_the_slack_add_up():
-    """An endpoint that fails all would get each request of 195 gateways again."""
-    slack = bounds().retry_slack * USED_RETRIES
+def test_gateways_divide_the_slack():
+    """Guards against 195 gateways that each retry as if the slack were theirs alone."""
+    slack = bounds().retry_slack * USED_SHARE
     assert spent_at_once(1) <= slack
     assert 2 * spent_at_once(2) <= slack
 
 
-def test_a_look_takes_nothing_out():
-    repeats = Repeats(bounds(), lambda: 1, ManualClock())
-    repeats.note_send("records", again=False)
-    assert repeats.may_repeat("records", spend=False)
-    assert repeats.may_repeat("records", spend=False)
+def test_checking_a_budget_spends_nothing():
+    budgets = RetryBudgets(bounds(), lambda: 1, ManualClock())
+    budgets.count_attempt("records", is_retry=False)
+    assert budgets.allow_retry("records", spend=False)
+    assert budgets.allow_retry("records", spend=False)
