--- a/src/sassafrasdale/gateway/events.py
+++ b/src/sassafrasdale/gateway/events.py
@@ -1,7 +1,7 @@
-"""Splitting a stream of server-sent events, so that only whole ones go on.
+"""Splitting of a server-sent event stream into complete events.
 
-An endpoint that breaks off may do so in the middle of an event. What has gone to
-the caller must end with a whole event, or another endpoint can't continue it.
+An endpoint may fail in the middle of an event. The data sent to the caller must end
+with a complete event, or another endpoint can't resume the stream.
 """
 
 import re
@@ -11,9 +11,9 @@
 
 
 class EventSplitter:
-    """Gathers bytes into whole events.
+    """Collects bytes into complete events.
 
-    :param last_id: id of the last event that the caller has.
+    :param last_id: id of the last event that the caller has received.
     """
 
     def __init__(self, last_id: int | None = None) -> None:
@@ -23,31 +23,31 @@
 
     @property
     def last_id(self) -> int | None:
-        """Id of the last whole event."""
+        """Id of the last complete event."""
         return self._last_id
 
     @property
     def count(self) -> int:
-        """Whole events seen."""
+        """Number of complete events."""
         return self._count
 
     @property
     def has_partial(self) -> bool:
-        """Whether bytes of an unfinished event are held."""
+        """Whether bytes of an incomplete event are buffered."""
         return bool(self._partial)
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of the events that are now whole."""
+        """Return the bytes of the events that are now complete."""
         data = self._partial + data
         end = 0
         for match in _END.finditer(data):
             end = match.end()
             self._count += 1
-        whole, self._partial = data[:end], data[end:]
-        for match in _ID.finditer(whole):
+        complete, self._partial = data[:end], data[end:]
+        for match in _ID.finditer(complete):
             self._last_id = int(match.group(1))
-        return whole
+        return complete
 
     def drop_partial(self) -> None:
-        """Forget an unfinished event; the next endpoint sends it whole."""
+        """Discard an incomplete event; the next endpoint sends all of it."""
         self._partial = b""
--- a/src/sassafrasdale/gateway/fingerprints.py
+++ b/src/sassafrasdale/gateway/fingerprints.py
@@ -1,18 +1,19 @@
-"""What makes two attempts the same request, though each has an id of its own."""
+"""Fingerprints that identify a caller's retries as the same request."""
 
 from hashlib import blake2b
 
 from sassafrasdale.http.messages import Request
 
-# Bytes of a digest; callers choose the bodies, and must not hit another's by trying.
+# Bytes of a digest; long enough that callers, who choose the bodies, can't find a
+# collision by trial.
 DIGEST_BYTES = 12
 
 
 def fingerprint(request: Request, customer: str) -> str:
-    """Return a digest of who asks, for what, and with which body.
+    """Return a digest of the customer, the method, host and path, and the body.
 
-    Other headers don't count: ids, deadlines and the like differ from one attempt to
-    the next.
+    Other headers don't count: request ids, deadlines and the like differ between
+    retries.
 
     :param customer: name of the customer; empty for a public route.
     """
--- a/tests/gateway/test_fingerprints.py
+++ b/tests/gateway/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Which attempts count as the same request."""
+"""Which requests have the same fingerprint."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 FIRST = Request("POST", "/reports/7", HEADERS, b"cube 7")
 
 
-def test_another_attempt_of_the_same_request_has_its_fingerprint():
+def test_a_retry_has_the_same_fingerprint():
     headers = (("host", "labs.example"), ("request-id", "r-2"), ("deadline-ms", "400"))
     again = Request("POST", "/reports/7", headers, b"cube 7")
     assert fingerprint(again, "lab-a") == fingerprint(FIRST, "lab-a")
@@ -27,5 +27,5 @@
         (Request("POST", "/reports/7c", HEADERS, b"ube 7"), "lab-a"),
     ],
 )
-def test_another_request_has_another_fingerprint(request_, customer):
+def test_different_requests_have_different_fingerprints(request_, customer):
     assert fingerprint(request_, customer) != fingerprint(FIRST, "lab-a")
