--- a/src/sassafrasdale/gateway/crash_detection.py
+++ b/src/sassafrasdale/gateway/crash_detection.py
@@ -1,4 +1,4 @@
-"""Telling an endpoint's end from a connection that was only lost on its way."""
+"""Distinguishes an endpoint's crash from a lost connection."""
 
 from datetime import timedelta
 
@@ -7,58 +7,58 @@
 from sassafrasdale.green import Event, sleep
 from sassafrasdale.http.connections import Reach
 
-# All that an endpoint ran is lost within milliseconds, and one look serves for it. An
-# endpoint that crashed is back after seconds.
-VALID = timedelta(milliseconds=300)
-# Looks at an endpoint that may have gone dark, and the pause between them: an opening
-# packet may be lost on its way.
-LOOKS = 3
-LOOK_PAUSE = timedelta(milliseconds=300)
+# All requests of a crashed endpoint lose their connections within milliseconds, and
+# share one probe. The endpoint may be back seconds later.
+RESULT_TTL = timedelta(milliseconds=300)
+# Probes of an endpoint that may be unreachable, and the interval between them: a SYN
+# packet may be lost.
+PROBES = 3
+PROBE_INTERVAL = timedelta(milliseconds=300)
 
 
-class Endings:
-    """Looks whether endpoints have ended, once for all that ask at the same time.
+class CrashDetector:
+    """Probes whether endpoints have crashed, once for all concurrent callers.
 
-    An endpoint that has ended refuses connections: its instance is there, and nothing
-    listens. One whose connections were reset or cut on the way takes a new one, or
-    gives no answer.
+    An endpoint that has crashed refuses connections: its instance runs, but nothing
+    listens. One whose connections were reset or cut in the network accepts a new one,
+    or doesn't reply.
 
     :param clock: source of elapsed time.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._looks: dict[str, tuple[timedelta, Event]] = {}
+        self._probes: dict[str, tuple[timedelta, Event]] = {}
 
-    def has_ended(self, record: EndpointRecord) -> bool:
-        """Return whether an endpoint that has just lost a connection has ended."""
+    def has_crashed(self, record: EndpointRecord) -> bool:
+        """Return whether an endpoint that has just lost a connection has crashed."""
         now = self._clock.elapsed()
         self._forget_old(now)
-        if record.name in self._looks:
-            return self._looks[record.name][1].wait()
-        outcome = Event()
-        self._looks[record.name] = (now, outcome)
+        if record.name in self._probes:
+            return self._probes[record.name][1].wait()
+        result = Event()
+        self._probes[record.name] = (now, result)
         refused = False
         try:
             refused = record.pool.look() is Reach.REFUSED
         finally:
-            outcome.send(refused)
+            result.send(refused)
         return refused
 
-    def look_often(self, record: EndpointRecord) -> Reach:
-        """Return what an endpoint whose entry has lapsed makes of a connection.
+    def probe_repeatedly(self, record: EndpointRecord) -> Reach:
+        """Return the result of probing an endpoint whose registration has expired.
 
-        It counts as giving no answer if it gives none several times.
+        It counts as unresponsive only if several probes get no reply.
         """
-        for number in range(LOOKS):
+        for number in range(PROBES):
             if number:
-                sleep(LOOK_PAUSE)
+                sleep(PROBE_INTERVAL)
             reach = record.pool.look()
             if reach is not Reach.UNANSWERED:
                 return reach
         return Reach.UNANSWERED
 
     def _forget_old(self, now: timedelta) -> None:
-        for name, (began_at, outcome) in list(self._looks.items()):
-            if outcome.ready() and now - began_at > VALID:
-                del self._looks[name]
+        for name, (began_at, result) in list(self._probes.items()):
+            if result.ready() and now - began_at > RESULT_TTL:
+                del self._probes[name]
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -271,7 +271,7 @@
             attempt, head.status, self._clock.elapsed() - attempt.began_at
         )
         if succeeded:
-            self._suspects.ended_well(admitted.request, admitted.customer_name)
+            self._suspects.record_success(admitted.request, admitted.customer_name)
         self._caller.answer(head.status, caller_headers(head), body)
         return head.status
 
@@ -289,8 +289,8 @@
         try:
             while data := connection.read_data(deadline):
                 deadline = self._next_read_deadline()
-                whole = splitter.feed(data)
-                if not whole:
+                complete = splitter.feed(data)
+                if not complete:
                     continue
                 now = self._clock.elapsed()
                 if last_at is not None and len(gaps) < MAX_EVENT_GAPS:
@@ -299,7 +299,7 @@
                 self._record_first_byte(attempt)
                 if not self._caller.head_sent:
                     self._caller.begin(head.status, caller_headers(head))
-                self._caller.write(whole)
+                self._caller.write(complete)
         except HttpError:
             splitter.drop_partial()
             raise
@@ -310,7 +310,7 @@
             self._caller.begin(head.status, caller_headers(head))
         self._caller.end()
         self._fleet.record_stream(attempt, gaps)
-        self._suspects.ended_well(admitted.request, admitted.customer_name)
+        self._suspects.record_success(admitted.request, admitted.customer_name)
         return head.status
 
     def _next_read_deadline(self) -> timedelta:
@@ -344,14 +344,14 @@
         if counts:
             self._fleet.record_failure(attempt, is_fault)
         # This probes the endpoint, which takes time, so the failure is counted first.
-        ended = self._check_crash(attempt, failure)
-        if counts and is_fault and not ended:
+        crashed = self._check_crash(attempt, failure)
+        if counts and is_fault and not crashed:
             self._fleet.record_version_failure(attempt)
         self._last_failure = failure.reason
         log.info(
             "send failed",
             endpoint=attempt.record.name,
-            endpoint_ended=ended,
+            endpoint_ended=crashed,
             fingerprint=self._fingerprint,
             outcome=str(failure.outcome),
             why=failure.reason,
@@ -366,7 +366,7 @@
             return None
         begun = self._splitter.count > self._events_before_attempt
         record = attempt.record
-        self._endpoint_crashed = self._suspects.lost(
+        self._endpoint_crashed = self._suspects.record_lost_connection(
             self._fingerprint, record, begun=begun, listed=self._fleet.is_listed(record)
         )
         return self._endpoint_crashed
@@ -390,9 +390,7 @@
         admitted = self._admitted
         if failure.outcome is SendOutcome.UNKNOWN and not admitted.route.repeatable:
             return False
-        if self._endpoint_crashed and not self._suspects.may_send_again(
-            self._fingerprint
-        ):
+        if self._endpoint_crashed and not self._suspects.may_retry(self._fingerprint):
             return False
         if self._clock.elapsed() >= admitted.deadline:
             return False
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -168,10 +168,10 @@
 
         :raises RequestRefused: if the request is quarantined.
         """
-        verdict = self._suspects.verdict(
+        verdict = self._suspects.check(
             request, name_of(customer), self._fleet.endpoints(service)
         )
-        if not verdict.refused:
+        if not verdict.is_refused:
             return verdict.avoided
         record.fingerprint = verdict.fingerprint
         raise RequestRefused(503, "quarantined", retry_after=QUARANTINE_RETRY_AFTER)
--- a/src/sassafrasdale/gateway/suspects.py
+++ b/src/sassafrasdale/gateway/suspects.py
@@ -1,4 +1,4 @@
-"""Requests under which endpoints have ended, as one gateway deals with them."""
+"""Quarantine of requests under which endpoints have crashed."""
 
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
     StrikeLedger,
     trial_scope,
 )
-from sassafrasdale.gateway.crash_detection import Endings
+from sassafrasdale.gateway.crash_detection import CrashDetector
 from sassafrasdale.gateway.directory import EndpointRecord
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.trials import Trials
@@ -24,18 +24,19 @@
 
 log = Logger("suspects")
 
-# The list shows an end within seconds: the entry lapses, or tells a later start.
-REMEMBERED = timedelta(seconds=10)
-# Sends that lost their endpoint without a sign of its end, and are remembered.
-MOST_LOST = 500
+# The directory shows a crash within seconds: the registration expires, or shows a later
+# start time.
+MAX_LOST_AGE = timedelta(seconds=10)
+# Most runs that are kept whose connection was lost without evidence of a crash.
+MAX_LOST_RUNS = 500
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """A request's run at an endpoint, that ended without an answer.
+class LostRun:
+    """A request's run at an endpoint that ended without a response.
 
     :param version: of the endpoint's software.
-    :param begun: whether the run had handed out events.
+    :param begun: whether the run had produced events.
     """
 
     fingerprint: str
@@ -48,26 +49,26 @@
 class Verdict:
     """Whether a request may be sent to endpoints.
 
-    :param fingerprint: of the request; empty where nothing is held against any.
-    :param refused: whether no endpoint may get it.
-    :param avoided: endpoints that may not get it.
+    :param fingerprint: of the request; empty if no request is quarantined.
+    :param is_refused: whether no endpoint may get it.
+    :param avoided: endpoints that must not get it.
     """
 
     fingerprint: str = ""
-    refused: bool = False
+    is_refused: bool = False
     avoided: frozenset[str] = frozenset()
 
 
-NOTHING_AGAINST_IT = Verdict()
+NO_RESTRICTION = Verdict()
 
 
 class Suspects:
-    """Notes which requests endpoints ended under, and refuses those that end them.
+    """Records which requests crash endpoints, and refuses those that do so repeatedly.
 
     :param name: this gateway's name.
     :param ledger: strikes of all gateways.
-    :param trials: tries of refused requests, of all gateways.
-    :param time: true time, which strikes are dated by.
+    :param trials: trial attempts of refused requests, of all gateways.
+    :param time: cluster time, which strikes are dated by.
     :param count: counts an event for the metrics.
     """
 
@@ -86,11 +87,11 @@
         self._time = time
         self._clock = clock
         self._count = count
-        self._endings = Endings(clock)
-        self._lost: list[tuple[timedelta, Run]] = []
+        self._crash_detector = CrashDetector(clock)
+        self._lost_runs: list[tuple[timedelta, LostRun]] = []
         self._quarantined: frozenset[str] = frozenset()
 
-    def verdict(
+    def check(
         self, request: Request, customer: str, endpoints: Collection[EndpointRecord]
     ) -> Verdict:
         """Return whether a request may be sent to endpoints.
@@ -99,7 +100,7 @@
         :param endpoints: those that it might be sent to.
         """
         if not self._ledger.quarantined:
-            return NOTHING_AGAINST_IT
+            return NO_RESTRICTION
         name = fingerprint(request, customer)
         if name not in self._ledger.quarantined:
             return Verdict(name)
@@ -107,54 +108,56 @@
         met = {held.strike.version for held in strikes}
         versions = {record.name: record.endpoint.version for record in endpoints}
         scope = trial_scope(met, versions)
-        if self._trials.take(name, strikes[-1].strike.at, has_new=scope.has_new):
+        if self._trials.try_claim(name, strikes[-1].strike.at, has_new=scope.has_new):
             return Verdict(name, avoided=scope.avoided)
         self._count("quarantined request refused")
-        return Verdict(name, refused=True)
+        return Verdict(name, is_refused=True)
 
-    def lost(
+    def record_lost_connection(
         self, name: str, record: EndpointRecord, *, begun: bool, listed: bool
     ) -> bool:
-        """Take that a request's connection was lost, and return whether by an end.
+        """Record a lost connection and return whether the endpoint has crashed.
 
-        An endpoint that is leaving ends as planned, whatever it runs.
+        A leaving endpoint stops as planned, whatever it runs, so that is no strike.
 
         :param name: the request's fingerprint.
-        :param begun: whether the endpoint had handed out events for it.
-        :param listed: whether the endpoint is listed as one that takes requests.
+        :param begun: whether the endpoint had produced events for it.
+        :param listed: whether the endpoint is registered as ready.
         """
-        run = Run(name, record.name, record.endpoint.version, begun)
+        run = LostRun(name, record.name, record.endpoint.version, begun)
         now = self._clock.elapsed()
-        has_ended = record.is_unreachable or self._endings.has_ended(record)
+        has_crashed = record.is_unreachable or self._crash_detector.has_crashed(record)
         if not listed and not record.is_unreachable:
-            return has_ended
-        if has_ended:
-            self._strike(run, now)
+            return has_crashed
+        if has_crashed:
+            self._record_strike(run, now)
             return True
-        self._lost = [kept for kept in self._lost if now - kept[0] <= REMEMBERED]
-        self._lost = [*self._lost, (now, run)][-MOST_LOST:]
+        self._lost_runs = [
+            kept for kept in self._lost_runs if now - kept[0] <= MAX_LOST_AGE
+        ]
+        self._lost_runs = [*self._lost_runs, (now, run)][-MAX_LOST_RUNS:]
         return False
 
     def vanished(self, record: EndpointRecord) -> None:
-        """Take that an endpoint's entry is gone, though it didn't say that it leaves.
+        """Handle a registration that disappeared without the endpoint leaving.
 
-        Where its instance has lost power no connection is reset, and what it ran would
-        wait to its deadline.
+        If its instance has lost power, connections are not reset, and its requests
+        would wait until their deadlines.
         """
-        has_lost = any(run.endpoint == record.name for _, run in self._lost)
+        has_lost = any(run.endpoint == record.name for _, run in self._lost_runs)
         if record.connections or has_lost:
-            spawn(self._look_after, record)
+            spawn(self._probe_expired, record)
 
-    def _look_after(self, record: EndpointRecord) -> None:
-        reach = self._endings.look_often(record)
+    def _probe_expired(self, record: EndpointRecord) -> None:
+        reach = self._crash_detector.probe_repeatedly(record)
         if reach is Reach.OPEN:
-            # It has lost the store, or leaves.
+            # It has lost its connection to the store, or is leaving.
             return
         self.ended(record.name)
         if reach is Reach.UNANSWERED and record.connections:
-            self._break_off(record)
+            self._abort_requests(record)
 
-    def _break_off(self, record: EndpointRecord) -> None:
+    def _abort_requests(self, record: EndpointRecord) -> None:
         log.notice(
             "endpoint gone dark", endpoint=record.name, runs=len(record.connections)
         )
@@ -163,17 +166,17 @@
             connection.close()
 
     def ended(self, endpoint: str) -> None:
-        """Take that an endpoint has ended, which had lost connections before."""
+        """Record the crash of an endpoint that had lost connections before."""
         now = self._clock.elapsed()
-        lost, self._lost = self._lost, []
+        lost, self._lost_runs = self._lost_runs, []
         for lost_at, run in lost:
             if run.endpoint != endpoint:
-                self._lost.append((lost_at, run))
-            elif now - lost_at <= REMEMBERED:
-                self._strike(run, lost_at)
+                self._lost_runs.append((lost_at, run))
+            elif now - lost_at <= MAX_LOST_AGE:
+                self._record_strike(run, lost_at)
 
-    def ended_well(self, request: Request, customer: str) -> None:
-        """Take that an endpoint has run a request to its end."""
+    def record_success(self, request: Request, customer: str) -> None:
+        """Clear a request's strikes as an endpoint has completed it."""
         if not len(self._ledger):
             return
         name = fingerprint(request, customer)
@@ -182,35 +185,35 @@
             self.note_changes()
 
     def lift(self, name: str) -> bool:
-        """Let a request through again, as an operator asks."""
+        """Release a request from quarantine, as an operator asks."""
         lifted = self._ledger.clear(name)
         if lifted:
             log.notice("strikes cleared", fingerprint=name, why="lifted by an operator")
             self.note_changes()
         return lifted
 
-    def may_send_again(self, name: str) -> bool:
-        """Return whether one attempt may go on to another endpoint."""
+    def may_retry(self, name: str) -> bool:
+        """Return whether a request may be retried at another endpoint."""
         return self._ledger.may_send_again(name)
 
     def note_changes(self) -> None:
-        """Log which requests have come into quarantine, or out of it."""
+        """Log which requests have entered or left quarantine."""
         now = self._ledger.quarantined
         for name in sorted(now - self._quarantined):
             self._count("request quarantined")
-            ends = self._described(self._ledger.open_strikes(name))
+            ends = self._describe_strikes(self._ledger.open_strikes(name))
             log.warning("request quarantined", fingerprint=name, ends=ends)
         for name in sorted(self._quarantined - now):
             log.notice("quarantine ended", fingerprint=name)
         self._quarantined = now
 
     def described(self) -> list[dict[str, object]]:
-        """Return the requests that strikes count against, for an operator."""
+        """Return the requests that have open strikes, for an operator."""
         return [
             {
                 "fingerprint": strikes[0].strike.fingerprint,
                 "quarantined": strikes[0].strike.fingerprint in self._quarantined,
-                "ends": self._described(strikes),
+                "ends": self._describe_strikes(strikes),
             }
             for strikes in (
                 [held for held in all_held if held.is_open]
@@ -219,7 +222,9 @@
             if strikes
         ]
 
-    def _described(self, strikes: Iterable[HeldStrike]) -> list[dict[str, object]]:
+    def _describe_strikes(
+        self, strikes: Iterable[HeldStrike]
+    ) -> list[dict[str, object]]:
         now = self._time.seconds
         return [
             {
@@ -232,7 +237,7 @@
             for held in strikes
         ]
 
-    def _strike(self, run: Run, lost_at: timedelta) -> None:
+    def _record_strike(self, run: LostRun, lost_at: timedelta) -> None:
         self._count("endpoint ended under a request")
         since = (self._clock.elapsed() - lost_at).total_seconds()
         strike = Strike(
--- a/src/sassafrasdale/gateway/trials.py
+++ b/src/sassafrasdale/gateway/trials.py
@@ -1,8 +1,8 @@
-"""Tries of requests that were kept from the endpoints: one gateway's at a time.
+"""Trial attempts of quarantined requests, by one gateway at a time.
 
-A later version of the endpoints may be able to run such a request, and one that only
-ran beside others at each crash must not be refused for good. So one attempt of it is
-let through now and then; the store sees to it that one gateway does so, not each.
+A later version of the endpoints may be able to run such a request, and one that merely
+ran beside others at each crash must not be refused for good. So one attempt is allowed
+now and then; the store ensures that only one gateway makes it.
 """
 
 from datetime import timedelta
@@ -20,20 +20,22 @@
 log = Logger("trials")
 
 TRIALS_PREFIX = "sassafrasdale/trials/"
-# Pause between two questions of one gateway about one request; each is a call.
-ASKED_AGAIN = timedelta(seconds=10)
-# Requests whose last question is remembered.
-MOST_ASKED = 500
+# Shortest interval between a gateway's queries about one request; each is a call to the
+# store.
+MIN_QUERY_INTERVAL = timedelta(seconds=10)
+# Most requests whose last query is tracked.
+MAX_TRACKED = 500
 
 
 class TrialRecord(Struct, frozen=True, array_like=True):
-    """Tries that were made of one request.
+    """Trial attempts of one request.
 
-    :param at: when the last was made, in seconds since 1970.
+    :param count: how many there were.
+    :param last_at: time of the last one, in seconds since 1970.
     """
 
-    made: int = 0
-    at: float = 0.0
+    count: int = 0
+    last_at: float = 0.0
 
 
 _DECODER = Decoder(TrialRecord)
@@ -41,30 +43,30 @@
 
 
 class Trials:
-    """Decides whether this gateway may let a refused request through once.
+    """Decides whether this gateway may send a refused request once.
 
     :param store: the platform's store.
-    :param time: true time.
+    :param time: cluster time.
     """
 
     def __init__(self, store: BaseStore, time: TrueTime, clock: Clock) -> None:
         self._store = store
         self._time = time
         self._clock = clock
-        self._asked_at: dict[str, timedelta] = {}
+        self._queried_at: dict[str, timedelta] = {}
 
-    def take(self, name: str, last_end: float, *, has_new: bool) -> bool:
-        """Return whether a request may be tried here and now.
+    def try_claim(self, name: str, last_end: float, *, has_new: bool) -> bool:
+        """Return whether this gateway may make a trial attempt of a request now.
 
-        Without the store's answer it may not: another gateway may try it, too.
+        Without a response of the store it may not: another gateway might make it, too.
 
         :param name: the request's fingerprint.
-        :param last_end: when an endpoint last ended under it, in seconds since 1970.
-        :param has_new: whether there are endpoints of a version that it hasn't met.
+        :param last_end: when an endpoint last crashed under it, in seconds since 1970.
+        :param has_new: whether there are endpoints of a version that it hasn't run on.
         """
         now = self._time.seconds
         may_be_due = trial_is_due(0, last_end, now, has_new=has_new)
-        if not may_be_due or not self._may_ask(name):
+        if not may_be_due or not self._may_query(name):
             return False
         try:
             return self._claim(name, last_end, now, has_new)
@@ -73,20 +75,20 @@
             return False
 
     def forget(self, name: str) -> None:
-        """Drop what the store holds of the tries of a request.
+        """Delete a request's trial record from the store.
 
-        :raises StoreError: if the store gives no answer.
+        :raises StoreError: if the store doesn't respond.
         """
         self._store.delete(TRIALS_PREFIX + name)
 
-    def _may_ask(self, name: str) -> bool:
+    def _may_query(self, name: str) -> bool:
         now = self._clock.elapsed()
-        asked_at = self._asked_at.get(name)
-        if asked_at is not None and now - asked_at < ASKED_AGAIN:
+        queried_at = self._queried_at.get(name)
+        if queried_at is not None and now - queried_at < MIN_QUERY_INTERVAL:
             return False
-        if len(self._asked_at) >= MOST_ASKED:
-            del self._asked_at[min(self._asked_at, key=self._asked_at.get)]
-        self._asked_at[name] = now
+        if len(self._queried_at) >= MAX_TRACKED:
+            del self._queried_at[min(self._queried_at, key=self._queried_at.get)]
+        self._queried_at[name] = now
         return True
 
     def _claim(self, name: str, last_end: float, now: float, has_new: bool) -> bool:
@@ -98,17 +100,17 @@
                 record = _DECODER.decode(held.value)
             except DecodeError as error:
                 log.error("trial malformed, begun anew", key=key, why=str(error))
-        last = max(last_end, record.at)
-        if not trial_is_due(record.made, last, now, has_new=has_new):
+        last = max(last_end, record.last_at)
+        if not trial_is_due(record.count, last, now, has_new=has_new):
             return False
         revision = ABSENT if held is None else held.mod_revision
-        value = _ENCODE(TrialRecord(record.made + 1, now))
+        value = _ENCODE(TrialRecord(record.count + 1, now))
         if not self._store.compare_and_swap(key, value, revision):
             return False
         log.notice(
             "refused request tried again",
             fingerprint=name,
-            trial=record.made + 1,
+            trial=record.count + 1,
             last_end_s=round(now - last_end, 1),
             new_version=has_new,
         )
--- a/tests/gateway/test_crash_detection.py
+++ b/tests/gateway/test_crash_detection.py
@@ -1,11 +1,11 @@
-"""An endpoint's end and a connection that is lost on its way look alike at first."""
+"""Distinction of an endpoint's crash from a lost connection."""
 
 import socket
 from datetime import timedelta
 
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.deployment import Endpoint, EndpointState
-from sassafrasdale.gateway.crash_detection import Endings
+from sassafrasdale.gateway.crash_detection import CrashDetector
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.http.connections import Reach
@@ -28,60 +28,60 @@
         return Address(*listener.getsockname())
 
 
-def test_an_endpoint_that_refuses_connections_has_ended():
-    assert Endings(CLOCK).has_ended(record_at(refusing_address()))
+def test_an_endpoint_that_refuses_connections_has_crashed():
+    assert CrashDetector(CLOCK).has_crashed(record_at(refusing_address()))
 
 
-def test_an_endpoint_that_takes_connections_lives():
+def test_an_endpoint_that_accepts_connections_has_not_crashed():
     def hold(sock):
         sock.recv(1)
 
     opened = []
     record = record_at(serve_raw(hold), lambda: opened.append(1))
-    assert not Endings(CLOCK).has_ended(record)
+    assert not CrashDetector(CLOCK).has_crashed(record)
     record.pool.take()
     assert len(opened) == 1
 
 
-def test_an_endpoint_that_gives_no_answer_is_not_known_to_have_ended():
-    """A gateway that is cut off would hold every endpoint for ended."""
+def test_an_unresponsive_endpoint_is_not_known_to_have_crashed():
+    """Guards against a partitioned gateway that considers every endpoint crashed."""
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     address = Address(*full.getsockname())
     kept = [socket.socket() for _ in range(4)]
     for sock in kept:
         sock.setblocking(False)
         sock.connect_ex((address.host, address.port))
-    assert not Endings(CLOCK).has_ended(record_at(address))
+    assert not CrashDetector(CLOCK).has_crashed(record_at(address))
     for sock in (*kept, full):
         sock.close()
 
 
-def test_all_that_lose_an_endpoint_at_once_look_once():
+def test_concurrent_callers_share_one_probe():
     opened = []
     record = record_at(refusing_address(), lambda: opened.append(1))
-    endings = Endings(CLOCK)
-    tasks = [spawn(endings.has_ended, record) for _ in range(20)]
+    detector = CrashDetector(CLOCK)
+    tasks = [spawn(detector.has_crashed, record) for _ in range(20)]
     assert all(task.wait() for task in tasks)
     assert len(opened) == 1
     sleep(timedelta(milliseconds=350))
-    assert endings.has_ended(record)
+    assert detector.has_crashed(record)
     assert len(opened) == 2
 
 
-def test_an_endpoint_that_gives_no_answer_thrice_is_dark():
+def test_an_endpoint_without_three_replies_is_unreachable():
     dark = DarkEndpoint()
     sock = socket.create_connection((dark.address.host, dark.address.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
     sleep(timedelta(milliseconds=50))
     record = record_at(dark.address)
-    assert not Endings(CLOCK).has_ended(record)
-    assert Endings(CLOCK).look_often(record) is Reach.UNANSWERED
+    assert not CrashDetector(CLOCK).has_crashed(record)
+    assert CrashDetector(CLOCK).probe_repeatedly(record) is Reach.UNANSWERED
     sock.close()
     dark.close()
 
 
-def test_an_endpoint_that_refuses_or_lives_is_not_dark():
+def test_an_endpoint_that_refuses_or_accepts_is_not_unreachable():
     refusing = record_at(refusing_address())
     living = record_at(serve_raw(lambda sock: sock.recv(1)))
-    assert Endings(CLOCK).look_often(refusing) is Reach.REFUSED
-    assert Endings(CLOCK).look_often(living) is Reach.OPEN
+    assert CrashDetector(CLOCK).probe_repeatedly(refusing) is Reach.REFUSED
+    assert CrashDetector(CLOCK).probe_repeatedly(living) is Reach.OPEN
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -71,9 +71,9 @@
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(reset))
     noted = []
-    failed, lost = world.fleet.record_failure, world.suspects.lost
+    failed, lost = world.fleet.record_failure, world.suspects.record_lost_connection
     world.fleet.record_failure = lambda *args: (noted.append("failed"), failed(*args))
-    world.suspects.lost = lambda *args, **also: (
+    world.suspects.record_lost_connection = lambda *args, **also: (
         noted.append("looked at"),
         lost(*args, **also),
     )[1]
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -1,4 +1,4 @@
-"""What one gateway makes of endpoints that end under requests."""
+"""Quarantine of requests that crash endpoints, at one gateway."""
 
 import socket
 from datetime import timedelta
@@ -26,7 +26,7 @@
 
 
 class Gateway:
-    """One gateway's suspects beside a directory."""
+    """One gateway's quarantine and directory."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -57,7 +57,7 @@
 
     def verdict(self, request: Request = CRASHING):
         records = self.directory.of_service("models")
-        return self.suspects.verdict(request, "lab-a", records)
+        return self.suspects.check(request, "lab-a", records)
 
 
 @pytest.fixture
@@ -78,38 +78,46 @@
     return serve_raw(lambda sock: sock.recv(1))
 
 
-def test_ends_of_endpoints_are_held_against_what_ran_there(gateway):
+def test_crashes_are_strikes_against_running_requests(gateway):
     for number in range(3):
-        assert not gateway.verdict().refused
+        assert not gateway.verdict().is_refused
         record = gateway.list_endpoint(refusing_address(), f"i-{number}")
-        assert gateway.suspects.lost(NAME, record, begun=False, listed=True)
-    assert gateway.verdict().refused
+        assert gateway.suspects.record_lost_connection(
+            NAME, record, begun=False, listed=True
+        )
+    assert gateway.verdict().is_refused
     assert gateway.verdict().fingerprint == NAME
     assert gateway.events.count("endpoint ended under a request") == 3
     assert gateway.events.count("request quarantined") == 1
 
 
-def test_a_connection_that_was_reset_on_its_way_is_not(gateway):
-    """Guards against refusals of innocents where connections are reset or cut."""
+def test_a_reset_connection_is_no_strike(gateway):
+    """Guards against refusing innocent requests whose connections are reset or cut."""
     record = gateway.list_endpoint(living_address(), born=1)
     for _ in range(10):
-        assert not gateway.suspects.lost(NAME, record, begun=False, listed=True)
+        assert not gateway.suspects.record_lost_connection(
+            NAME, record, begun=False, listed=True
+        )
     assert len(gateway.ledger) == 0
 
 
-def test_the_end_of_an_endpoint_that_is_leaving_is_not(gateway):
-    """Guards against refusals of what ran at endpoints that were reclaimed."""
+def test_the_stop_of_a_leaving_endpoint_is_no_strike(gateway):
+    """Guards against refusing requests that ran at endpoints that were reclaimed."""
     for number in range(5):
         record = gateway.list_endpoint(refusing_address(), f"i-{number}")
-        assert gateway.suspects.lost(NAME, record, begun=False, listed=False)
+        assert gateway.suspects.record_lost_connection(
+            NAME, record, begun=False, listed=False
+        )
     assert len(gateway.ledger) == 0
 
 
-def test_an_endpoint_that_was_back_at_once_has_ended(gateway):
-    """Guards against crashes that nobody notes where an endpoint restarts fast."""
+def test_a_quick_restart_counts_as_a_crash(gateway):
+    """Guards against missing a crash if the endpoint restarts quickly."""
     address = living_address()
     record = gateway.list_endpoint(address, born=1)
-    assert not gateway.suspects.lost(NAME, record, begun=False, listed=True)
+    assert not gateway.suspects.record_lost_connection(
+        NAME, record, begun=False, listed=True
+    )
     gateway.list_endpoint(address, born=2)
     assert len(gateway.ledger.open_strikes(NAME)) == 1
     gateway.list_endpoint(address, born=3)
@@ -117,11 +125,13 @@
 
 
 @pytest.mark.parametrize("lives", [True, False])
-def test_an_endpoint_that_lapses_after_a_lost_connection_has_ended(gateway, lives):
-    """Guards against crashes that nobody notes where the first look goes wrong."""
+def test_an_expired_registration_after_a_lost_connection_is_probed(gateway, lives):
+    """Guards against missing a crash that the first probe did not show."""
     listener = socket.create_server(("127.0.0.1", 0))
     record = gateway.list_endpoint(Address(*listener.getsockname()))
-    assert not gateway.suspects.lost(NAME, record, begun=False, listed=True)
+    assert not gateway.suspects.record_lost_connection(
+        NAME, record, begun=False, listed=True
+    )
     if not lives:
         listener.close()
     gateway.directory.remove(record.name)
@@ -134,33 +144,33 @@
     for end in range(3):
         gateway.ledger.take(strike(NAME, end, at=now()))
     other = Request("POST", "/reports/7", CRASHING.headers, b"cube 8")
-    assert gateway.verdict().refused
-    assert not gateway.verdict(other).refused
+    assert gateway.verdict().is_refused
+    assert not gateway.verdict(other).is_refused
 
 
-def test_an_attempt_that_ends_well_clears_the_others(gateway):
-    """Guards against a hot path that is refused for crashes of other causes."""
+def test_a_successful_attempt_clears_the_strikes(gateway):
+    """Guards against refusing a frequent request for crashes with other causes."""
     for end in range(2):
         gateway.ledger.take(strike(NAME, end, at=now()))
-    gateway.suspects.ended_well(CRASHING, "lab-a")
+    gateway.suspects.record_success(CRASHING, "lab-a")
     gateway.ledger.take(strike(NAME, 2, at=now()))
-    assert not gateway.verdict().refused
+    assert not gateway.verdict().is_refused
 
 
-def test_a_new_version_gets_it_once_and_the_old_one_never(gateway):
-    """Guards against a request refused for good, and against its end of old ones."""
+def test_a_new_version_gets_one_trial_and_the_old_one_none(gateway):
+    """Guards against refusals for good, and against more crashes of old versions."""
     old = gateway.list_endpoint(living_address(), "i-old", version="v1")
     for end in range(3):
         gateway.ledger.take(strike(NAME, end, at=now() - 100))
-    assert gateway.verdict().refused
+    assert gateway.verdict().is_refused
     gateway.list_endpoint(living_address(), "i-new", version="v2")
     verdict = gateway.verdict()
-    assert not verdict.refused
+    assert not verdict.is_refused
     assert verdict.avoided == {old.name}
-    assert gateway.verdict().refused
+    assert gateway.verdict().is_refused
 
 
-def test_an_operator_sees_and_lifts_a_quarantine(gateway):
+def test_an_operator_can_list_and_release_requests(gateway):
     for end in range(3):
         gateway.ledger.take(strike(NAME, end, at=now()))
     gateway.suspects.note_changes()
@@ -169,5 +179,5 @@
     assert {end["endpoint"] for end in shown[0]["ends"]} == {"i-0", "i-1", "i-2"}
     assert gateway.suspects.lift(NAME)
     assert not gateway.suspects.lift(NAME)
-    assert not gateway.verdict().refused
+    assert not gateway.verdict().is_refused
     assert gateway.suspects.described() == []
--- a/tests/gateway/test_trials.py
+++ b/tests/gateway/test_trials.py
@@ -1,11 +1,11 @@
-"""Requests that were kept from the endpoints and are tried again."""
+"""Trial attempts of quarantined requests."""
 
 from datetime import timedelta
 
 import pytest
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.gateway.trials import ASKED_AGAIN, Trials
+from sassafrasdale.gateway.trials import MIN_QUERY_INTERVAL, Trials
 from sassafrasdale.gateway.usage import TrueTime
 from tests.coordination.fakes import FakeStore
 
@@ -25,10 +25,10 @@
         ]
         self.last_end = self.time.seconds
 
-    def take(self, *, has_new: bool = True) -> int:
-        """Return how many gateways let the request through now."""
+    def claims(self, *, has_new: bool = True) -> int:
+        """Return how many gateways may make a trial attempt now."""
         return sum(
-            trials.take("crashing", self.last_end, has_new=has_new)
+            trials.try_claim("crashing", self.last_end, has_new=has_new)
             for trials in self.trials
         )
 
@@ -38,62 +38,62 @@
     return Fleet(9)
 
 
-def test_one_gateway_tries_it_and_not_each(fleet):
-    """Guards against one endpoint lost for each gateway after a release."""
+def test_only_one_gateway_makes_a_trial_attempt(fleet):
+    """Guards against one crashed endpoint per gateway after a release."""
     fleet.clock.advance(HOUR)
-    assert fleet.take() == 1
-    fleet.clock.advance(ASKED_AGAIN)
-    assert fleet.take() == 0
+    assert fleet.claims() == 1
+    fleet.clock.advance(MIN_QUERY_INTERVAL)
+    assert fleet.claims() == 0
 
 
-def test_nothing_is_tried_or_asked_at_once(fleet):
+def test_a_recent_crash_needs_no_query(fleet):
     fleet.clock.advance(timedelta(seconds=5))
-    assert fleet.take() == 0
+    assert fleet.claims() == 0
     assert fleet.store.calls == 0
 
 
-def test_without_a_new_version_it_takes_longer(fleet):
+def test_without_a_new_version_the_trial_is_later(fleet):
     fleet.clock.advance(timedelta(minutes=2))
-    assert fleet.take(has_new=False) == 0
+    assert fleet.claims(has_new=False) == 0
     fleet.clock.advance(HOUR)
-    assert fleet.take(has_new=False) == 1
+    assert fleet.claims(has_new=False) == 1
 
 
-def test_tries_come_to_an_end(fleet):
-    """Guards against an endpoint lost now and then for as long as a caller asks."""
-    tried = 0
+def test_trial_attempts_are_limited(fleet):
+    """Guards against a crash now and then for as long as a caller retries."""
+    attempts = 0
     for _ in range(60):
         fleet.clock.advance(HOUR)
-        tried += fleet.take()
-    assert tried == 2
+        attempts += fleet.claims()
+    assert attempts == 2
 
 
-def test_nothing_is_tried_while_the_store_is_out(fleet):
+def test_there_are_no_trials_while_the_store_is_out(fleet):
     fleet.clock.advance(HOUR)
     fleet.store.faults = ["unreached"] * 9
-    assert fleet.take() == 0
+    assert fleet.claims() == 0
 
 
-def test_a_try_whose_claim_lost_its_answer_is_not_made(fleet):
-    """Guards against two gateways that both hold the try for theirs."""
+def test_a_claim_without_a_response_is_not_used(fleet):
+    """Guards against two gateways that both make the trial attempt."""
     fleet.clock.advance(HOUR)
     fleet.trials = fleet.trials[:2]
     fleet.store.faults = [None, "lost_after"]
-    assert fleet.take() == 0
+    assert fleet.claims() == 0
 
 
-def test_a_gateway_asks_seldom(fleet):
-    """Guards against calls of the store for each attempt of a caller that persists."""
+def test_queries_are_rate_limited(fleet):
+    """Guards against a call to the store for each retry of a persistent caller."""
     fleet.clock.advance(HOUR)
-    fleet.take()
+    fleet.claims()
     calls = fleet.store.calls
     for _ in range(50):
-        fleet.clock.advance(ASKED_AGAIN / 100)
-        fleet.take()
+        fleet.clock.advance(MIN_QUERY_INTERVAL / 100)
+        fleet.claims()
     assert fleet.store.calls == calls
 
 
-def test_a_record_that_cannot_be_read_counts_as_none(fleet):
+def test_a_malformed_record_counts_as_none(fleet):
     fleet.store.create("sassafrasdale/trials/crashing", b"\xff")
     fleet.clock.advance(HOUR)
-    assert fleet.take() == 1
+    assert fleet.claims() == 1
