--- a/src/sassafrasdale/gateway/strike_news.py
+++ b/src/sassafrasdale/gateway/strike_news.py
@@ -1,7 +1,7 @@
-"""What gateways tell each other of strikes against requests.
+"""Replication of strikes against requests between gateways.
 
-Each link carries what has changed since its other end last said what it holds. What is
-lost on the way is told again, and one that has started anew is told everything.
+Each update contains what has changed since the version that the receiver last
+confirmed. So lost updates are sent again, and a restarted gateway is sent everything.
 """
 
 from collections.abc import Callable
@@ -17,12 +17,13 @@
     StrikeState,
 )
 
-# Strikes in one message; an endpoint with sixty requests leaves as many.
-MOST_ROWS = 200
+# Most strikes in one message; a crash of an endpoint with sixty requests causes as
+# many.
+MAX_ROWS = 200
 
 
 class StrikeRow(Struct, frozen=True, array_like=True):
-    """A strike as it is told and stored, with what has become of it."""
+    """A strike with its state, as it is sent and stored."""
 
     fingerprint: str
     endpoint: str
@@ -34,7 +35,7 @@
 
     @classmethod
     def of(cls, held: HeldStrike) -> "StrikeRow":
-        """Return the row of a strike."""
+        """Return the row for a strike."""
         strike = held.strike
         return cls(
             strike.fingerprint,
@@ -48,7 +49,7 @@
 
     @property
     def strike(self) -> Strike:
-        """The strike itself."""
+        """The strike without its state."""
         return Strike(
             self.fingerprint,
             self.endpoint,
@@ -60,19 +61,19 @@
 
 
 class StrikeNews(Struct, frozen=True, array_like=True):
-    """What one gateway tells another of strikes.
+    """Update on strikes from one gateway to another.
 
-    :param since: version of the sender's ledger that the rows follow on.
-    :param version: version that the receiver holds with them.
-    :param held: version of the receiver's ledger that the sender holds.
-    :param held_of: incarnation of the receiver that ``held`` is about.
+    :param since: version of the sender's ledger that the rows follow.
+    :param version: version of the sender's ledger once the rows are applied.
+    :param received: version of the receiver's ledger that the sender has received.
+    :param received_from: incarnation of the receiver that sent that version.
     """
 
     since: int
     version: int
     rows: tuple[StrikeRow, ...]
-    held: int
-    held_of: int
+    received: int
+    received_from: int
 
 
 encode = Encoder().encode
@@ -80,21 +81,21 @@
 
 
 @dataclass(slots=True)
-class _Link:
-    """What another gateway is known to hold, and what is held of it.
+class _PeerState:
+    """Replication state for another gateway.
 
-    :param told: version of this gateway's ledger that the other one holds.
-    :param held: version of the other one's ledger that is held here.
-    :param held_of: its incarnation, which that version is about.
+    :param acked: version of the local ledger that the other gateway has received.
+    :param received: version of the other gateway's ledger that was received here.
+    :param received_from: its incarnation that sent that version.
     """
 
-    told: int = 0
-    held: int = 0
-    held_of: int = 0
+    acked: int = 0
+    received: int = 0
+    received_from: int = 0
 
 
 class StrikeLinks:
-    """Tells other gateways of strikes and takes what they tell.
+    """Sends strikes to other gateways and applies the updates from them.
 
     :param ledger: the strikes that are known here.
     :param incarnation: this gateway's own.
@@ -103,44 +104,44 @@
     def __init__(self, ledger: StrikeLedger, incarnation: int) -> None:
         self._ledger = ledger
         self._incarnation = incarnation
-        self._links: dict[str, _Link] = {}
+        self._peers: dict[str, _PeerState] = {}
 
     def news_for(self, name: str) -> StrikeNews:
-        """Return what another gateway isn't known to hold."""
-        link = self._link(name)
-        changed = self._ledger.since(link.told, MOST_ROWS)
+        """Return the update for another gateway: all that it has not confirmed."""
+        peer = self._peer(name)
+        changed = self._ledger.since(peer.acked, MAX_ROWS)
         version = changed[-1].changed if changed else self._ledger.version
         return StrikeNews(
-            link.told,
+            peer.acked,
             version,
             tuple(StrikeRow.of(held) for held in changed),
-            link.held,
-            link.held_of,
+            peer.received,
+            peer.received_from,
         )
 
     def take(self, name: str, incarnation: int, news: StrikeNews | None) -> None:
-        """Take another gateway's news, and what it says that it holds."""
+        """Apply another gateway's update, and note which version it has received."""
         if news is None:
             return
-        link = self._link(name)
-        if incarnation != link.held_of:
-            link.held_of, link.held = incarnation, 0
+        peer = self._peer(name)
+        if incarnation != peer.received_from:
+            peer.received_from, peer.received = incarnation, 0
         for row in news.rows:
-            # A later version of the program may know of more states.
+            # A later version of the program may send more states.
             state = StrikeState(row.state & _KNOWN_STATES)
             self._ledger.take(row.strike, state)
-        if news.since <= link.held:
-            link.held = max(link.held, news.version)
-        link.told = news.held if news.held_of == self._incarnation else 0
+        if news.since <= peer.received:
+            peer.received = max(peer.received, news.version)
+        peer.acked = news.received if news.received_from == self._incarnation else 0
 
     def forget(self, is_gone: Callable[[str], bool]) -> None:
-        """Forget the links to gateways that are gone for good."""
-        for name in list(self._links):
+        """Drop the replication state for gateways that are gone for good."""
+        for name in list(self._peers):
             if is_gone(name):
-                del self._links[name]
+                del self._peers[name]
 
-    def _link(self, name: str) -> _Link:
-        return self._links.setdefault(name, _Link())
+    def _peer(self, name: str) -> _PeerState:
+        return self._peers.setdefault(name, _PeerState())
 
 
 _KNOWN_STATES = sum(StrikeState)
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -1,4 +1,4 @@
-"""Keeping strikes in the platform's store, where they outlive all gateways."""
+"""Storage of strikes in the platform's store, where they outlive all gateways."""
 
 from datetime import timedelta
 from itertools import islice
@@ -28,28 +28,29 @@
 log = Logger("strike records")
 
 STRIKES_PREFIX = "sassafrasdale/strikes/"
-# A request with fewer strikes is most likely innocent, and endpoints that crash for
-# other reasons would cost a write for each request that they ran.
-LEAST_STORED = 2
-STEP = timedelta(milliseconds=250)
-# Writes of one gateway in a step.
-MOST_WRITES = 8
-# A gateway stores what it has seen itself. After this time an aggregator does it
-# instead: the witness may be gone.
-WITNESS_TIME = timedelta(seconds=2)
-# Strikes are dropped after this time: nobody has asked for it since, or in vain.
-LIFETIME = timedelta(hours=24)
-
-# Pause between two looks while nothing changes.
-LOOK_PAUSE = timedelta(minutes=1)
+# A request with fewer strikes is most likely innocent, and each crash for another
+# reason would cause a write for every request that the endpoint ran.
+MIN_STRIKES = 2
+STEP_INTERVAL = timedelta(milliseconds=250)
+# Most writes of one gateway per step.
+MAX_WRITES = 8
+# A gateway stores the strikes that it witnessed. After this time an aggregator does so
+# instead, as the witness may be gone.
+WITNESS_TIMEOUT = timedelta(seconds=2)
+# Strikes are dropped after this time: the request was not sent again since, or only
+# refused.
+MAX_AGE = timedelta(hours=24)
+
+# Interval of full checks while the ledger doesn't change.
+FULL_CHECK_INTERVAL = timedelta(minutes=1)
 
 _ENCODE = Encoder().encode
 
 
 class StrikeRecords:
-    """Task that writes strikes to the store, and removes cleared ones.
+    """Task that writes strikes to the store, and deletes cleared ones.
 
-    Each strike has a key of its own: gateways that know different ones at the moment
+    Each strike has its own key, so gateways that know different ones at the moment
     don't overwrite each other's.
 
     :param name: this gateway's name.
@@ -78,18 +79,18 @@
         self._time = time
         self._clock = clock
         self._rng = rng
-        self._read = False
-        self._looked_at: timedelta | None = None
-        self._looked_version = 0
-        self._behind = False
+        self._is_loaded = False
+        self._checked_at: timedelta | None = None
+        self._checked_version = 0
+        self._has_pending = False
 
     @property
     def is_read(self) -> bool:
-        """Whether the strikes of before the start are known."""
-        return self._read
+        """Whether the strikes from before the start have been loaded."""
+        return self._is_loaded
 
     def run(self) -> None:
-        """Read what is stored, then store what is new, until the task is killed."""
+        """Load the stored strikes, then store new ones, until the task is killed."""
         while True:
             asked_at = self._clock.elapsed()
             try:
@@ -97,19 +98,19 @@
                     self._dependency.succeeded(asked_at)
             except StoreError as error:
                 self._dependency.failed(error, asked_at)
-            sleep(STEP * self._rng.uniform(0.8, 1.2))
+            sleep(STEP_INTERVAL * self._rng.uniform(0.8, 1.2))
 
     def step(self) -> bool:
-        """Do what is due, and return whether the store was asked.
+        """Write what is due, and return whether the store was called.
 
-        :raises StoreError: if the store gives no answer.
+        :raises StoreError: if the store doesn't respond.
         """
-        if not self._read:
-            self._read_all()
+        if not self._is_loaded:
+            self._load()
             return True
         due = self._due()
         for held in due:
-            self._bring_up_to_date(held)
+            self._update_store(held)
         for name in {held.strike.fingerprint for held in due if not held.is_open}:
             self._trials.forget(name)
         dropped = self._dropped()
@@ -118,7 +119,7 @@
         return bool(due or dropped)
 
     def _dropped(self) -> list[HeldStrike]:
-        """Return strikes that the store holds and this gateway has no room for."""
+        """Return stored strikes that the ledger has dropped for lack of space."""
         return [
             held
             for held in self._ledger.take_dropped()
@@ -127,14 +128,14 @@
             and self._is_responsible(held)
         ]
 
-    def _read_all(self) -> None:
+    def _load(self) -> None:
         for item in self._store.list(STRIKES_PREFIX):
-            self._take(item)
-        self._read = True
+            self._load_strike(item)
+        self._is_loaded = True
         if len(self._ledger):
             log.notice("strikes read", count=len(self._ledger))
 
-    def _take(self, item: StoredValue) -> None:
+    def _load_strike(self, item: StoredValue) -> None:
         try:
             row = STRIKE_ROW.decode(item.value)
         except DecodeError as error:
@@ -143,24 +144,31 @@
         self._ledger.take(row.strike, StrikeState.STORED)
 
     def _due(self) -> list[HeldStrike]:
-        """Return strikes of which the store has to be told by this gateway."""
+        """Return strikes whose stored state this gateway has to update."""
         now = self._clock.elapsed()
-        seen = self._looked_at is not None and now - self._looked_at < LOOK_PAUSE
-        if seen and not self._behind and self._looked_version == self._ledger.version:
+        is_recent = (
+            self._checked_at is not None
+            and now - self._checked_at < FULL_CHECK_INTERVAL
+        )
+        if (
+            is_recent
+            and not self._has_pending
+            and self._checked_version == self._ledger.version
+        ):
             return []
-        self._looked_at = now
-        self._looked_version = self._ledger.version
-        behind: list[HeldStrike] = []
+        self._checked_at = now
+        self._checked_version = self._ledger.version
+        pending: list[HeldStrike] = []
         for strikes in list(self._ledger.by_request()):
-            self._clear_old(strikes)
-            behind += [held for held in strikes if _is_behind(held, strikes)]
-        self._behind = bool(behind)
-        due = (held for held in behind if self._is_responsible(held))
-        return list(islice(due, MOST_WRITES))
+            self._clear_expired(strikes)
+            pending += [held for held in strikes if _is_out_of_date(held, strikes)]
+        self._has_pending = bool(pending)
+        due = (held for held in pending if self._is_responsible(held))
+        return list(islice(due, MAX_WRITES))
 
-    def _clear_old(self, strikes: list[HeldStrike]) -> None:
+    def _clear_expired(self, strikes: list[HeldStrike]) -> None:
         newest = max(held.strike.at for held in strikes)
-        if self._age(newest) > LIFETIME and any(held.is_open for held in strikes):
+        if self._age(newest) > MAX_AGE and any(held.is_open for held in strikes):
             name = strikes[0].strike.fingerprint
             self._ledger.clear(name)
             log.info("strikes cleared", fingerprint=name, why="too old")
@@ -168,13 +176,13 @@
     def _is_responsible(self, held: HeldStrike) -> bool:
         if held.strike.witness == self._name:
             return True
-        late = self._age(held.strike.at) > WITNESS_TIME
-        return late and self._peering.is_aggregator
+        is_overdue = self._age(held.strike.at) > WITNESS_TIMEOUT
+        return is_overdue and self._peering.is_aggregator
 
     def _age(self, at: float) -> timedelta:
         return timedelta(seconds=self._time.seconds - at)
 
-    def _bring_up_to_date(self, held: HeldStrike) -> None:
+    def _update_store(self, held: HeldStrike) -> None:
         strike = held.strike
         name = strike.fingerprint
         key = _key(strike)
@@ -189,18 +197,18 @@
 
 
 def _key(strike: Strike) -> str:
-    # Names may be long, and the store's keys may not.
+    # Names may be too long for the store's keys.
     end = f"{strike.endpoint} {strike.at} {strike.witness}"
     return f"{STRIKES_PREFIX}{strike.fingerprint}/{xxh64_hexdigest(end.encode())}"
 
 
-def _is_behind(held: HeldStrike, strikes: list[HeldStrike]) -> bool:
-    """Return whether the store holds something else of a strike.
+def _is_out_of_date(held: HeldStrike, strikes: list[HeldStrike]) -> bool:
+    """Return whether the store's state of a strike is out of date.
 
     :param strikes: all of the same request.
     """
     if held.is_open:
-        enough = sum(other.is_open for other in strikes) >= LEAST_STORED
-        return enough and not held.state & StrikeState.STORED
+        has_enough = sum(other.is_open for other in strikes) >= MIN_STRIKES
+        return has_enough and not held.state & StrikeState.STORED
     stored = held.state & (StrikeState.STORED | StrikeState.UNSTORED)
     return stored == StrikeState.STORED
--- a/tests/gateway/test_quarantine_model.py
+++ b/tests/gateway/test_quarantine_model.py
@@ -1,7 +1,7 @@
-"""A caller repeats a crashing request while gateways die and the store is away.
+"""Simulation of a caller that retries a crashing request while components fail.
 
-Whole histories in virtual time: strikes, successes, reports between gateways, records
-in the store, kills of some gateways and of all, cuts, outages of the store.
+Complete runs in virtual time: strikes, successes, reports between gateways, records in
+the store, restarts of some gateways or all, partitions, outages of the store.
 """
 
 from collections import Counter
@@ -18,16 +18,16 @@
 from tests.gateway.fleets import Fleet
 
 ZONES = {"a": 3, "b": 3, "c": 3}
-CONTACT = 3.0
-SETTLED = 4.0
-# Sends that the deployment's rule allows beyond the first three ends, of gateways that
-# had been in touch for long enough.
-MOST_SENDS = 3
-SECONDS = 60
+PROPAGATION_TIME = 3.0
+SETTLING_TIME = 4.0
+# Attempts that the deployment's rule allows beyond the first three crashes, by gateways
+# that had been connected for long enough.
+MAX_LATE_ATTEMPTS = 3
+DURATION = 60
 
 
 class Store(FakeStore):
-    """A store that may be out."""
+    """A store that can have an outage."""
 
     out = False
 
@@ -37,22 +37,22 @@
         return super()._call(effect, write=write)
 
 
-class Play:
-    """A fleet, its store, and callers that meet one gateway after the other."""
+class Simulation:
+    """A fleet, its store, and callers that send to random gateways."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.fleet = Fleet(ZONES)
         self.store = Store(self.fleet.clock)
         self.records: dict[str, StrikeRecords] = {}
-        self.calm_since: dict[str, float] = {}
-        self.store_calm_since = 0.0
+        self.connected_since: dict[str, float] = {}
+        self.store_reachable_since = 0.0
         self.ends: list[float] = []
-        self.late_sends = 0
+        self.late_attempts = 0
         self.refused: Counter[str] = Counter()
         for name in self.fleet.nodes:
             self._join(name)
-        self.play(SETTLED)
+        self.run(SETTLING_TIME)
 
     @property
     def now(self) -> float:
@@ -61,7 +61,7 @@
     def _join(self, name: str) -> None:
         node = self.fleet.nodes[name]
         clock = self.fleet.clock
-        self.calm_since[name] = self.now
+        self.connected_since[name] = self.now
         self.records[name] = StrikeRecords(
             name,
             self.store,
@@ -75,14 +75,14 @@
         )
 
     def kill(self, *names: str) -> None:
-        """Kill gateways, and start them again at once."""
+        """Kill gateways and restart them at once."""
         self.fleet.kill(*names)
         for name in names:
             old = self.fleet.nodes[name]
             self.fleet.start(name, old.zone, old.roster.own.incarnation + 1)
             self._join(name)
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.25)):
             self.fleet.play(0.25)
             for records in self.records.values():
@@ -95,26 +95,26 @@
         return [name for name, records in self.records.items() if records.is_read]
 
     def in_touch(self, name: str) -> bool:
-        calm = max(self.calm_since[name], self.store_calm_since)
+        since = max(self.connected_since[name], self.store_reachable_since)
         cut = any(name in pair for pair in self.fleet.cuts)
-        return self.now - calm >= CONTACT and not cut and not self.store.out
+        return self.now - since >= PROPAGATION_TIME and not cut and not self.store.out
 
     def attempt(self) -> None:
-        """Have one attempt of the crashing request come to some gateway."""
+        """Send the crashing request to a random gateway."""
         name = self.rng.choice(self.ready())
         ledger = self.fleet.nodes[name].strikes
         if "crashing" in ledger.quarantined:
             self.refused["crashing"] += 1
             return
-        known = len(self.ends) >= 3 and self.now - self.ends[2] > CONTACT
-        self.late_sends += known and self.in_touch(name)
+        known = len(self.ends) >= 3 and self.now - self.ends[2] > PROPAGATION_TIME
+        self.late_attempts += known and self.in_touch(name)
         self.ends.append(self.now)
         at = self.fleet.nodes[name].time.seconds
         ledger.take(strike("crashing", len(self.ends), at=at, witness=name))
-        self._lose_beside(len(self.ends), at)
+        self._strike_innocents(len(self.ends), at)
 
-    def _lose_beside(self, end: int, at: float) -> None:
-        """Have innocent requests run at the endpoint, and end well elsewhere."""
+    def _strike_innocents(self, end: int, at: float) -> None:
+        """Have innocent requests run at the same endpoint, and succeed elsewhere."""
         for number in range(4):
             witness = self.fleet.nodes[self.rng.choice(self.ready())]
             name = f"innocent-{end}-{number}"
@@ -132,60 +132,62 @@
         }
 
 
-def test_in_calm_none_is_sent_once_all_can_know():
-    play = Play(1)
+def test_no_attempts_once_all_gateways_know():
+    simulation = Simulation(1)
     for _ in range(60):
-        play.attempt()
-        play.play(0.5)
-    assert play.late_sends == 0
-    assert len(play.ends) <= 4
-    assert play.refused_innocents() == set()
+        simulation.attempt()
+        simulation.run(0.5)
+    assert simulation.late_attempts == 0
+    assert len(simulation.ends) <= 4
+    assert simulation.refused_innocents() == set()
 
 
-def test_a_kill_of_all_after_each_end_is_borne():
-    """Guards against strikes that die with the gateways that have seen them."""
-    play = Play(2)
+def test_strikes_survive_a_restart_of_all_gateways():
+    """Guards against strikes that are lost with the gateways that witnessed them."""
+    simulation = Simulation(2)
     for _ in range(12):
-        play.attempt()
-        play.play(1)
-        if len(play.ends) != 1:
-            play.kill(*play.fleet.nodes)
-        play.play(CONTACT + 1)
-    assert len(play.ends) <= 4
+        simulation.attempt()
+        simulation.run(1)
+        if len(simulation.ends) != 1:
+            simulation.kill(*simulation.fleet.nodes)
+        simulation.run(PROPAGATION_TIME + 1)
+    assert len(simulation.ends) <= 4
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_rule_holds_whatever_fails(seed):
-    """Guards against endpoints lost for gateways or a store that fail meanwhile."""
-    play = Play(seed)
-    rng = play.rng
-    until = play.now + SECONDS
-    while play.now < until:
+def test_the_rule_holds_under_any_faults(seed):
+    """Guards against more crashes while gateways or the store fail."""
+    simulation = Simulation(seed)
+    rng = simulation.rng
+    until = simulation.now + DURATION
+    while simulation.now < until:
         match rng.randrange(40):
             case 0:
-                play.kill(*play.fleet.nodes)
+                simulation.kill(*simulation.fleet.nodes)
             case 1 | 2:
-                play.kill(*rng.sample(list(play.fleet.nodes), rng.randint(1, 4)))
+                simulation.kill(
+                    *rng.sample(list(simulation.fleet.nodes), rng.randint(1, 4))
+                )
             case 3 | 4:
-                play.store.out = True
-            case 5 | 6 | 7 | 8 if play.store.out:
-                play.store.out = False
-                play.store_calm_since = play.now
+                simulation.store.out = True
+            case 5 | 6 | 7 | 8 if simulation.store.out:
+                simulation.store.out = False
+                simulation.store_reachable_since = simulation.now
             case 9:
-                play.fleet.cut(rng.choice(list(play.fleet.nodes)))
-            case 10 | 11 | 12 if play.fleet.cuts:
-                cut = {name for pair in play.fleet.cuts for name in pair}
-                play.fleet.heal()
+                simulation.fleet.cut(rng.choice(list(simulation.fleet.nodes)))
+            case 10 | 11 | 12 if simulation.fleet.cuts:
+                cut = {name for pair in simulation.fleet.cuts for name in pair}
+                simulation.fleet.heal()
                 for name in cut:
-                    play.calm_since[name] = play.now
+                    simulation.connected_since[name] = simulation.now
             case _:
-                if play.ready():
-                    play.attempt()
-        play.play(rng.choice([0.25, 0.5, 1.0]))
-    assert play.late_sends <= MOST_SENDS
-    assert play.refused_innocents() == set()
-    play.store.out = False
-    play.fleet.heal()
-    play.play(10)
-    views = {node.strikes.quarantined for node in play.fleet.nodes.values()}
+                if simulation.ready():
+                    simulation.attempt()
+        simulation.run(rng.choice([0.25, 0.5, 1.0]))
+    assert simulation.late_attempts <= MAX_LATE_ATTEMPTS
+    assert simulation.refused_innocents() == set()
+    simulation.store.out = False
+    simulation.fleet.heal()
+    simulation.run(10)
+    views = {node.strikes.quarantined for node in simulation.fleet.nodes.values()}
     assert len(views) == 1
--- a/tests/gateway/test_strike_records.py
+++ b/tests/gateway/test_strike_records.py
@@ -1,4 +1,4 @@
-"""Strikes in the platform's store: written, read after a start, removed."""
+"""Strikes in the platform's store: written, loaded after a start, deleted."""
 
 from datetime import timedelta
 from random import Random
@@ -10,10 +10,10 @@
 from sassafrasdale.decisions.quarantine import MOST_STRIKES, StrikeLedger
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.strike_records import (
-    LIFETIME,
-    MOST_WRITES,
+    MAX_AGE,
+    MAX_WRITES,
     STRIKES_PREFIX,
-    WITNESS_TIME,
+    WITNESS_TIMEOUT,
     StrikeRecords,
 )
 from sassafrasdale.gateway.trials import TRIALS_PREFIX, Trials
@@ -75,7 +75,7 @@
 
 
 def test_strikes_outlive_all_gateways(store, gateway):
-    """Guards against three more endpoints lost after each kill of all gateways."""
+    """Guards against three more crashes after each restart of all gateways."""
     gateway.strike(1, 2, 3)
     gateway.records.step()
     later = Gateway(store, "g-2")
@@ -86,7 +86,7 @@
 
 
 def test_a_single_strike_is_not_stored(store, gateway):
-    """Guards against a write for each request beside each crash."""
+    """Guards against a write for each request that runs beside a crashing one."""
     gateway.strike(1)
     gateway.records.step()
     assert stored(store) == []
@@ -95,7 +95,7 @@
     assert len(stored(store)) == 2
 
 
-def test_nothing_is_asked_while_nothing_changes(store, gateway):
+def test_there_are_no_calls_without_changes(store, gateway):
     gateway.strike(1, 2, 3)
     gateway.records.step()
     calls = store.calls
@@ -104,19 +104,19 @@
     assert store.calls == calls
 
 
-def test_a_gateway_stores_what_it_has_seen(store, gateway):
+def test_a_gateway_stores_the_strikes_it_witnessed(store, gateway):
     gateway.strike(1, 2)
     gateway.strike(3, witness="g-2")
     gateway.records.step()
     assert len(stored(store)) == 2
 
 
-def test_an_aggregator_stores_what_its_witness_did_not(store, gateway):
-    """Guards against a strike that is lost with the gateway that has seen it."""
+def test_an_aggregator_stores_overdue_strikes(store, gateway):
+    """Guards against a strike that is lost with the gateway that witnessed it."""
     gateway.strike(1, 2, 3, witness="g-killed")
     gateway.records.step()
     assert stored(store) == []
-    store.clock.advance(WITNESS_TIME * 2)
+    store.clock.advance(WITNESS_TIMEOUT * 2)
     gateway.records.step()
     assert stored(store) == []
     gateway.peering.is_aggregator = True
@@ -124,7 +124,7 @@
     assert len(stored(store)) == 3
 
 
-def test_what_an_outage_held_up_is_stored_after_it(store, gateway):
+def test_pending_strikes_are_stored_after_an_outage(store, gateway):
     gateway.strike(1, 2, 3)
     store.faults = ["unreached", "lost_before"]
     for _ in range(2):
@@ -134,8 +134,8 @@
     assert len(stored(store)) == 3
 
 
-def test_a_start_in_an_outage_reads_after_it(store):
-    """Guards against a gateway that serves before it knows the strikes of before."""
+def test_a_start_during_an_outage_loads_after_it(store):
+    """Guards against a gateway that serves before it has loaded earlier strikes."""
     store.faults = ["unreached"]
     gateway = Gateway(store)
     with pytest.raises(StoreNotReached):
@@ -145,7 +145,7 @@
     assert gateway.records.is_read
 
 
-def test_a_cleared_request_leaves_the_store(store, gateway):
+def test_cleared_strikes_are_deleted(store, gateway):
     """Guards against an innocent request that is refused again after a restart."""
     gateway.strike(1, 2, 3)
     gateway.records.step()
@@ -158,10 +158,10 @@
     assert store.calls == calls
 
 
-def test_old_strikes_are_dropped(store, gateway):
+def test_old_strikes_are_deleted(store, gateway):
     gateway.strike(1, 2, 3)
     gateway.records.step()
-    store.clock.advance(LIFETIME + timedelta(seconds=1))
+    store.clock.advance(MAX_AGE + timedelta(seconds=1))
     for _ in range(2):
         gateway.records.step()
     assert gateway.ledger.quarantined == set()
@@ -169,19 +169,19 @@
 
 
 def test_writes_in_one_step_are_bounded(store, gateway):
-    """Guards against a store that is pressed by a caller of many crashing requests."""
+    """Guards against a store that is overloaded by one caller's crashing requests."""
     for number in range(40):
         gateway.strike(1, 2, 3, name=f"crashing-{number}")
     calls = store.calls
     gateway.records.step()
-    assert store.calls - calls <= MOST_WRITES
+    assert store.calls - calls <= MAX_WRITES
     for _ in range(40):
         gateway.records.step()
     assert len(stored(store)) == 120
 
 
-def test_what_the_ledger_drops_leaves_the_store(store):
-    """Guards against a store that ever new crashing requests fill."""
+def test_strikes_that_the_ledger_drops_are_deleted(store):
+    """Guards against a store that fills up with the strikes of new requests."""
     gateway = Gateway(store, most=60)
     for number in range(200):
         gateway.strike(1, 2, name=f"crashing-{number}")
@@ -190,7 +190,7 @@
     assert len(stored(store)) <= 60
 
 
-def test_what_cannot_be_read_is_passed_over(store):
+def test_malformed_strikes_are_skipped(store):
     store.create(STRIKES_PREFIX + "x/i-1/0", b"\xff")
     gateway = Gateway(store)
     gateway.records.step()
