--- a/src/sassafrasdale/gateway/drain.py
+++ b/src/sassafrasdale/gateway/drain.py
@@ -1,9 +1,9 @@
-"""The order of closes at a planned stop.
+"""Graceful shutdown of a gateway's connections.
 
-The balancer goes on sending new connections until it has missed two answers, and
-callers go on using connections they have. So the gateway serves on at first, with
-each answer ending its connection; then it closes what is idle, and waits for the
-rest until shortly before the process would be killed.
+The balancer keeps sending new connections until two of its health checks have failed,
+and callers keep using their open connections. So the gateway continues to serve at
+first, closing each connection after its response; then it closes idle connections, and
+waits for the rest until shortly before the process would be killed.
 """
 
 from datetime import timedelta
@@ -16,18 +16,19 @@
 
 log = Logger("drain")
 
-# The balancer asks once a second and takes a gateway out after two misses.
+# The balancer checks once a second and removes a gateway after two failures.
 SERVE_ON = timedelta(seconds=3.2)
-# Until then a request is taken however long it may last. Later, only one that must
-# end within the grace period is: the balancer has moved on, and its caller can, too.
-TAKE_ALL = timedelta(seconds=2.7)
-# What is left of the grace period for the last words.
+# During this time a request is accepted however long it may take. Later, only one that
+# must end within the grace period is: the balancer has switched to another gateway, and
+# the caller can, too.
+ACCEPT_ALL_PERIOD = timedelta(seconds=2.7)
+# Part of the grace period that is reserved for the final steps.
 MARGIN = timedelta(milliseconds=500)
 STEP = timedelta(milliseconds=50)
 
 
 class Drain:
-    """Ends a server's connections without cutting off an answer.
+    """Closes a server's connections without interrupting a response.
 
     :param server: the server for callers.
     :param grace: time until the process is killed.
@@ -42,13 +43,16 @@
 
     @property
     def last_end(self) -> timedelta | None:
-        """Elapsed time by which a new request must end; None if there is no bound."""
-        if self._began is None or self._clock.elapsed() < self._began + TAKE_ALL:
+        """Elapsed time by which a new request must end; None for no limit."""
+        if (
+            self._began is None
+            or self._clock.elapsed() < self._began + ACCEPT_ALL_PERIOD
+        ):
             return None
         return self._end(self._began)
 
     def run(self) -> None:
-        """Return when all is answered, or when the time is up."""
+        """Return when all requests are complete, or when the time is up."""
         began = self._began = self._clock.elapsed()
         end = self._end(began)
         self._wait(min(began + SERVE_ON, end))
--- a/tests/gateway/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -1,9 +1,9 @@
-"""The order of closes at a planned stop."""
+"""Graceful shutdown of a gateway's connections."""
 
 from datetime import timedelta
 
 from sassafrasdale.clock import SystemClock
-from sassafrasdale.gateway.drain import MARGIN, SERVE_ON, TAKE_ALL, Drain
+from sassafrasdale.gateway.drain import ACCEPT_ALL_PERIOD, MARGIN, SERVE_ON, Drain
 from sassafrasdale.green import sleep, spawn
 from tests.gateway.world import ScriptedEndpoint, World, header, plain, request
 
@@ -12,7 +12,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     def __init__(self):
         self.time = timedelta(seconds=100)
@@ -35,11 +35,11 @@
         pass
 
 
-def test_a_request_that_may_outlast_the_process_is_not_taken_late():
-    """A caller would see its stream cut off by a planned stop.
+def test_late_requests_must_end_within_the_grace_period():
+    """Guards against streams that are interrupted by a planned stop.
 
-    A request comes on a kept connection, seconds after the stop signal, and may
-    take longer than the process has left.
+    A request arrives on an open connection seconds after the stop signal, and may take
+    longer than the process has left.
     """
     clock = Clock()
     drain = Drain(Server(), GRACE, clock)
@@ -47,11 +47,11 @@
     spawn(drain.run)
     sleep(timedelta())
     assert drain.last_end is None
-    clock.time += TAKE_ALL
+    clock.time += ACCEPT_ALL_PERIOD
     assert drain.last_end == timedelta(seconds=100) + GRACE - MARGIN
 
 
-def test_late_requests_are_told_to_come_back():
+def test_late_requests_get_a_retry_after():
     world = World(last_end=lambda: CLOCK.elapsed() + timedelta(seconds=2))
     endpoint = ScriptedEndpoint(plain())
     world.add("i-1", "records", endpoint)
@@ -62,7 +62,7 @@
     assert world.ask(request("/certificates/7")).startswith(b"HTTP/1.1 200")
 
 
-def test_it_serves_on_until_the_balancer_has_moved():
+def test_it_serves_until_the_balancer_has_switched():
     clock = Clock()
     server = Server()
     task = spawn(Drain(server, GRACE, clock).run)
@@ -73,7 +73,7 @@
     assert server.closed
 
 
-def test_it_waits_for_busy_connections_until_shortly_before_the_kill():
+def test_it_waits_for_busy_connections_until_the_margin():
     clock = Clock()
     server = Server()
     server.busy_connections = 1
