--- a/src/sassafrasdale/gateway/directory.py
+++ b/src/sassafrasdale/gateway/directory.py
@@ -33,7 +33,7 @@
 
     :param endpoint: its current registration.
     :param pool: idle connections to it.
-    :param listed_at: elapsed time at which it was first seen.
+    :param registered_at: elapsed time at which it was first seen.
     :ivar connections: connections that are in use by requests.
     :ivar is_unreachable: whether its registration has expired and connections to its
         address get no reply.
@@ -43,11 +43,11 @@
         self,
         endpoint: Endpoint,
         pool: ConnectionPool,
-        listed_at: timedelta = timedelta(),
+        registered_at: timedelta = timedelta(),
     ) -> None:
         self.endpoint = endpoint
         self.pool = pool
-        self.listed_at = listed_at
+        self.registered_at = registered_at
         self.connections: set[HttpConnection] = set()
         self.is_unreachable = False
         self.in_flight = 0
@@ -112,14 +112,14 @@
         registration also expires while the store is out, though its endpoint still
         serves.
         """
-        listed = [rec for rec in self._services.get(service, ()) if rec.is_ready]
-        if listed:
-            return listed
+        ready = [rec for rec in self._services.get(service, ()) if rec.is_ready]
+        if ready:
+            return ready
         now = self._clock.elapsed()
         return [
             record
-            for record, until in self._fallback.values()
-            if record.endpoint.service == service and now < until
+            for record, expires_at in self._fallback.values()
+            if record.endpoint.service == service and now < expires_at
         ]
 
     def all_of_service(self, service: str) -> list[EndpointRecord]:
@@ -187,8 +187,8 @@
     def forget_lapsed(self) -> None:
         """Drop endpoints whose registration has not come back in time."""
         now = self._clock.elapsed()
-        for name, (record, until) in list(self._fallback.items()):
-            if now >= until and not record.in_flight:
+        for name, (record, expires_at) in list(self._fallback.items()):
+            if now >= expires_at and not record.in_flight:
                 record.pool.close()
                 del self._fallback[name]
 
--- a/src/sassafrasdale/gateway/dispatcher.py
+++ b/src/sassafrasdale/gateway/dispatcher.py
@@ -85,9 +85,9 @@
         """Drop the attempts of a gateway that it doesn't report as open."""
         state = self._state_of(gateway, incarnation)
         now = self._clock.elapsed()
-        listed = frozenset(open_attempts)
+        reported = frozenset(open_attempts)
         for number, attempt in list(state.attempts.items()):
-            if number not in listed and now - attempt.began_at > RECONCILE_GRACE:
+            if number not in reported and now - attempt.began_at > RECONCILE_GRACE:
                 self._fleet.finish_local_attempt(state.attempts.pop(number))
 
     def forget_silent(self) -> None:
--- a/src/sassafrasdale/gateway/drain.py
+++ b/src/sassafrasdale/gateway/drain.py
@@ -66,6 +66,6 @@
     def _end(self, began: timedelta) -> timedelta:
         return began + self._grace - MARGIN
 
-    def _wait(self, until: timedelta) -> None:
-        while self._clock.elapsed() < until:
+    def _wait(self, deadline: timedelta) -> None:
+        while self._clock.elapsed() < deadline:
             sleep(STEP)
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -92,7 +92,7 @@
     :param admitted: the request.
     :param caller: the caller's connection.
     :param fleet: chooses endpoints and tracks their load.
-    :param suspects: is told of endpoints that crash while they run the request.
+    :param quarantine: is told of endpoints that crash while they run the request.
     :param clock: source of elapsed time.
     """
 
@@ -101,10 +101,10 @@
         admitted: AdmittedRequest,
         caller: ServerConnection,
         fleet: Fleet,
-        suspects: Suspects,
+        quarantine: Suspects,
         clock: Clock,
     ) -> None:
-        self._suspects = suspects
+        self._quarantine = quarantine
         self._admitted = admitted
         self._caller = caller
         self._fleet = fleet
@@ -271,7 +271,7 @@
             attempt, head.status, self._clock.elapsed() - attempt.began_at
         )
         if succeeded:
-            self._suspects.record_success(admitted.request, admitted.customer_name)
+            self._quarantine.record_success(admitted.request, admitted.customer_name)
         self._caller.answer(head.status, caller_headers(head), body)
         return head.status
 
@@ -310,7 +310,7 @@
             self._caller.begin(head.status, caller_headers(head))
         self._caller.end()
         self._fleet.record_stream(attempt, gaps)
-        self._suspects.record_success(admitted.request, admitted.customer_name)
+        self._quarantine.record_success(admitted.request, admitted.customer_name)
         return head.status
 
     def _next_read_deadline(self) -> timedelta:
@@ -366,8 +366,11 @@
             return None
         begun = self._splitter.count > self._events_before_attempt
         record = attempt.record
-        self._endpoint_crashed = self._suspects.record_lost_connection(
-            self._fingerprint, record, begun=begun, listed=self._fleet.is_listed(record)
+        self._endpoint_crashed = self._quarantine.record_lost_connection(
+            self._fingerprint,
+            record,
+            begun=begun,
+            registered=self._fleet.is_registered(record),
         )
         return self._endpoint_crashed
 
@@ -390,7 +393,7 @@
         admitted = self._admitted
         if failure.outcome is SendOutcome.UNKNOWN and not admitted.route.repeatable:
             return False
-        if self._endpoint_crashed and not self._suspects.may_retry(self._fingerprint):
+        if self._endpoint_crashed and not self._quarantine.may_retry(self._fingerprint):
             return False
         if self._clock.elapsed() >= admitted.deadline:
             return False
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -46,8 +46,8 @@
     :param configuration: returns the current configuration.
     :param bounds: share of requests that may be retried.
     :param rollouts: which versions of a service's endpoints get requests.
-    :param asking: client of the zone's dispatcher; None if this gateway always chooses
-        endpoints itself.
+    :param dispatcher_client: client of the zone's dispatcher; None if this gateway
+        always chooses endpoints itself.
     """
 
     def __init__(
@@ -62,9 +62,9 @@
         bounds: Bounds,
         clock: Clock,
         rollouts: Rollouts,
-        asking: Asking | None = None,
+        dispatcher_client: Asking | None = None,
     ) -> None:
-        self._asking = asking
+        self._dispatcher_client = dispatcher_client
         self._rollouts = rollouts
         self._directory = directory
         self._placement = placement
@@ -90,7 +90,7 @@
         """Return the endpoints of a service that may get requests."""
         return self._rollouts.usable(service, self._directory.of_service(service))
 
-    def is_listed(self, record: EndpointRecord) -> bool:
+    def is_registered(self, record: EndpointRecord) -> bool:
         """Return whether an endpoint is registered as ready."""
         return self._directory.records.get(record.name) is record and record.is_ready
 
@@ -146,7 +146,10 @@
             attempt = self._start_canary_attempt(service, traits, tried, route)
             if attempt is not None:
                 return attempt
-        if self._asking is not None and self._service(service).engine is not None:
+        if (
+            self._dispatcher_client is not None
+            and self._service(service).engine is not None
+        ):
             attempt = self._start_assigned_attempt(service, traits, tried)
             if attempt is not None:
                 return attempt
@@ -162,8 +165,8 @@
         """Start at a canary endpoint if the request is in the canary's sample."""
         if not self._rollouts:
             return None
-        listed = self._directory.of_service(service)
-        sample = self._rollouts.sample(service, route, listed)
+        registered = self._directory.of_service(service)
+        sample = self._rollouts.sample(service, route, registered)
         candidates = [record for record in sample if record.name not in tried]
         if not candidates:
             return None
@@ -181,13 +184,13 @@
     def _start_assigned_attempt(
         self, service: str, traits: RequestTraits, tried: Collection[str]
     ) -> Attempt | None:
-        assignment = self._asking.request_assignment(service, traits, tried)
+        assignment = self._dispatcher_client.request_assignment(service, traits, tried)
         if assignment is None:
             return None
         number, assigned = assignment
         record = self._directory.records.get(assigned.endpoint)
         if record is None or not self._is_usable(record, service, tried):
-            self._asking.record_end(number, AttemptResult.NEUTRAL)
+            self._dispatcher_client.record_end(number, AttemptResult.NEUTRAL)
             return None
         self._cache.sent(record.name, traits.parts, self._cache_tokens(service))
         attempt = Attempt(
@@ -198,9 +201,11 @@
             self._directory.records.get(assigned.source),
             assigned.queued_tokens,
             number=number,
-            assigned_by=self._asking.dispatcher,
+            assigned_by=self._dispatcher_client.dispatcher,
+        )
+        self._dispatcher_client.add_attempt(
+            number, lambda: self._count_locally(attempt)
         )
-        self._asking.add_attempt(number, lambda: self._count_locally(attempt))
         return attempt
 
     def _is_usable(
@@ -238,14 +243,16 @@
         is_retry: bool,
     ) -> Attempt | None:
         """Choose an endpoint by this gateway's own data, and count the attempt."""
-        listed = self.endpoints(service)
-        candidates = [record for record in listed if record.name not in tried]
-        return self._start_among(candidates, listed, service, traits, is_retry=is_retry)
+        registered = self.endpoints(service)
+        candidates = [record for record in registered if record.name not in tried]
+        return self._start_among(
+            candidates, registered, service, traits, is_retry=is_retry
+        )
 
     def _start_among(
         self,
         candidates: Sequence[EndpointRecord],
-        listed: Sequence[EndpointRecord],
+        registered: Sequence[EndpointRecord],
         service: str,
         traits: RequestTraits,
         *,
@@ -253,14 +260,14 @@
     ) -> Attempt | None:
         """Choose among the candidates, and count the attempt as in progress.
 
-        :param listed: endpoints of the same versions, among which prompt parts have
+        :param registered: endpoints of the same versions, among which prompt parts have
             their owners.
         """
         weights = self._health_weights(service)
         record = self._choose(candidates, service, traits, weights)
         if record is None:
             return None
-        return self._start_at(record, listed, traits, weights, is_retry=is_retry)
+        return self._start_at(record, registered, traits, weights, is_retry=is_retry)
 
     def _choose(
         self,
@@ -296,7 +303,7 @@
     def _start_at(
         self,
         record: EndpointRecord,
-        listed: Sequence[EndpointRecord],
+        registered: Sequence[EndpointRecord],
         traits: RequestTraits,
         weights: Mapping[str, float],
         *,
@@ -304,7 +311,7 @@
     ) -> Attempt:
         """Count an attempt as in progress.
 
-        :param listed: endpoints among which the owner of a prompt part is found.
+        :param registered: endpoints among which the owner of a prompt part is found.
         :param is_retry: whether this attempt is a retry. A request's work counts once:
             otherwise attempts that overloaded endpoints refuse would look like load.
         """
@@ -313,7 +320,7 @@
         source = None
         if service.engine is not None:
             prefill_tokens = self._placement.unread_tokens(
-                record, listed or [record], traits
+                record, registered or [record], traits
             )
             source = self._placement.source(
                 record,
@@ -363,7 +370,7 @@
             self.record_local_first_token(attempt, took)
         else:
             attempt.has_first_token = True
-            self._asking.record_first_token(attempt.number, took)
+            self._dispatcher_client.record_first_token(attempt.number, took)
 
     def record_local_first_token(
         self, attempt: Attempt, took: timedelta | None
@@ -384,7 +391,9 @@
         if attempt.number is None:
             self.finish_local_attempt(attempt)
         else:
-            self._asking.record_end(attempt.number, attempt.result, attempt.gap)
+            self._dispatcher_client.record_end(
+                attempt.number, attempt.result, attempt.gap
+            )
 
     def finish_local_attempt(self, attempt: Attempt) -> None:
         """Record the end of an attempt that is counted locally."""
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -48,9 +48,10 @@
         is loaded.
     :param fleet: the endpoints.
     :param quotas: customers' rate limits.
-    :param suspects: quarantine of requests that crash endpoints.
-    :param may_serve: whether this gateway has the state that it needs to serve.
-    :param last_end: elapsed time by which new requests must end; None for no limit.
+    :param quarantine: quarantine of requests that crash endpoints.
+    :param may_serve: returns whether this gateway has the state that it needs to serve.
+    :param last_end: returns the elapsed time by which new requests must end; None for
+        no limit.
     """
 
     def __init__(
@@ -58,7 +59,7 @@
         routes: Callable[[], RouteTable | None],
         fleet: Fleet,
         quotas: Quotas,
-        suspects: Suspects,
+        quarantine: Suspects,
         metrics: LateMetrics,
         clock: Clock,
         rng: Random,
@@ -68,7 +69,7 @@
         self._routes = routes
         self._fleet = fleet
         self._quotas = quotas
-        self._suspects = suspects
+        self._quarantine = quarantine
         self._metrics = metrics
         self._clock = clock
         self._rng = rng
@@ -104,7 +105,7 @@
     ) -> None:
         admitted = self._admit(request, record)
         exchange = RequestExchange(
-            admitted, caller, self._fleet, self._suspects, self._clock
+            admitted, caller, self._fleet, self._quarantine, self._clock
         )
         try:
             record.status = exchange.run()
@@ -168,7 +169,7 @@
 
         :raises RequestRefused: if the request is quarantined.
         """
-        verdict = self._suspects.check(
+        verdict = self._quarantine.check(
             request, name_of(customer), self._fleet.endpoints(service)
         )
         if not verdict.is_refused:
--- a/src/sassafrasdale/gateway/placement.py
+++ b/src/sassafrasdale/gateway/placement.py
@@ -166,7 +166,7 @@
             return best
         # New engines have little cached yet; if all are new, any may have the parts.
         warmed_up = [
-            rec for rec in others if now - rec.listed_at > CACHE_WARMUP_TIME
+            rec for rec in others if now - rec.registered_at > CACHE_WARMUP_TIME
         ] or others
         owner = self._owner(warmed_up, traits)
         return next(other for other in warmed_up if other.name == owner)
--- a/src/sassafrasdale/gateway/suspects.py
+++ b/src/sassafrasdale/gateway/suspects.py
@@ -105,16 +105,16 @@
         if name not in self._ledger.quarantined:
             return Verdict(name)
         strikes = self._ledger.open_strikes(name)
-        met = {held.strike.version for held in strikes}
+        tried_versions = {held.strike.version for held in strikes}
         versions = {record.name: record.endpoint.version for record in endpoints}
-        scope = trial_scope(met, versions)
+        scope = trial_scope(tried_versions, versions)
         if self._trials.try_claim(name, strikes[-1].strike.at, has_new=scope.has_new):
             return Verdict(name, avoided=scope.avoided)
         self._count("quarantined request refused")
         return Verdict(name, is_refused=True)
 
     def record_lost_connection(
-        self, name: str, record: EndpointRecord, *, begun: bool, listed: bool
+        self, name: str, record: EndpointRecord, *, begun: bool, registered: bool
     ) -> bool:
         """Record a lost connection and return whether the endpoint has crashed.
 
@@ -122,12 +122,12 @@
 
         :param name: the request's fingerprint.
         :param begun: whether the endpoint had produced events for it.
-        :param listed: whether the endpoint is registered as ready.
+        :param registered: whether the endpoint is registered as ready.
         """
         run = LostRun(name, record.name, record.endpoint.version, begun)
         now = self._clock.elapsed()
         has_crashed = record.is_unreachable or self._crash_detector.has_crashed(record)
-        if not listed and not record.is_unreachable:
+        if not registered and not record.is_unreachable:
             return has_crashed
         if has_crashed:
             self._record_strike(run, now)
--- a/src/sassafrasdale/gateway/trials.py
+++ b/src/sassafrasdale/gateway/trials.py
@@ -99,7 +99,11 @@
             try:
                 record = _DECODER.decode(held.value)
             except DecodeError as error:
-                log.error("trial malformed, begun anew", key=key, why=str(error))
+                log.error(
+                    "malformed trial record; starting a new one",
+                    key=key,
+                    why=str(error),
+                )
         last = max(last_end, record.last_at)
         if not trial_is_due(record.count, last, now, has_new=has_new):
             return False
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -161,7 +161,7 @@
 def test_unknown_parts_are_fetched_from_their_owner_among_the_others(
     placement, records
 ):
-    """Guards against a new engine that repeats the prefill of all parts it now owns.
+    """Guards against a new engine that prefills all parts again that it now owns.
 
     Until now their owner was the endpoint that the hash picks among the other engines.
     """
@@ -179,9 +179,9 @@
     traits = prompt("x", "y")
     owner = owner_of("x", ["i-2", "i-3"])
     for other in records:
-        other.listed_at = timedelta(minutes=20 if other.name == "i-1" else 40)
+        other.registered_at = timedelta(minutes=20 if other.name == "i-1" else 40)
         if other.name == owner:
-            other.listed_at = NOW - timedelta(seconds=2)
+            other.registered_at = NOW - timedelta(seconds=2)
     [expected] = {"i-2", "i-3"} - {owner}
     assert source(placement, records[0], records, traits) == expected
 
@@ -190,7 +190,7 @@
     traits = prompt("x", "y")
     owner = owner_of("x", ["i-2", "i-3"])
     for other in records:
-        other.listed_at = timedelta(minutes=50 if other.name == owner else 2)
+        other.registered_at = timedelta(minutes=50 if other.name == owner else 2)
     assert source(placement, records[0], records, traits) == owner
 
 
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -1,18 +1,18 @@
-"""Golden file of a whole session: what goes to endpoints and what callers get."""
+"""Snapshot of a session: requests sent to endpoints and responses to callers."""
 
 import re
 
 from tests.gateway.test_exchange import STREAM, body_of, streamed
 from tests.gateway.world import ScriptedEndpoint, World, plain, request
 
-# Differs from run to run: what is left of a deadline, and when to come back.
+# Values that differ between runs: the time left until the deadline, and retry-after.
 _VARYING = re.compile(r"(deadline-ms|retry-after): [\d.]+", re.IGNORECASE)
 
 
 def readable(data: bytes) -> list[str]:
-    """Return bytes as lines, without what differs from run to run.
+    """Return bytes as lines, without what differs between runs.
 
-    Events that are there together go on in one chunk, so chunks are left out.
+    Events that arrive together are sent in one chunk, so chunk sizes are left out.
     """
     if b"chunked" in data:
         head, _, _ = data.partition(b"\r\n\r\n")
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -83,7 +83,7 @@
         assert not gateway.verdict().is_refused
         record = gateway.list_endpoint(refusing_address(), f"i-{number}")
         assert gateway.suspects.record_lost_connection(
-            NAME, record, begun=False, listed=True
+            NAME, record, begun=False, registered=True
         )
     assert gateway.verdict().is_refused
     assert gateway.verdict().fingerprint == NAME
@@ -96,7 +96,7 @@
     record = gateway.list_endpoint(living_address(), born=1)
     for _ in range(10):
         assert not gateway.suspects.record_lost_connection(
-            NAME, record, begun=False, listed=True
+            NAME, record, begun=False, registered=True
         )
     assert len(gateway.ledger) == 0
 
@@ -106,7 +106,7 @@
     for number in range(5):
         record = gateway.list_endpoint(refusing_address(), f"i-{number}")
         assert gateway.suspects.record_lost_connection(
-            NAME, record, begun=False, listed=False
+            NAME, record, begun=False, registered=False
         )
     assert len(gateway.ledger) == 0
 
@@ -116,7 +116,7 @@
     address = living_address()
     record = gateway.list_endpoint(address, born=1)
     assert not gateway.suspects.record_lost_connection(
-        NAME, record, begun=False, listed=True
+        NAME, record, begun=False, registered=True
     )
     gateway.list_endpoint(address, born=2)
     assert len(gateway.ledger.open_strikes(NAME)) == 1
@@ -130,7 +130,7 @@
     listener = socket.create_server(("127.0.0.1", 0))
     record = gateway.list_endpoint(Address(*listener.getsockname()))
     assert not gateway.suspects.record_lost_connection(
-        NAME, record, begun=False, listed=True
+        NAME, record, begun=False, registered=True
     )
     if not lives:
         listener.close()
