--- a/src/sassafrasdale/gateway/prefill_times.py
+++ b/src/sassafrasdale/gateway/prefill_times.py
@@ -18,9 +18,9 @@
         self._reported = reported
         self._speeds: dict[str, ReadingSpeed] = {}
 
-    def observe(self, service: str, unread_tokens: int, took: timedelta) -> None:
+    def observe(self, service: str, prefill_tokens: int, took: timedelta) -> None:
         """Record a request's time to first token."""
-        self._speed(service).observe(unread_tokens, took)
+        self._speed(service).observe(prefill_tokens, took)
 
     def measured(self) -> dict[str, float]:
         """Return the times measured by this gateway, in seconds."""
