--- a/tests/gateway/test_quarantine_model.py
+++ b/tests/gateway/test_quarantine_model.py
@@ -47,7 +47,7 @@
         self.records: dict[str, StrikeRecords] = {}
         self.connected_since: dict[str, float] = {}
         self.store_reachable_since = 0.0
-        self.ends: list[float] = []
+        self.crashes: list[float] = []
         self.late_attempts = 0
         self.refused: Counter[str] = Counter()
         for name in self.fleet.nodes:
@@ -94,7 +94,7 @@
     def ready(self) -> list[str]:
         return [name for name, records in self.records.items() if records.is_read]
 
-    def in_touch(self, name: str) -> bool:
+    def is_connected(self, name: str) -> bool:
         since = max(self.connected_since[name], self.store_reachable_since)
         cut = any(name in pair for pair in self.fleet.cuts)
         return self.now - since >= PROPAGATION_TIME and not cut and not self.store.out
@@ -106,12 +106,12 @@
         if "crashing" in ledger.quarantined:
             self.refused["crashing"] += 1
             return
-        known = len(self.ends) >= 3 and self.now - self.ends[2] > PROPAGATION_TIME
-        self.late_attempts += known and self.in_touch(name)
-        self.ends.append(self.now)
+        known = len(self.crashes) >= 3 and self.now - self.crashes[2] > PROPAGATION_TIME
+        self.late_attempts += known and self.is_connected(name)
+        self.crashes.append(self.now)
         at = self.fleet.nodes[name].time.seconds
-        ledger.take(strike("crashing", len(self.ends), at=at, witness=name))
-        self._strike_innocents(len(self.ends), at)
+        ledger.take(strike("crashing", len(self.crashes), at=at, witness=name))
+        self._strike_innocents(len(self.crashes), at)
 
     def _strike_innocents(self, end: int, at: float) -> None:
         """Have innocent requests run at the same endpoint, and succeed elsewhere."""
@@ -138,7 +138,7 @@
         simulation.attempt()
         simulation.run(0.5)
     assert simulation.late_attempts == 0
-    assert len(simulation.ends) <= 4
+    assert len(simulation.crashes) <= 4
     assert simulation.refused_innocents() == set()
 
 
@@ -148,10 +148,10 @@
     for _ in range(12):
         simulation.attempt()
         simulation.run(1)
-        if len(simulation.ends) != 1:
+        if len(simulation.crashes) != 1:
             simulation.kill(*simulation.fleet.nodes)
         simulation.run(PROPAGATION_TIME + 1)
-    assert len(simulation.ends) <= 4
+    assert len(simulation.crashes) <= 4
 
 
 @pytest.mark.parametrize("seed", range(10))
