--- /dev/null
+++ b/src/sassafrasdale/gateway/crash_detection.py
@@ -0,0 +1,64 @@
+"""Distinguishes an endpoint's crash from a lost connection."""
+
+from datetime import timedelta
+
+from sassafrasdale.clock import Clock
+from sassafrasdale.gateway.directory import EndpointRecord
+from sassafrasdale.green import Event, sleep
+from sassafrasdale.http.connections import Reach
+
+# All requests of a crashed endpoint lose their connections within milliseconds, and
+# share one probe. The endpoint may be back seconds later.
+RESULT_TTL = timedelta(milliseconds=300)
+# Probes of an endpoint that may be unreachable, and the interval between them: a SYN
+# packet may be lost.
+PROBES = 3
+PROBE_INTERVAL = timedelta(milliseconds=300)
+
+
+class CrashDetector:
+    """Probes whether endpoints have crashed, once for all concurrent callers.
+
+    An endpoint that has crashed refuses connections: its instance runs, but nothing
+    listens. One whose connections were reset or cut in the network accepts a new one,
+    or doesn't reply.
+
+    :param clock: source of elapsed time.
+    """
+
+    def __init__(self, clock: Clock) -> None:
+        self._clock = clock
+        self._probes: dict[str, tuple[timedelta, Event]] = {}
+
+    def has_crashed(self, record: EndpointRecord) -> bool:
+        """Return whether an endpoint that has just lost a connection has crashed."""
+        now = self._clock.elapsed()
+        self._forget_old(now)
+        if record.name in self._probes:
+            return self._probes[record.name][1].wait()
+        result = Event()
+        self._probes[record.name] = (now, result)
+        refused = False
+        try:
+            refused = record.pool.look() is Reach.REFUSED
+        finally:
+            result.send(refused)
+        return refused
+
+    def probe_repeatedly(self, record: EndpointRecord) -> Reach:
+        """Return the result of probing an endpoint whose registration has expired.
+
+        It counts as unresponsive only if several probes get no reply.
+        """
+        for number in range(PROBES):
+            if number:
+                sleep(PROBE_INTERVAL)
+            reach = record.pool.look()
+            if reach is not Reach.UNANSWERED:
+                return reach
+        return Reach.UNANSWERED
+
+    def _forget_old(self, now: timedelta) -> None:
+        for name, (began_at, result) in list(self._probes.items()):
+            if result.ready() and now - began_at > RESULT_TTL:
+                del self._probes[name]
