--- a/src/sassafrasdale/gateway/planning.py
+++ b/src/sassafrasdale/gateway/planning.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties plans by: services with their endpoints and load."""
+"""Input of the autoscaler: services with their endpoints and load."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -15,13 +15,13 @@
     load: Callable[[str], float],
     rollouts: Rollouts,
 ) -> tuple[PlannedService, ...]:
-    """Return the services whose endpoints may be ordered.
+    """Return the services that the leader scales.
 
-    Endpoints of a version on trial are not counted: they are none that were ordered,
-    and those beside which they run are still needed.
+    Endpoints of a canary version are not counted: the leader did not order them, and
+    the endpoints of the current version are still needed beside them.
 
-    :param load: returns the endpoints that a service's load keeps busy all the time.
-    :param rollouts: tells which versions are in force.
+    :param load: returns a service's load as a number of fully busy endpoints.
+    :param rollouts: knows which versions are in force.
     """
     if configuration is None:
         return ()
--- a/src/sassafrasdale/gateway/scaling.py
+++ b/src/sassafrasdale/gateway/scaling.py
@@ -1,4 +1,4 @@
-"""Orders of endpoints, which the holder of the duties gives."""
+"""Autoscaling: the leader orders endpoints from the platform."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import replace
@@ -35,47 +35,47 @@
 _Orders = list[tuple[str, str, bool, int]]
 ORDERS_FORM = TypeAdapter(_Orders)
 
-# Pause between two looks at what should be ordered. A reclaim's notice is two to three
-# seconds, and an endpoint takes four to start: what is ordered later is missed longer.
-PAUSE = timedelta(milliseconds=250)
-# An order that was not taken, or did not show, is given again after this time.
+# Time between two planning steps. A reclaim is announced two to three seconds ahead and
+# an endpoint takes four to start, so each delay of an order lengthens the shortage.
+STEP_INTERVAL = timedelta(milliseconds=250)
+# Time after which an order that was not accepted, or had no effect, is sent again.
 RETRY_PAUSE = timedelta(seconds=2)
-# Time after which an order of a former holder that got no answer has been carried out.
-LATE_ORDERS = timedelta(seconds=7)
-# Time for which less must be wanted before less is ordered, as a multiple of the time
-# that an endpoint takes to start. Load comes in waves, and an endpoint that was given
-# back in a trough is missed, for all of its start, in the next rise.
-LOWER_STARTS = 4
-# The same for endpoints that can't be reclaimed: each costs several of the others, and
-# is given back only while those that are left bear the load without any one zone. One
-# start time instead of two takes 0.01 of worth off the prices of a day.
-LOWER_STARTS_KEPT = 1
-# The same as a new holder of the duty begins: what its predecessor ordered must have
-# had the time to start, and for how long less was wanted isn't known.
-LOWER_STARTS_ANEW = 1.5
-# Time after the first endpoint of a service is listed until all found are.
-SETTLING = timedelta(seconds=2.5)
-# A service of which no endpoint is listed for this long has none.
-MOST_SETTLING = timedelta(seconds=5)
-# Time of what began before it could be seen.
+# Time within which the platform carries out a former leader's order that got no answer.
+MAX_ORDER_DELAY = timedelta(seconds=7)
+# Scale-down delay, as a multiple of the start time of an endpoint. Load comes in waves:
+# an endpoint released in a trough is missing in the next rise until another starts.
+SCALE_DOWN_STARTS = 4
+# Scale-down delay of endpoints that can't be reclaimed. Each costs as much as several
+# reclaimable ones, and is released only while the rest can bear the load without any
+# one zone. One start time instead of two saves 0.01 of worth in the prices of a day.
+SCALE_DOWN_STARTS_ON_DEMAND = 1
+# Scale-down delay of a new leader. It doesn't know how long ago the load fell, and what
+# its predecessor ordered must have had time to start.
+SCALE_DOWN_STARTS_NEW_LEADER = 1.5
+# Time from the first listed endpoint of a service until all running ones are listed.
+LISTING_TIME = timedelta(seconds=2.5)
+# A service without a listed endpoint for this long has none running.
+MAX_LISTING_TIME = timedelta(seconds=5)
+# Start of a load that began before this gateway did.
 LONG_AGO = -timedelta(days=1)
-# A load below this is no load yet: callers have not begun.
-LEAST_LOAD = 0.05
-# Time after its beginning when the load tells something.
-LOAD_KNOWN = timedelta(seconds=1.2)
-# Until then, what was found running is taken to be used this much of what is planned.
-FOUND_USE = 1.0
+# Callers have not begun to send while the load is below this.
+MIN_LOAD = 0.05
+# Time from the start of a load until its average can be extrapolated.
+LOAD_WARMUP = timedelta(seconds=1.2)
+# Until then, endpoints found running count as loaded to this fraction of the planned
+# utilization.
+ASSUMED_UTILIZATION = 1.0
 
 
 class Scaler:
-    """Task that orders endpoints while this gateway holds the duties.
+    """Task that orders endpoints while this gateway is the leader.
 
     :param lease: the lease for the duties.
     :param client: the platform's duty calls.
-    :param record: the orders in force, for the next holder.
-    :param view: services to order for, with their load and endpoints.
+    :param record: the orders in force, for the next leader.
+    :param view: returns the services to scale, with their load and endpoints.
     :param clock: source of elapsed time.
-    :param checks_fencing: whether the platform refuses a former holder's orders.
+    :param checks_fencing: whether the platform refuses a former leader's orders.
     """
 
     def __init__(
@@ -96,17 +96,17 @@
         self._view = view
         self._clock = clock
         self._fencing_number = 0
-        # These are observations of this gateway's and outlast a term.
-        self._first_look: dict[str, timedelta] = {}
+        # Observations of this gateway; kept across terms of leadership.
+        self._first_seen: dict[str, timedelta] = {}
         self._first_listed: dict[str, timedelta] = {}
-        self._found: dict[str, int] = {}
+        self._idle_running: dict[str, int] = {}
         self._load_since: dict[str, timedelta] = {}
-        self._forget()
+        self._reset_term()
 
     def run(self) -> None:
-        """Order until the task is killed."""
+        """Run a planning step in each interval until the task is killed."""
         while True:
-            sleep(PAUSE)
+            sleep(STEP_INTERVAL)
             try:
                 self.step()
             except LeaseNotHeld:
@@ -114,44 +114,49 @@
             except StoreError as error:
                 log.warning("record of orders not reached", why=str(error))
             except DutyCallRefused as error:
-                log.warning("order refused, stepping down", why=error.message)
+                log.warning(
+                    "order refused by the platform; releasing the lease",
+                    why=error.message,
+                )
                 self._lease.release()
 
     def step(self) -> None:
-        """Give the orders that are missing."""
-        services = [service for service in self._view() if self._is_settled(service)]
+        """Send the orders that are due."""
+        services = [
+            service for service in self._view() if self._is_listing_complete(service)
+        ]
         for service in services:
-            self._note_load(service)
+            self._record_load_start(service)
         permit = self._lease.permit(checks_fencing=True)
         if permit.fencing_number != self._fencing_number:
-            # All orders are given again: from then on, a former holder's that were
-            # held up on their way are refused.
-            self._forget()
+            # Repeats all orders under the new fencing number: from then on, the
+            # platform refuses delayed orders of a former leader.
+            self._reset_term()
             self._inherited = _decode_orders(self._record.read())
             self._fencing_number = permit.fencing_number
             if not self._checks_fencing:
-                self._repeat_at = self._clock.elapsed() + LATE_ORDERS
+                self._repeat_at = self._clock.elapsed() + MAX_ORDER_DELAY
         self._repeat_if_due()
         for service in services:
-            planned = self._with_known_load(service)
-            plan = plan_orders(planned, frozenset(self._dry))
-            self._carry_out(planned, plan)
-        self._write_down()
+            planned = self._with_estimated_load(service)
+            plan = plan_orders(planned, frozenset(self._exhausted))
+            self._send_orders(planned, plan)
+        self._write_record()
 
     def _repeat_if_due(self) -> None:
-        """Give all orders once more where a former holder's may have come after them.
+        """Repeat all orders once a former leader's late orders have taken effect.
 
         An order that got no answer may be carried out seconds later. A platform that
-        doesn't check fencing numbers then goes by it, and nobody would notice.
+        doesn't check fencing numbers then follows it in place of the newer order.
         """
         if self._repeat_at is None or self._clock.elapsed() < self._repeat_at:
             return
         self._repeat_at = None
         self._inherited |= self._ordered
         self._ordered = {}
-        self._asked = {}
+        self._last_sent = {}
 
-    def _write_down(self) -> None:
+    def _write_record(self) -> None:
         """Record the orders in force, if they changed."""
         orders = self._inherited | self._ordered
         if orders != self._inherited:
@@ -160,122 +165,130 @@
             self._record.write(_encode_orders(orders))
             self._inherited = orders
 
-    def _forget(self) -> None:
+    def _reset_term(self) -> None:
         self._ordered: dict[OrderKey, int] = {}
         self._inherited: dict[OrderKey, int] = {}
-        self._dry: set[OrderKey] = set()
-        # What was last asked for, and until when it is not asked for again.
-        self._asked: dict[OrderKey, tuple[int, timedelta]] = {}
-        self._seen_running: dict[OrderKey, int] = {}
-        self._lower_since: dict[OrderKey, timedelta] = {}
-        # Services for which orders were given in this term.
-        self._carried_out: set[str] = set()
-
-    def _is_settled(self, service: PlannedService) -> bool:
-        """Return whether the endpoints found at the start have had time to be listed.
-
-        Endpoints that start together with the gateways list themselves one by one.
-        Those not yet listed would be given back by an order that doesn't count them.
+        self._exhausted: set[OrderKey] = set()
+        # The last count sent, and until when it is not sent again.
+        self._last_sent: dict[OrderKey, tuple[int, timedelta]] = {}
+        self._last_running: dict[OrderKey, int] = {}
+        self._scale_down_since: dict[OrderKey, timedelta] = {}
+        # Services with orders in this term.
+        self._services_ordered: set[str] = set()
+
+    def _is_listing_complete(self, service: PlannedService) -> bool:
+        """Return whether all endpoints running at the start have had time to register.
+
+        Endpoints that start together with the gateways register one by one. An order
+        that doesn't count the unregistered ones would release them.
         """
         now = self._clock.elapsed()
-        first_look = self._first_look.setdefault(service.service, now)
+        first_seen = self._first_seen.setdefault(service.service, now)
         if service.running:
             self._first_listed.setdefault(service.service, now)
         listed = self._first_listed.get(service.service)
         if listed is None:
-            return now - first_look >= MOST_SETTLING
-        return now - listed >= SETTLING
+            return now - first_seen >= MAX_LISTING_TIME
+        return now - listed >= LISTING_TIME
 
-    def _note_load(self, service: PlannedService) -> None:
-        """Note when the load began, whoever has the duty then."""
+    def _record_load_start(self, service: PlannedService) -> None:
+        """Record when the load of a service began, also while not the leader."""
         name = service.service
-        if service.load < LEAST_LOAD:
+        if service.load < MIN_LOAD:
             running = sum(service.running.values())
-            self._found[name] = max(self._found.get(name, 0), running)
+            self._idle_running[name] = max(self._idle_running.get(name, 0), running)
         elif name not in self._load_since:
-            # Without a look at a fleet without load, it began before this gateway.
-            began_here = name in self._found
+            # If the fleet was never seen idle, the load began before this gateway.
+            began_here = name in self._idle_running
             now = self._clock.elapsed()
             self._load_since[name] = now if began_here else LONG_AGO
 
-    def _with_known_load(self, service: PlannedService) -> PlannedService:
-        """Return the service with a load to plan by until its load is known."""
+    def _with_estimated_load(self, service: PlannedService) -> PlannedService:
+        """Return the service with an estimated load until its load is known."""
         since = self._load_since.get(service.service)
         age = timedelta() if since is None else self._clock.elapsed() - since
-        if age >= LOAD_KNOWN:
-            return replace(service, load=service.load / _risen(age))
-        guess = self._found.get(service.service, 0) * PLANNED_USE * FOUND_USE
-        return replace(service, load=max(service.load, guess), load_known=False)
+        if age >= LOAD_WARMUP:
+            return replace(service, load=service.load / _average_fraction(age))
+        estimate = (
+            self._idle_running.get(service.service, 0)
+            * PLANNED_USE
+            * ASSUMED_UTILIZATION
+        )
+        return replace(service, load=max(service.load, estimate), load_known=False)
 
-    def _carry_out(self, service: PlannedService, plan: FleetPlan) -> None:
-        # More first: what is given back must not leave before others serve.
+    def _send_orders(self, service: PlannedService, plan: FleetPlan) -> None:
+        # Scales up first: released endpoints must not leave before others serve.
         orders = sorted(
             plan.orders.items(),
             key=lambda item: item[1] - service.running.get(item[0], 0),
             reverse=True,
         )
         for key, _ in orders:
-            self._note_loss(key, service.running.get(key, 0))
+            self._allow_replacement(key, service.running.get(key, 0))
         for key, wanted in orders:
             running = service.running.get(key, 0)
-            held = self._held(key, running)
-            if wanted >= held:
-                self._lower_since.pop(key, None)
-            elif not self._may_lower(key, service):
-                wanted = held
+            expected = self._expected_count(key, running)
+            if wanted >= expected:
+                self._scale_down_since.pop(key, None)
+            elif not self._may_scale_down(key, service):
+                wanted = expected
             if self._ordered.get(key) != wanted or running < wanted:
                 self._order(service, key, wanted, plan.reason)
-        self._carried_out.add(service.service)
+        self._services_ordered.add(service.service)
 
-    def _note_loss(self, key: OrderKey, running: int) -> None:
-        """Let a zone's kinds be ordered at once where some endpoints went.
+    def _allow_replacement(self, key: OrderKey, running: int) -> None:
+        """Allow new orders for a zone at once if some of its endpoints are gone.
 
-        What is missing after an order is usually still starting, and not asked for
-        again. Endpoints that leave or crash meanwhile would be missed for all of that
-        time, and for good where nothing else changes the order. Those that leave also
-        make room: an order beyond the zone's bound is taken, but not carried out.
+        Endpoints missing after an order are usually still starting, so the order is
+        not repeated. Endpoints that leave or crash meanwhile would be missing for all
+        of that time, and for good if nothing else changes the order. They also free
+        capacity: an order beyond the zone's limit is accepted, but not carried out.
         """
-        if running < self._seen_running.get(key, 0):
+        if running < self._last_running.get(key, 0):
             for reclaimable in (False, True):
-                self._asked.pop(replace(key, reclaimable=reclaimable), None)
-        self._seen_running[key] = running
+                self._last_sent.pop(replace(key, reclaimable=reclaimable), None)
+        self._last_running[key] = running
 
-    def _held(self, key: OrderKey, running: int) -> int:
-        """Return how many endpoints of a kind there are or soon will be.
+    def _expected_count(self, key: OrderKey, running: int) -> int:
+        """Return how many endpoints of a kind are running or starting.
 
-        Those that a former holder ordered a moment ago are still starting. Without
-        the record, a new holder would take its order back.
+        Endpoints that a former leader ordered a moment ago are still starting. Without
+        its record, the new leader would cancel that order.
         """
         if key in self._ordered:
             return self._ordered[key]
         return max(running, self._inherited.get(key, 0))
 
-    def _may_lower(self, key: OrderKey, service: PlannedService) -> bool:
-        """Return whether less has been wanted for so long that it may be ordered.
+    def _may_scale_down(self, key: OrderKey, service: PlannedService) -> bool:
+        """Return whether the scale-down delay of an order is over.
 
-        Never beside a version on trial, which may take over at any moment.
+        Never during a rollout, whose version may take over at any moment.
         """
         if service.is_changing:
-            self._lower_since.pop(key, None)
+            self._scale_down_since.pop(key, None)
             return False
         if service.service not in self._load_since:
             return True
         now = self._clock.elapsed()
         start_time = service.bounds.start_time
-        hold = start_time * (LOWER_STARTS if key.reclaimable else LOWER_STARTS_KEPT)
-        if service.service not in self._carried_out:
-            self._lower_since[key] = now - hold + start_time * LOWER_STARTS_ANEW
-        since = self._lower_since.setdefault(key, now)
-        return now - since >= hold
+        delay = start_time * (
+            SCALE_DOWN_STARTS if key.reclaimable else SCALE_DOWN_STARTS_ON_DEMAND
+        )
+        if service.service not in self._services_ordered:
+            self._scale_down_since[key] = (
+                now - delay + start_time * SCALE_DOWN_STARTS_NEW_LEADER
+            )
+        since = self._scale_down_since.setdefault(key, now)
+        return now - since >= delay
 
     def _order(
         self, service: PlannedService, key: OrderKey, count: int, reason: str
     ) -> None:
         now = self._clock.elapsed()
-        asked, until = self._asked.get(key, (None, now))
-        if asked == count and now < until:
+        last_count, until = self._last_sent.get(key, (None, now))
+        if last_count == count and now < until:
             return
-        self._asked[key] = (count, now + RETRY_PAUSE)
+        self._last_sent[key] = (count, now + RETRY_PAUSE)
         permit = self._lease.permit(checks_fencing=True)
         try:
             self._client.order_endpoints(
@@ -286,17 +299,17 @@
                 reclaimable=key.reclaimable,
             )
         except NoneAvailable:
-            self._dry.add(key)
+            self._exhausted.add(key)
             outcome = "none available"
         except DutyCallFailed as error:
             outcome = f"not confirmed: {error.message}"
         else:
             self._ordered[key] = count
             if count > service.running.get(key, 0):
-                self._dry.discard(key)
-            # It shows up after its start time; until then it isn't missing.
-            shown = now + service.bounds.start_time + RETRY_PAUSE
-            self._asked[key] = (count, shown)
+                self._exhausted.discard(key)
+            # A new endpoint is listed only after its start time; until then it counts.
+            listed_at = now + service.bounds.start_time + RETRY_PAUSE
+            self._last_sent[key] = (count, listed_at)
             outcome = "taken"
         log.info(
             "endpoints ordered",
@@ -327,10 +340,10 @@
     }
 
 
-def _risen(age: timedelta) -> float:
-    """Return the part of a load that its average shows some time after it began.
+def _average_fraction(age: timedelta) -> float:
+    """Return the fraction of a load that its moving average shows at this age.
 
-    The average starts at nothing. Taken as it is, it would hide a third of the load
-    for as long as an endpoint takes to start.
+    The average starts at zero. Without the correction, it would hide a third of the
+    load for as long as an endpoint takes to start.
     """
     return 1 - exp(-(age / WORK_WINDOW))
--- a/tests/gateway/test_planning.py
+++ b/tests/gateway/test_planning.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties plans by."""
+"""Input of the autoscaler."""
 
 from datetime import timedelta
 from random import Random
@@ -25,12 +25,12 @@
     return Endpoint(name, "m", Address("127.0.0.1", 1), zone, state, **fields)
 
 
-def test_nothing_is_planned_before_there_is_a_configuration():
+def test_no_services_without_a_configuration():
     assert planned_services(None, None, lambda service: 0.0, None) == ()
 
 
-def test_endpoints_that_take_requests_are_counted_by_kind():
-    """Those that leave still serve, but nothing may be planned with them."""
+def test_ready_endpoints_are_counted_by_kind():
+    """Draining endpoints still serve, but must not count as capacity."""
     clock = ManualClock()
     directory = Directory(clock, Random(1), timedelta(seconds=2))
     directory.put(listed("i-1", "a"))
--- a/tests/gateway/test_scaling.py
+++ b/tests/gateway/test_scaling.py
@@ -1,4 +1,4 @@
-"""Orders of endpoints over time."""
+"""Autoscaling over time."""
 
 import json
 from datetime import timedelta
@@ -9,7 +9,7 @@
 from sassafrasdale.coordination.exceptions import LeaseNotHeld, StoreAnswerLost
 from sassafrasdale.decisions.ordering import OrderKey, PlannedService
 from sassafrasdale.deployment import ScaleBounds
-from sassafrasdale.gateway.scaling import LATE_ORDERS, SETTLING, Scaler
+from sassafrasdale.gateway.scaling import LISTING_TIME, MAX_ORDER_DELAY, Scaler
 from sassafrasdale.platform.exceptions import DutyCallFailed, NoneAvailable
 from tests.gateway.duties import SECOND, Lease
 
@@ -17,17 +17,17 @@
 
 
 class Cloud:
-    """Takes orders, but for those of dry zones, and loses what it is told to."""
+    """Fake platform with exhausted zones and failing calls."""
 
     def __init__(self):
         self.orders = []
-        self.dry = set()
-        self.losing = False
+        self.exhausted = set()
+        self.failing_calls = False
 
     def order_endpoints(self, service, zone, count, number, *, reclaimable):
-        if self.losing:
+        if self.failing_calls:
             raise DutyCallFailed("no answer")
-        if reclaimable and zone in self.dry:
+        if reclaimable and zone in self.exhausted:
             raise NoneAvailable("none")
         self.orders.append((zone, reclaimable, count, number))
 
@@ -36,7 +36,7 @@
 
 
 class Record:
-    """What the store keeps for the next holder."""
+    """Fake of the stored record for the next leader."""
 
     def __init__(self):
         self.document = None
@@ -56,8 +56,8 @@
         self.writes += 1
 
 
-class Duty:
-    """A scaler with a service whose load and endpoints a test sets."""
+class ScaledService:
+    """A scaler with a service whose load and endpoints are set by the test."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -67,7 +67,7 @@
         self.load = 0.0
         self.running = {OrderKey("models", "a", False): 6}
         self.scaler = self.new_scaler()
-        self.pass_time(SETTLING + SECOND)
+        self.pass_time(LISTING_TIME + SECOND)
 
     def new_scaler(self, **options):
         return Scaler(
@@ -83,262 +83,262 @@
             self.scaler.step()
 
 
-def test_orders_are_given_once():
-    duty = Duty()
-    duty.load = 1.0
-    duty.pass_time(3 * SECOND)
-    assert len(set(duty.cloud.orders)) == len(duty.cloud.orders)
-
-
-def test_less_is_ordered_only_after_a_while():
-    """Endpoints would be given back in each trough and missed in the next wave."""
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 1}
-    duty.load = 2.5
-    # A load that is there at once looks like a larger one that has just begun.
-    duty.pass_time(40 * SECOND)
-    before = sum(duty.cloud.wanted().values())
-    duty.load = 0.3
-    duty.pass_time(4 * SECOND)
-    assert sum(duty.cloud.wanted().values()) == before
-    duty.pass_time(14 * SECOND)
-    assert sum(duty.cloud.wanted().values()) < before
-
-
-def test_a_dry_zone_is_made_up_and_asked_again():
-    """A zone's reclaimable endpoints are taken and none are to be had for a while."""
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 1}
-    duty.cloud.dry = {"a", "b"}
-    duty.load = 2.0
-    duty.pass_time(4 * SECOND)
-    kept = sum(n for (_, spot), n in duty.cloud.wanted().items() if not spot)
-    assert kept >= 4
-    duty.cloud.dry = set()
-    duty.pass_time(4 * SECOND)
-    assert any(spot for _, spot in duty.cloud.wanted())
-
-
-def test_a_new_term_gives_all_orders_again():
-    duty = Duty()
-    duty.load = 1.0
-    duty.pass_time(2 * SECOND)
-    duty.lease.number = 9
-    duty.cloud.orders.clear()
-    duty.pass_time(2 * SECOND)
-    assert {number for *_, number in duty.cloud.orders} == {9}
-
-
-def test_a_lost_order_is_given_again():
-    duty = Duty()
-    duty.load = 1.0
-    duty.cloud.losing = True
-    duty.pass_time(SECOND)
-    duty.cloud.losing = False
-    duty.pass_time(4 * SECOND)
-    assert duty.cloud.orders
-
-
-def test_nothing_is_ordered_without_the_duty():
-    duty = Duty()
-    duty.lease.number = 0
-    duty.cloud.orders.clear()
+def test_orders_are_sent_once():
+    scaled = ScaledService()
+    scaled.load = 1.0
+    scaled.pass_time(3 * SECOND)
+    assert len(set(scaled.cloud.orders)) == len(scaled.cloud.orders)
+
+
+def test_scale_down_is_delayed():
+    """Guards against endpoints that are released in a trough before the next wave."""
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 1}
+    scaled.load = 2.5
+    # A load that is high at once is taken for a larger one that has just begun.
+    scaled.pass_time(40 * SECOND)
+    before = sum(scaled.cloud.wanted().values())
+    scaled.load = 0.3
+    scaled.pass_time(4 * SECOND)
+    assert sum(scaled.cloud.wanted().values()) == before
+    scaled.pass_time(14 * SECOND)
+    assert sum(scaled.cloud.wanted().values()) < before
+
+
+def test_an_exhausted_zone_is_compensated_and_tried_again():
+    """Reclaimable endpoints are reclaimed and unavailable for a while."""
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 1}
+    scaled.cloud.exhausted = {"a", "b"}
+    scaled.load = 2.0
+    scaled.pass_time(4 * SECOND)
+    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    assert on_demand >= 4
+    scaled.cloud.exhausted = set()
+    scaled.pass_time(4 * SECOND)
+    assert any(spot for _, spot in scaled.cloud.wanted())
+
+
+def test_a_new_term_repeats_all_orders():
+    scaled = ScaledService()
+    scaled.load = 1.0
+    scaled.pass_time(2 * SECOND)
+    scaled.lease.number = 9
+    scaled.cloud.orders.clear()
+    scaled.pass_time(2 * SECOND)
+    assert {number for *_, number in scaled.cloud.orders} == {9}
+
+
+def test_a_failed_order_is_sent_again():
+    scaled = ScaledService()
+    scaled.load = 1.0
+    scaled.cloud.failing_calls = True
+    scaled.pass_time(SECOND)
+    scaled.cloud.failing_calls = False
+    scaled.pass_time(4 * SECOND)
+    assert scaled.cloud.orders
+
+
+def test_nothing_is_ordered_without_the_lease():
+    scaled = ScaledService()
+    scaled.lease.number = 0
+    scaled.cloud.orders.clear()
     with pytest.raises(LeaseNotHeld):
-        duty.scaler.step()
-    assert duty.cloud.orders == []
+        scaled.scaler.step()
+    assert scaled.cloud.orders == []
 
 
-def test_what_was_found_is_used_until_the_load_is_known():
-    """Before callers begin there is no load, and all but a few would be given back."""
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 12}
-    duty.pass_time(8 * SECOND)
-    assert sum(duty.cloud.wanted().values()) >= 6
+def test_running_endpoints_count_as_loaded_until_the_load_is_known():
+    """Guards against releasing nearly all endpoints before callers begin to send."""
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 12}
+    scaled.pass_time(8 * SECOND)
+    assert sum(scaled.cloud.wanted().values()) >= 6
 
 
-def test_endpoints_that_are_not_listed_yet_are_not_given_back():
-    """Most of the fleet would stop just before callers begin.
+def test_endpoints_that_are_not_listed_yet_are_not_released():
+    """Guards against a scale-down just before callers begin to send.
 
-    The gateways start first, get the duty, and see a list that is still empty.
+    The gateways start first, elect a leader, and read a list that is still empty.
     """
-    duty = Duty()
-    duty.scaler = duty.new_scaler()
-    duty.cloud.orders.clear()
-    duty.running = {}
-    duty.pass_time(SECOND)
-    duty.running = {OrderKey("models", "b", False): 1}
-    duty.pass_time(SECOND)
-    duty.running = {OrderKey("models", "b", False): 6}
-    assert duty.cloud.orders == []
-
-
-def test_a_load_that_has_just_begun_is_not_taken_for_a_small_one():
-    """Callers that all begin at once would meet half of the endpoints they need.
-
-    The load is an average that begins at nothing and shows 45 parts in 100 of it
-    after three seconds.
+    scaled = ScaledService()
+    scaled.scaler = scaled.new_scaler()
+    scaled.cloud.orders.clear()
+    scaled.running = {}
+    scaled.pass_time(SECOND)
+    scaled.running = {OrderKey("models", "b", False): 1}
+    scaled.pass_time(SECOND)
+    scaled.running = {OrderKey("models", "b", False): 6}
+    assert scaled.cloud.orders == []
+
+
+def test_a_load_that_has_just_begun_is_extrapolated():
+    """Guards against half of the needed endpoints when all callers begin at once.
+
+    The load is a moving average that starts at zero and shows 45 percent after three
+    seconds.
     """
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 1}
-    duty.load = 0.2
-    duty.pass_time(SECOND)
-    duty.load = 3.0 * 0.45
-    duty.pass_time(2 * SECOND)
-    kept = sum(n for (_, spot), n in duty.cloud.wanted().items() if not spot)
-    assert kept >= 4
-
-
-def test_a_new_holder_takes_an_old_load_as_it_is():
-    """Each change of the holder would order several times what is needed."""
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 4}
-    duty.load = 1.2
-    duty.record.document = None
-    duty.scaler = duty.new_scaler()
-    duty.cloud.orders.clear()
-    duty.pass_time(6 * SECOND)
-    kept = sum(n for (_, spot), n in duty.cloud.wanted().items() if not spot)
-    # Not more than run.
-    assert kept <= 4
-
-
-def test_a_new_holder_does_not_take_back_what_is_starting():
-    """A rise of the load would be met seconds late, at each change of the holder.
-
-    The holder orders endpoints and stops; they take four seconds to start. The next
-    one sees a lower load for a while, as some gateways' reports are missing.
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 1}
+    scaled.load = 0.2
+    scaled.pass_time(SECOND)
+    scaled.load = 3.0 * 0.45
+    scaled.pass_time(2 * SECOND)
+    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    assert on_demand >= 4
+
+
+def test_a_new_leader_does_not_extrapolate_an_old_load():
+    """Guards against excessive orders at each change of the leader."""
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 4}
+    scaled.load = 1.2
+    scaled.record.document = None
+    scaled.scaler = scaled.new_scaler()
+    scaled.cloud.orders.clear()
+    scaled.pass_time(6 * SECOND)
+    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    # No more than are running.
+    assert on_demand <= 4
+
+
+def test_a_new_leader_does_not_cancel_orders_of_starting_endpoints():
+    """Guards against a delayed scale-up at each change of the leader.
+
+    The leader orders endpoints, which take four seconds to start, and stops. The next
+    leader sees a lower load for a while, as some gateways' reports are missing.
     """
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 1}
-    duty.load = 3.0
-    duty.pass_time(6 * SECOND)
-    before = duty.cloud.wanted()
-    duty.lease.number = 9
-    duty.load = 1.5
-    duty.scaler = duty.new_scaler()
-    duty.pass_time(6 * SECOND)
-    after = duty.cloud.wanted()
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 1}
+    scaled.load = 3.0
+    scaled.pass_time(6 * SECOND)
+    before = scaled.cloud.wanted()
+    scaled.lease.number = 9
+    scaled.load = 1.5
+    scaled.scaler = scaled.new_scaler()
+    scaled.pass_time(6 * SECOND)
+    after = scaled.cloud.wanted()
     assert all(after[key] >= count for key, count in before.items())
-    assert {number for *_, number in duty.cloud.orders[-len(before) :]} == {9}
-
-
-def test_orders_are_recorded_once_they_change():
-    duty = Duty()
-    duty.load = 1.0
-    duty.pass_time(40 * SECOND)
-    writes = duty.record.writes
-    duty.pass_time(6 * SECOND)
-    assert duty.record.writes == writes
-    held = {(zone, spot): count for _, zone, spot, count in duty.record.document}
-    assert held == duty.cloud.wanted()
-
-
-def test_orders_go_on_while_they_cannot_be_recorded():
-    """The store fails; the lease still runs for a while, and the load rises."""
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 1}
-    duty.load = 1.0
-    duty.pass_time(6 * SECOND)
-    duty.record.failing = True
-    duty.load = 3.0
+    assert {number for *_, number in scaled.cloud.orders[-len(before) :]} == {9}
+
+
+def test_orders_are_recorded_only_if_they_change():
+    scaled = ScaledService()
+    scaled.load = 1.0
+    scaled.pass_time(40 * SECOND)
+    writes = scaled.record.writes
+    scaled.pass_time(6 * SECOND)
+    assert scaled.record.writes == writes
+    held = {(zone, spot): count for _, zone, spot, count in scaled.record.document}
+    assert held == scaled.cloud.wanted()
+
+
+def test_orders_continue_while_the_record_cannot_be_written():
+    """The store fails while the lease is still valid, and the load rises."""
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 1}
+    scaled.load = 1.0
+    scaled.pass_time(6 * SECOND)
+    scaled.record.failing = True
+    scaled.load = 3.0
     with pytest.raises(StoreAnswerLost):
-        duty.pass_time(SECOND)
-    duty.record.failing = False
-    duty.pass_time(SECOND)
-    kept = sum(n for (_, spot), n in duty.cloud.wanted().items() if not spot)
-    assert kept >= 6
-    assert duty.record.document
+        scaled.pass_time(SECOND)
+    scaled.record.failing = False
+    scaled.pass_time(SECOND)
+    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    assert on_demand >= 6
+    assert scaled.record.document
 
 
-def test_a_new_holder_does_not_hold_on_to_what_was_too_much_before():
-    """Endpoints would be paid for without end while the duty goes round.
+def test_a_new_leader_scales_down_despite_its_unknown_history():
+    """Guards against idle endpoints that are never released as leaders change.
 
-    The load fell a while ago, and the duty changes hands before its holder has given
-    anything back; the next one can't know for how long less was wanted.
+    The load fell a while ago, and the leader changes before the scale-down delay is
+    over; the next one can't know when the load fell.
     """
-    duty = Duty()
-    duty.running = {OrderKey("models", "a", False): 1}
-    duty.load = 3.0
-    duty.pass_time(6 * SECOND)
-    before = sum(duty.cloud.wanted().values())
-    duty.load = 0.5
+    scaled = ScaledService()
+    scaled.running = {OrderKey("models", "a", False): 1}
+    scaled.load = 3.0
+    scaled.pass_time(6 * SECOND)
+    before = sum(scaled.cloud.wanted().values())
+    scaled.load = 0.5
     for number in (9, 13, 17):
-        duty.lease.number = number
-        duty.scaler = duty.new_scaler()
-        duty.pass_time(9 * SECOND)
-    assert sum(duty.cloud.wanted().values()) < before / 2
+        scaled.lease.number = number
+        scaled.scaler = scaled.new_scaler()
+        scaled.pass_time(9 * SECOND)
+    assert sum(scaled.cloud.wanted().values()) < before / 2
 
 
-def test_an_endpoint_that_leaves_for_good_is_ordered_again():
-    """Callers would wait behind each other for ten seconds at half of the engines.
+def test_an_endpoint_that_leaves_is_replaced():
+    """Guards against ten seconds of queueing at half of the engines.
 
-    Of two endpoints that can't be reclaimed one is emptied and taken away by the
+    Of two endpoints that can't be reclaimed, one is drained and removed by the
     platform. The order in force still says two, so nothing was ordered until the load
-    asked for another number.
+    required another count.
     """
-    duty = Duty()
+    scaled = ScaledService()
     key = OrderKey("models", "a", False)
-    duty.load = 0.5
-    duty.running = {key: 2}
-    duty.pass_time(20 * SECOND)
-    kept = duty.cloud.wanted()["a", False]
-    duty.running = {key: kept}
-    duty.pass_time(10 * SECOND)
-    duty.cloud.orders.clear()
-    duty.running = {key: kept - 1}
-    duty.pass_time(SECOND / 2)
-    assert ("a", False, kept, 5) in duty.cloud.orders
-
-
-def test_reclaimable_ones_taken_while_an_order_is_awaited_are_asked_for_at_once():
-    """Callers would wait six seconds more for what replaces a reclaimed zone.
-
-    More were ordered a moment ago and are still starting, so the order isn't repeated
-    for as long as that takes. Meanwhile the platform takes back those that run.
+    scaled.load = 0.5
+    scaled.running = {key: 2}
+    scaled.pass_time(20 * SECOND)
+    on_demand = scaled.cloud.wanted()["a", False]
+    scaled.running = {key: on_demand}
+    scaled.pass_time(10 * SECOND)
+    scaled.cloud.orders.clear()
+    scaled.running = {key: on_demand - 1}
+    scaled.pass_time(SECOND / 2)
+    assert ("a", False, on_demand, 5) in scaled.cloud.orders
+
+
+def test_endpoints_reclaimed_while_others_start_are_replaced_at_once():
+    """Guards against a replacement of a reclaimed zone that is six seconds late.
+
+    More endpoints were ordered a moment ago, and the order isn't repeated while they
+    start. Meanwhile the platform reclaims the running ones.
     """
-    duty = Duty()
-    duty.load = 1.0
+    scaled = ScaledService()
+    scaled.load = 1.0
     keys = [OrderKey("models", zone, True) for zone in "ab"]
-    duty.running = {OrderKey("models", "a", False): 1} | dict.fromkeys(keys, 2)
-    duty.pass_time(20 * SECOND)
-    duty.load = 1.6
-    duty.pass_time(SECOND)
-    duty.cloud.orders.clear()
-    duty.running = {OrderKey("models", "a", False): 1, keys[1]: 2}
-    duty.pass_time(SECOND / 2)
-    assert ("a", True) in duty.cloud.wanted()
+    scaled.running = {OrderKey("models", "a", False): 1} | dict.fromkeys(keys, 2)
+    scaled.pass_time(20 * SECOND)
+    scaled.load = 1.6
+    scaled.pass_time(SECOND)
+    scaled.cloud.orders.clear()
+    scaled.running = {OrderKey("models", "a", False): 1, keys[1]: 2}
+    scaled.pass_time(SECOND / 2)
+    assert ("a", True) in scaled.cloud.wanted()
 
 
-def test_orders_are_repeated_where_nobody_checks_fencing_numbers():
-    """Half of the endpoints would be given back, and stay away.
+def test_orders_are_repeated_if_the_platform_checks_no_fencing_numbers():
+    """Guards against the permanent loss of half of the endpoints.
 
-    A former holder's order got no answer and is carried out after the new holder's.
-    The platform doesn't check fencing numbers and goes by the older order.
+    A former leader's order got no answer and is carried out after the new leader's.
+    The platform doesn't check fencing numbers and follows the older order.
     """
-    duty = Duty()
-    duty.scaler = duty.new_scaler(checks_fencing=False)
-    duty.load = 1.0
-    duty.pass_time(SETTLING + 3 * SECOND)
-    given = duty.cloud.wanted()
-    duty.cloud.orders.clear()
-    duty.pass_time(2 * LATE_ORDERS)
-    assert duty.cloud.wanted().keys() == given.keys()
+    scaled = ScaledService()
+    scaled.scaler = scaled.new_scaler(checks_fencing=False)
+    scaled.load = 1.0
+    scaled.pass_time(LISTING_TIME + 3 * SECOND)
+    ordered = scaled.cloud.wanted()
+    scaled.cloud.orders.clear()
+    scaled.pass_time(2 * MAX_ORDER_DELAY)
+    assert scaled.cloud.wanted().keys() == ordered.keys()
 
 
-def test_kept_ones_are_asked_for_again_as_room_appears():
-    """A zone's last engines would be reclaimed and nothing come for six seconds.
+def test_on_demand_endpoints_are_ordered_again_once_a_zone_has_capacity():
+    """Guards against a zone without engines for six seconds after a reclaim.
 
-    The zone is full of reclaimable endpoints, so an order of another kind is taken and
-    not carried out. Then those are reclaimed, and there is room.
+    The zone is at its limit with reclaimable endpoints, so an order of another kind is
+    accepted but not carried out. Then they are reclaimed, which frees capacity.
     """
-    duty = Duty()
-    duty.load = 0.5
-    kept, spots = OrderKey("models", "a", False), OrderKey("models", "a", True)
-    duty.running = {kept: 1, spots: 7}
-    duty.pass_time(40 * SECOND)
-    duty.load = 2.0
-    duty.pass_time(SECOND / 2)
-    duty.cloud.orders.clear()
-    duty.running = {kept: 1}
-    duty.pass_time(SECOND / 2)
-    assert duty.cloud.wanted()["a", False] > 1
+    scaled = ScaledService()
+    scaled.load = 0.5
+    on_demand, spots = OrderKey("models", "a", False), OrderKey("models", "a", True)
+    scaled.running = {on_demand: 1, spots: 7}
+    scaled.pass_time(40 * SECOND)
+    scaled.load = 2.0
+    scaled.pass_time(SECOND / 2)
+    scaled.cloud.orders.clear()
+    scaled.running = {on_demand: 1}
+    scaled.pass_time(SECOND / 2)
+    assert scaled.cloud.wanted()["a", False] > 1
