--- a/src/sassafrasdale/gateway/duties.py
+++ b/src/sassafrasdale/gateway/duties.py
@@ -1,4 +1,7 @@
-"""The duties that one gateway at a time has: usage reports, orders of endpoints."""
+"""Leader duties: usage reports, endpoint orders and rollouts.
+
+The gateway that holds the lease for the duties is the leader.
+"""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -20,26 +23,27 @@
 from sassafrasdale.platform.store import PlatformStore
 
 DUTIES = "duties"
-# Time to live of the duties' lease, as a part of the time in which holders must not
-# alternate. A holder that is killed leaves no order for that long, and endpoints take
-# seconds more to start: with the whole of it, a reclaim that met a kill was answered
-# after five to six seconds. A holder that lost the duties rests for the whole time.
-LEASE_PART = 0.5
-# Time after its start for which a gateway leaves the duties to an older one. It has
-# not yet seen which endpoints are listed and what requests began in past windows.
-LEFT_TO_OLDER = timedelta(seconds=3)
-# Time without a holder after which any gateway seeks the duties. Until then only the
-# aggregators do: two hundred that ask the store at once are refused over its rate.
-LEFT_TO_AGGREGATORS = timedelta(seconds=3)
+# TTL of the leader lease as a fraction of the time in which leadership must not
+# alternate between gateways. No endpoints are ordered for this long after the leader is
+# killed, and endpoints take seconds more to start: with a TTL of the whole time, the
+# response to a reclaim that coincided with a kill took five to six seconds. A gateway
+# that lost the lease still waits for the whole time before it tries again.
+LEASE_TTL_FRACTION = 0.5
+# A gateway leaves the lease to older gateways for this long after its own start. It
+# has not yet seen which endpoints are listed and which requests began in past windows.
+OLDER_GATEWAY_PRIORITY = timedelta(seconds=3)
+# Only aggregators try to acquire the lease until there has been no leader for this
+# long. The store's rate limit rejects two hundred gateways that call it at once.
+AGGREGATOR_PRIORITY = timedelta(seconds=3)
 
 
 class Duties:
-    """Seeks the duties' lease, and does what it is for while it is held.
+    """Acquires the lease for the duties, and builds the tasks that run under it.
 
-    :param peering: tells whether another gateway has the duties.
-    :param view: services to order for, with their load and endpoints.
-    :param rollouts: orders of roll-outs.
-    :param time: true time.
+    :param peering: knows whether another gateway is the leader.
+    :param view: returns the services to scale, with their load and endpoints.
+    :param rollouts: rollout orders.
+    :param time: cluster time.
     :param incarnation: distinguishes starts of this process.
     """
 
@@ -64,7 +68,7 @@
         self._clock = clock
         self._incarnation = incarnation
         self._started_at = clock.elapsed()
-        self._holder_named_at = clock.elapsed()
+        self._leader_seen_at = clock.elapsed()
         bounds = settings.bounds
         self._lease = LeaseHolder(
             store,
@@ -72,27 +76,27 @@
             settings.name,
             clock,
             rng,
-            max(bounds.lease * LEASE_PART, bounds.shortest_lease),
-            self._is_taken,
+            max(bounds.lease * LEASE_TTL_FRACTION, bounds.shortest_lease),
+            self._should_defer,
             rest=bounds.lease,
         )
 
     def claim(self) -> DutyClaim | None:
-        """Return what to tell the others; None where this gateway has no duties."""
+        """Return the claim to send to peers; None if this gateway is not the leader."""
         if self._lease.state == "seeking":
             return None
         return DutyClaim(self._lease.fencing_number)
 
     def release(self) -> None:
-        """Give the duties up, so that another gateway need not wait for them."""
+        """Release the lease, so that another gateway need not wait for its expiry."""
         self._lease.release()
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Return the tasks of the duties that the platform asks for."""
+        """Return the tasks of the duties that the settings enable."""
         settings = self._settings
         rollout_duty = RolloutDuty(self._lease, self._store, self._rollouts)
         if settings.cloud is None:
-            return [self._keep_lease_for_rollouts, rollout_duty.run]
+            return [self._hold_lease_for_rollouts, rollout_duty.run]
         tasks: list[Callable[[], None]] = [self._lease.run, rollout_duty.run]
         client = DutyClient(settings.cloud, settings.name, self._clock)
         if settings.reports_usage:
@@ -119,19 +123,24 @@
             tasks.append(scaler.run)
         return tasks
 
-    def _keep_lease_for_rollouts(self) -> None:
-        """Seek the lease once there is a roll-out, where there is no other duty."""
+    def _hold_lease_for_rollouts(self) -> None:
+        """Acquire the lease only once there is a rollout, the only duty here."""
         self._rollouts.wait_for_order()
         self._lease.run()
 
-    def _is_taken(self) -> bool:
-        """Return whether another gateway has the duties or should take them."""
+    def _should_defer(self) -> bool:
+        """Return whether another gateway is the leader or should become it."""
         now = self._clock.elapsed()
         if self._peering.names_holder():
-            self._holder_named_at = now
+            self._leader_seen_at = now
             return True
-        unnamed = now - self._holder_named_at
-        if not self._peering.is_aggregator and unnamed < LEFT_TO_AGGREGATORS:
+        time_without_leader = now - self._leader_seen_at
+        if (
+            not self._peering.is_aggregator
+            and time_without_leader < AGGREGATOR_PRIORITY
+        ):
             return True
         age = now - self._started_at
-        return age < LEFT_TO_OLDER and self._peering.may_have_older(self._incarnation)
+        return age < OLDER_GATEWAY_PRIORITY and self._peering.may_have_older(
+            self._incarnation
+        )
--- a/tests/gateway/duties.py
+++ b/tests/gateway/duties.py
@@ -1,4 +1,4 @@
-"""What the tests of both duties share."""
+"""Fakes shared by the tests of the leader duties."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 
 
 class Lease:
-    """A lease under a number; 0 if another gateway has it."""
+    """A fake lease with a fencing number; 0 if another gateway holds it."""
 
     def __init__(self, number):
         self.number = number
--- a/tests/gateway/test_duties.py
+++ b/tests/gateway/test_duties.py
@@ -1,4 +1,4 @@
-"""Who seeks the duties, and when."""
+"""When a gateway tries to acquire the lease for the leader duties."""
 
 from datetime import timedelta
 from random import Random
@@ -8,8 +8,8 @@
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.decisions.rollouts import RolloutOrder
 from sassafrasdale.gateway.duties import (
-    LEFT_TO_AGGREGATORS,
-    LEFT_TO_OLDER,
+    AGGREGATOR_PRIORITY,
+    OLDER_GATEWAY_PRIORITY,
     Duties,
 )
 from sassafrasdale.gateway.usage import TrueTime
@@ -21,42 +21,42 @@
 SECOND = timedelta(seconds=1)
 
 
-class Others:
-    """What a gateway knows of the others."""
+class FakePeering:
+    """Fake of the peer state that a gateway sees."""
 
     def __init__(self):
-        self.holder = True
-        self.older = False
+        self.has_leader = True
+        self.has_older = False
         self.is_aggregator = False
 
     def names_holder(self):
-        return self.holder
+        return self.has_leader
 
     def may_have_older(self, incarnation):
-        return self.older
+        return self.has_older
 
 
-class Asked(Exception):
-    """The store was asked for the lease."""
+class LeaseRequested(Exception):
+    """The store received a call for the lease."""
 
 
 class Store:
-    """A store that shows when it is asked."""
+    """A store that raises an error on each read."""
 
     def get(self, key):
-        raise Asked
+        raise LeaseRequested
 
 
 class World:
-    """The duties of one gateway, and what it knows of the others."""
+    """The duties of one gateway with a fake of its peers."""
 
     def __init__(self):
         self.clock = ManualClock()
-        self.others = Others()
+        self.peers = FakePeering()
         self.duties = Duties(
             decode_settings(settings()),
             Store(),
-            self.others,
+            self.peers,
             tuple,
             no_rollouts(self.clock),
             TrueTime(self.clock),
@@ -65,10 +65,10 @@
             1,
         )
 
-    def seeks(self):
+    def requests_lease(self):
         try:
             self.duties._lease.step()
-        except Asked:
+        except LeaseRequested:
             return True
         return False
 
@@ -78,48 +78,49 @@
     return World()
 
 
-def test_nobody_seeks_while_a_holder_is_named(world):
+def test_no_lease_is_requested_while_there_is_a_leader(world):
     world.clock.advance(60 * SECOND)
-    assert not world.seeks()
+    assert not world.requests_lease()
     assert world.duties.claim() is None
 
 
-def test_aggregators_seek_at_once(world):
-    world.seeks()
-    world.others.holder = False
-    world.others.is_aggregator = True
-    assert world.seeks()
+def test_aggregators_request_the_lease_at_once(world):
+    world.requests_lease()
+    world.peers.has_leader = False
+    world.peers.is_aggregator = True
+    assert world.requests_lease()
 
 
-def test_the_others_leave_the_duties_to_them_for_a_while(world):
-    """The store would refuse two hundred gateways over its rate, and all of them.
+def test_other_gateways_leave_the_lease_to_aggregators_at_first(world):
+    """Guards against a lease that no gateway can acquire.
 
-    The holder is killed, and all gateways ask for the lease at the same moment.
+    After the leader is killed, two hundred gateways request the lease at the same
+    moment, and the store's rate limit rejects them all.
     """
     world.clock.advance(10 * SECOND)
-    world.seeks()
-    world.others.holder = False
-    assert not world.seeks()
-    world.clock.advance(LEFT_TO_AGGREGATORS)
-    assert world.seeks()
+    world.requests_lease()
+    world.peers.has_leader = False
+    assert not world.requests_lease()
+    world.clock.advance(AGGREGATOR_PRIORITY)
+    assert world.requests_lease()
 
 
-def test_a_gateway_that_has_just_started_leaves_them_to_older_ones(world):
-    world.others.holder = False
-    world.others.is_aggregator = True
-    world.others.older = True
-    assert not world.seeks()
-    world.clock.advance(LEFT_TO_OLDER)
-    assert world.seeks()
+def test_a_new_gateway_leaves_the_lease_to_older_ones(world):
+    world.peers.has_leader = False
+    world.peers.is_aggregator = True
+    world.peers.has_older = True
+    assert not world.requests_lease()
+    world.clock.advance(OLDER_GATEWAY_PRIORITY)
+    assert world.requests_lease()
 
 
-def test_no_lease_is_sought_for_roll_outs_before_there_is_one():
-    """Guards against calls to the store where there are no duties."""
+def test_no_lease_is_requested_for_rollouts_before_the_first_one():
+    """Guards against needless calls to the store."""
     clock = ManualClock()
     duties = Duties(
         decode_settings(settings(cloud=None)),
         Store(),
-        Others(),
+        FakePeering(),
         tuple,
         no_rollouts(clock),
         TrueTime(clock),
@@ -127,13 +128,13 @@
         Random(1),
         1,
     )
-    asked = []
-    duties._lease.run = lambda: asked.append(True)
+    runs = []
+    duties._lease.run = lambda: runs.append(True)
     for task in duties.tasks():
         spawn(task)
     sleep()
-    assert not asked
+    assert not runs
     order = RolloutOrder("records", "v2", SECOND)
     duties._rollouts.take_order(order, 5, is_news=True)
     sleep()
-    assert asked
+    assert runs
--- a/tests/gateway/test_duty_model.py
+++ b/tests/gateway/test_duty_model.py
@@ -1,4 +1,4 @@
-"""Model of the duties: holders that lose answers, freeze, and send too late."""
+"""Model test of the leader duties with lost responses, pauses and late calls."""
 
 from contextlib import suppress
 from random import Random
@@ -28,7 +28,7 @@
 
 
 class Platform:
-    """Checks fencing numbers when a call is carried out, which may be late."""
+    """Fake platform that checks the fencing number as it applies a call, maybe late."""
 
     def __init__(self):
         self.seen = {}
@@ -48,24 +48,24 @@
         self.usage.setdefault(window, []).append(counts)
 
     def _call(self, subject, number, effect):
-        def carry_out():
+        def apply():
             if number < self.seen.get(subject, 0):
                 raise DutyCallRefused("a newer number was seen")
             self.seen[subject] = number
             effect()
 
         if self.delays is None:
-            carry_out()
+            apply()
             return
         if self.delays == "late":
-            self.late.append(carry_out)
+            self.late.append(apply)
         else:
-            carry_out()
+            apply()
         raise DutyCallFailed("no answer")
 
 
 class PausingStore(FakeStore):
-    """A store whose caller may freeze just before its write goes out."""
+    """A store whose caller may pause just before its write is sent."""
 
     def __init__(self, clock):
         super().__init__(clock)
@@ -79,7 +79,7 @@
 
 
 class Gateway:
-    """The tasks of one gateway that have to do with the duties."""
+    """The leader duties of one gateway."""
 
     def __init__(self, number, store, platform, clock):
         self.number = number
@@ -115,7 +115,7 @@
 
 
 class Duties(RuleBasedStateMachine):
-    """Gateways that take the duties from each other, whatever happens."""
+    """Gateways that take over the leader duties from each other under faults."""
 
     def __init__(self):
         super().__init__()
@@ -132,8 +132,8 @@
         self.clock.advance(SECOND * tenths / 10)
 
     @rule(seconds=st.integers(3, 8))
-    def run_on(self, seconds):
-        """All is well for a while."""
+    def run_without_faults(self, seconds):
+        """Run all gateways without faults for a while."""
         for _ in range(seconds):
             self.clock.advance(SECOND)
             for gateway in self.fleet:
@@ -143,7 +143,7 @@
 
     @rule(number=NUMBERS, fault=FAULTS)
     def keep_lease(self, number, fault):
-        # A gateway that gets no such step is frozen or cut off.
+        # A gateway that does not get this step is paused or partitioned.
         self.store.faults = [fault]
         self.fleet[number].try_step(self.fleet[number].lease.step)
         self.store.faults = []
@@ -161,54 +161,54 @@
         self.store.faults, self.platform.delays = [], None
 
     @rule(number=NUMBERS)
-    def change_of_holder(self, number):
-        """All are cut off for as long as the lease lasts; this one is back first."""
+    def change_leader(self, number):
+        """All are partitioned until the lease expires; this one reconnects first."""
         self.clock.advance(SECOND * 4)
         self.keep_lease(number, None)
 
     @rule(number=NUMBERS, other=NUMBERS)
-    def report_after_a_freeze(self, number, other):
-        # A gateway freezes before it writes; another takes over and reports.
+    def report_after_a_pause(self, number, other):
+        # A gateway is paused before it writes; another takes over and reports.
 
-        def freeze():
-            self.change_of_holder(other)
+        def pause():
+            self.change_leader(other)
             for _ in range(3):
                 self.report(other, [], None)
 
         if number != other:
-            self.store.before_write = freeze
+            self.store.before_write = pause
             self.report(number, [], None)
             self.store.before_write = None
-            # When it has the duty again, it sends what the record holds now.
-            self.change_of_holder(number)
+            # Once it is the leader again, it sends the counts in the record.
+            self.change_leader(number)
             self.report(number, [], None)
 
     @rule(number=NUMBERS, other=NUMBERS, load=st.floats(0.1, 3))
-    def order_is_held_up(self, number, other, load):
-        # An order is on its way for so long that the next holder's comes first.
+    def delay_order(self, number, other, load):
+        # An order is delayed until after the next leader's order.
         self.fleet[number].load = load
         self.order(number, [], "late")
-        self.change_of_holder(other)
+        self.change_leader(other)
         self.order(other, [], None)
-        self.call_is_carried_out_late()
+        self.apply_late_call()
 
     @rule(number=NUMBERS, load=st.floats(0.1, 3))
-    def load_changes(self, number, load):
+    def change_load(self, number, load):
         self.fleet[number].load = load
 
     @rule()
-    def write_lands_late(self):
+    def apply_late_write(self):
         if self.store.late:
             self.store.land()
 
     @rule()
-    def call_is_carried_out_late(self):
+    def apply_late_call(self):
         if self.platform.late:
             with suppress(DutyCallRefused):
                 self.platform.late.pop(0)()
 
     @invariant()
-    def one_holder_at_a_time(self):
+    def one_leader_at_a_time(self):
         holders = [each for each in self.fleet if each.lease.state != "seeking"]
         assert len(holders) <= 1
 
@@ -218,7 +218,7 @@
             assert all(count == counts[0] for count in counts)
 
     @invariant()
-    def no_former_holder_overrules_its_successor(self):
+    def no_former_leader_overrides_its_successor(self):
         numbers = {}
         for number, zone, *_ in self.platform.orders:
             assert number >= numbers.get(zone, 0)
