--- a/src/sassafrasdale/gateway/rollout.py
+++ b/src/sassafrasdale/gateway/rollout.py
@@ -1,4 +1,4 @@
-"""One order of a roll-out, and what a gateway knows of it."""
+"""State of one rollout order on a gateway."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -16,20 +16,21 @@
     rows_of,
 )
 
-# Endpoints that were replaced are stopped at once; their entries go within this time.
-SETTLED = timedelta(seconds=10)
-# Routes that are told apart; what others' requests come to is counted together.
-MOST_ROUTES = 64
+# Replaced endpoints are stopped at once; after this time their entries are deleted.
+DELISTING_TIME = timedelta(seconds=10)
+# Routes with separate outcome counts; all further routes share one row per group.
+MAX_ROUTES = 64
 RULE = SequentialTest()
 
 
 class Rollout:
-    """One order, and what is known of it here.
+    """One rollout order and its local state.
 
-    :param revision: revision of the store at which it was given.
-    :param allowance: bounds the requests that its version gets.
-    :param in_force: whether all listed endpoints were of its version as it came.
-    :param since: true time at which it was first seen, in seconds since 1970.
+    :param revision: store revision at which the order was written.
+    :param allowance: limits the requests that the canary version gets.
+    :param in_force: whether all listed endpoints already had its version when the
+        order arrived.
+    :param since: cluster time at which it was first seen, in seconds since 1970.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         *,
         in_force: bool,
     ) -> None:
-        self._life = Lifecycle(load_chart("rollout"))
+        self._lifecycle = Lifecycle(load_chart("rollout"))
         self.order = order
         self.revision = revision
         self.allowance = allowance
@@ -53,14 +54,14 @@
         self.is_suspect = False
         self.is_suspected_elsewhere = False
         self.is_full = False
-        self.is_tried = False
+        self.is_sampled = False
         self.table: OutcomeTable = {}
         self.trial = Trial(RULE)
 
     @property
     def state(self) -> str:
-        """State of its chart."""
-        return self._life.state
+        """State of its statechart."""
+        return self._lifecycle.state
 
     @property
     def is_open(self) -> bool:
@@ -69,31 +70,31 @@
 
     @property
     def is_condemned(self) -> bool:
-        """Whether its version was found to be bad."""
+        """Whether its version was rejected as faulty."""
         return self.state == "condemned"
 
     def fire(self, event: str) -> bool:
-        """Follow an event, and return whether it changed anything."""
-        if not self._life.allows(event):
+        """Apply an event to the statechart, and return whether the state allows it."""
+        if not self._lifecycle.allows(event):
             return False
-        self._life.fire(event)
+        self._lifecycle.fire(event)
         return True
 
     def is_target(self, record: EndpointRecord) -> bool:
-        """Return whether an endpoint is of the version that it names."""
+        """Return whether an endpoint runs the order's target version."""
         return record.endpoint.version == self.order.target
 
     def targets(self, records: Iterable[EndpointRecord]) -> list[EndpointRecord]:
-        """Return the endpoints of its version, in an order that all gateways share."""
+        """Return the target version's endpoints, in the same order on all gateways."""
         targets = [record for record in records if self.is_target(record)]
         return sorted(targets, key=lambda record: record.name)
 
     def usable(
         self, records: list[EndpointRecord], now: timedelta
     ) -> list[EndpointRecord]:
-        """Return the endpoints that get requests which are not in the sample."""
+        """Return the endpoints for requests outside the canary sample."""
         if self.state == "complete":
-            if now - self.ended_at > SETTLED:
+            if now - self.ended_at > DELISTING_TIME:
                 return records
             return self.targets(records) or records
         if self.in_force and self.state == "ordered":
@@ -101,15 +102,15 @@
         return [record for record in records if not self.is_target(record)]
 
     def outcomes(self, record: EndpointRecord, route: str) -> Outcomes:
-        """Return where to count what comes of a request."""
+        """Return the counts for a request's outcome."""
         group = group_of(record.name) if self.is_target(record) else OTHERS
         key = (group, route)
-        if key not in self.table and len(self.table) >= MOST_ROUTES:
+        if key not in self.table and len(self.table) >= MAX_ROUTES:
             key = (group, "")
         return self.table.setdefault(key, Outcomes())
 
     def news(self) -> TrialNews:
-        """Return what to tell the other gateways."""
+        """Return the report to send to the other gateways."""
         return TrialNews(
             self.order.service,
             self.revision,
--- a/src/sassafrasdale/gateway/rollout_duty.py
+++ b/src/sassafrasdale/gateway/rollout_duty.py
@@ -1,8 +1,8 @@
-"""The duty of roll-outs: tells the operator what becomes of each order.
+"""The leader's rollout duty: advances each order and writes its status.
 
-One gateway at a time has it. What it tells is written under the condition that neither
-the order nor what was told before has changed, so a former holder's late write can
-change nothing; and the holder after it goes on from there.
+A status is written on the condition that neither the order nor the previous status has
+changed. So a late write by a former leader has no effect, and the next leader continues
+from the stored status.
 """
 
 from datetime import timedelta
@@ -35,12 +35,12 @@
 log = Logger("rollout duty")
 
 RECORDS_PREFIX = "sassafrasdale/rollouts/"
-# Pause between two looks while there are open orders.
-PAUSE = timedelta(milliseconds=200)
+# Time between two steps while there are open orders.
+STEP_INTERVAL = timedelta(milliseconds=200)
 
 
 class RolloutRecord(Struct, frozen=True):
-    """What a holder writes down for the one after it.
+    """Record of an order that a leader stores for the next one.
 
     :param order: revision of the order.
     :param since: when the order was first seen, in seconds since 1970.
@@ -55,10 +55,10 @@
 
 
 class RolloutDuty:
-    """Task that carries orders out while this gateway holds the duties.
+    """Task that carries out rollout orders while this gateway is the leader.
 
     :param lease: the lease for the duties.
-    :param rollouts: all orders.
+    :param rollouts: all rollout orders.
     """
 
     def __init__(
@@ -70,37 +70,37 @@
         self._lease = lease
         self._store = store
         self._rollouts = rollouts
-        # Orders of which the record was read, by revision, in this term.
-        self._dated: set[int] = set()
+        # Revisions of the orders whose record was read in this term.
+        self._records_read: set[int] = set()
         self._term = 0
 
     def run(self) -> None:
-        """Look after the open orders until the task is killed."""
+        """Advance the open orders until the task is killed."""
         while True:
             self._rollouts.wait_for_order()
-            sleep(PAUSE)
+            sleep(STEP_INTERVAL)
             try:
                 self.step()
             except LeaseNotHeld:
                 continue
             except StoreError as error:
-                log.warning("rollout not told", why=str(error))
+                log.warning("rollout status not written", why=str(error))
 
     def step(self) -> None:
-        """Do what is due for each open order.
+        """Advance each open order.
 
-        :raises LeaseNotHeld: if another gateway has the duty.
-        :raises StoreError: if the store gives no answer.
+        :raises LeaseNotHeld: if this gateway is not the leader.
+        :raises StoreError: if the store does not answer.
         """
         for rollout in self._rollouts.open():
             permit = self._lease.permit(checks_fencing=True)
             if permit.fencing_number != self._term:
                 self._term = permit.fencing_number
-                self._dated.clear()
+                self._records_read.clear()
             self._advance(rollout)
 
     def _advance(self, rollout: Rollout) -> None:
-        if rollout.revision not in self._dated:
+        if rollout.revision not in self._records_read:
             self._read_record(rollout)
         match next_step(self._rollouts.view(rollout)):
             case Step.WAIT:
@@ -108,16 +108,16 @@
             case Step.FILL:
                 self._rollouts.fill(rollout)
             case Step.START:
-                self._tell(rollout, RolloutState.RUNNING)
+                self._write_status(rollout, RolloutState.RUNNING)
             case Step.COMPLETE:
-                self._tell(rollout, RolloutState.COMPLETE)
+                self._write_status(rollout, RolloutState.COMPLETE)
             case Step.ROLL_BACK:
-                self._tell(rollout, RolloutState.ROLLED_BACK)
+                self._write_status(rollout, RolloutState.ROLLED_BACK)
 
     def _read_record(self, rollout: Rollout) -> None:
-        """Take over when a former holder first saw the order."""
+        """Restore the time at which a former leader first saw the order."""
         held = self._store.get(RECORDS_PREFIX + rollout.order.service)
-        self._dated.add(rollout.revision)
+        self._records_read.add(rollout.revision)
         if held is None:
             return
         try:
@@ -128,7 +128,7 @@
         if record.order == rollout.revision:
             rollout.since = min(rollout.since, record.since)
 
-    def _tell(self, rollout: Rollout, state: RolloutState) -> None:
+    def _write_status(self, rollout: Rollout, state: RolloutState) -> None:
         order = rollout.order
         status = RolloutStatus(order.service, order.target, state)
         key = status_key(order.service)
@@ -156,10 +156,10 @@
         if swap:
             self._rollouts.take_status(status, swap.revision)
         elif swap.current is not None:
-            self._take_current(rollout, swap.current)
+            self._apply_stored_status(rollout, swap.current)
 
-    def _take_current(self, rollout: Rollout, held: StoredValue) -> None:
-        """Take what the operator was told last, by another holder or another writer."""
+    def _apply_stored_status(self, rollout: Rollout, held: StoredValue) -> None:
+        """Apply the stored status, written by another leader or another writer."""
         try:
             status = decode_status(held.key, held.value)
             self._rollouts.take_status(status, held.mod_revision)
--- a/src/sassafrasdale/gateway/rollout_news.py
+++ b/src/sassafrasdale/gateway/rollout_news.py
@@ -1,7 +1,7 @@
-"""What gateways tell each other of a version on trial.
+"""Canary reports that gateways exchange during a rollout.
 
-A gateway tells its counts since the order to its aggregator; aggregators tell each
-other the sums. Other gateways get the conclusions only, which are a few bytes.
+A gateway sends its counts since the order to its aggregator, and aggregators exchange
+the sums. Other gateways get the verdicts only, which are a few bytes.
 """
 
 from collections import Counter
@@ -14,11 +14,11 @@
 
 from sassafrasdale.decisions.canary import Outcomes
 
-# No sum may be drawn below nothing by a gateway that tells nonsense.
+# Rejects negative counts, so that a faulty gateway cannot lower the sums.
 Count = Annotated[int, Meta(ge=0)]
-# Endpoints of the version on trial are told apart in so many groups.
+# Number of groups into which the canary endpoints are hashed.
 ENDPOINT_GROUPS = 4
-# Group of the endpoints of other versions.
+# Group of all endpoints of other versions.
 OTHERS = ""
 
 # Outcomes by group of endpoints and route.
@@ -28,7 +28,7 @@
 class OutcomeRow(Struct, frozen=True, array_like=True):
     """Outcomes at one group of endpoints, on one route.
 
-    :param times: times until an answer began, as counts by bucket.
+    :param times: histogram of the time to the first byte, as counts by bucket.
     """
 
     group: str
@@ -39,13 +39,13 @@
 
 
 class TrialNews(Struct, frozen=True, array_like=True):
-    """What is told of one order.
+    """Canary report for one order.
 
     :param order: revision of the order.
     :param rows: outcomes since the order.
-    :param condemned: whether the version was found to be bad.
-    :param suspect: whether it would be, if the trial ended now.
-    :param full: whether the holder of the duties has the trial at full load.
+    :param condemned: whether the version was rejected as faulty.
+    :param suspect: whether it would be rejected if the test ended now.
+    :param full: whether the leader runs the canary at full load.
     """
 
     service: str
@@ -57,12 +57,12 @@
 
 
 def group_of(endpoint: str) -> str:
-    """Return the group of an endpoint of the version on trial, on all gateways."""
+    """Return the group of a canary endpoint; the same on all gateways."""
     return str(xxh64_intdigest(endpoint.encode()) % ENDPOINT_GROUPS)
 
 
 def rows_of(table: OutcomeTable) -> tuple[OutcomeRow, ...]:
-    """Return a table's outcomes as they are told."""
+    """Return a table's outcomes as rows of a report."""
     return tuple(
         OutcomeRow(group, route, row.answered, row.failed, dict(row.times))
         for (group, route), row in table.items()
@@ -70,24 +70,24 @@
 
 
 def add_rows(table: OutcomeTable, rows: Iterable[OutcomeRow]) -> None:
-    """Add outcomes that were told to a table."""
+    """Add reported outcomes to a table."""
     for row in rows:
-        told = Outcomes(row.answered, row.failed, Counter(row.times))
-        table.setdefault((row.group, row.route), Outcomes()).add(told)
+        outcomes = Outcomes(row.answered, row.failed, Counter(row.times))
+        table.setdefault((row.group, row.route), Outcomes()).add(outcomes)
 
 
-def summed(news: Iterable[TrialNews]) -> tuple[TrialNews, ...]:
-    """Return the sums of what several gateways tell, by order."""
+def summed(reports: Iterable[TrialNews]) -> tuple[TrialNews, ...]:
+    """Return the sums of reports from several gateways, by order."""
     tables: dict[tuple[str, int], OutcomeTable] = {}
     flags: dict[tuple[str, int], tuple[bool, bool, bool]] = {}
-    for told in news:
-        key = (told.service, told.order)
-        add_rows(tables.setdefault(key, {}), told.rows)
+    for report in reports:
+        key = (report.service, report.order)
+        add_rows(tables.setdefault(key, {}), report.rows)
         condemned, suspect, full = flags.get(key, (False, False, False))
         flags[key] = (
-            condemned or told.condemned,
-            suspect or told.suspect,
-            full or told.full,
+            condemned or report.condemned,
+            suspect or report.suspect,
+            full or report.full,
         )
     return tuple(
         TrialNews(service, order, rows_of(table), *flags[service, order])
@@ -95,6 +95,6 @@
     )
 
 
-def without_rows(news: tuple[TrialNews, ...]) -> tuple[TrialNews, ...]:
-    """Return the conclusions alone."""
-    return tuple(replace(told, rows=()) for told in news)
+def without_rows(reports: tuple[TrialNews, ...]) -> tuple[TrialNews, ...]:
+    """Return the reports without their outcome rows."""
+    return tuple(replace(report, rows=()) for report in reports)
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -1,10 +1,10 @@
-"""Roll-outs: which versions of a service's endpoints get requests, and how many.
+"""Rollouts: which versions of a service's endpoints get requests, and how many.
 
-An order names a version, whose endpoints start beside the others. They get a sample of
-the requests, which :mod:`sassafrasdale.decisions.exposure` bounds, until the holder of
-the duties completes the roll-out or rolls it back. What came of the sample is summed
-over all gateways; any of them that finds the version bad stops sending to it, and says
-so, whether the store can be reached or not.
+An order names a target version, whose endpoints start beside the others as canaries.
+They get a sample of the requests, limited by :mod:`sassafrasdale.decisions.exposure`,
+until the leader completes the rollout or rolls it back. The outcomes of the sample are
+summed over all gateways. A gateway that rejects the version stops sending to it and
+reports that to its peers, even if the store is unreachable.
 """
 
 from collections.abc import Callable, Sequence
@@ -36,9 +36,9 @@
 
 log = Logger("rollouts")
 
-# The sample goes to few endpoints at a time, each as loaded as the others are, and to
-# the next ones after this time.
-TURN = timedelta(seconds=2)
+# The sample goes to a few canary endpoints at a time, each at the load of the other
+# endpoints, and rotates to the next ones after this time.
+ROTATION_PERIOD = timedelta(seconds=2)
 _EVENTS = {
     RolloutState.RUNNING: "start",
     RolloutState.COMPLETE: "complete",
@@ -47,11 +47,11 @@
 
 
 class Rollouts:
-    """All orders, by service.
+    """The newest rollout order of each service.
 
-    :param share: part of a service's requests that a version on trial may get.
+    :param share: fraction of a service's requests that a canary version may get.
     :param listed: returns a service's endpoints that take requests.
-    :param time: true time, which orders are dated by.
+    :param time: cluster time, used for the age of orders.
     :param count: counts an event for the metrics.
     """
 
@@ -83,7 +83,7 @@
         return self._rollouts.get(service)
 
     def wait_for_order(self) -> None:
-        """Wait until an order is open."""
+        """Wait until there is an open order."""
         while not self.open():
             self._next_order.wait()
 
@@ -92,21 +92,23 @@
         return [rollout for rollout in self._rollouts.values() if rollout.is_open]
 
     def take_order(self, order: RolloutOrder, revision: int, *, is_news: bool) -> None:
-        """Take an order; a later one for the same service replaces it.
+        """Add an order; a later one for the same service replaces it.
 
-        :param is_news: whether it came while this gateway was following the store. What
-            is listed at a start tells nothing of what was there before the order.
+        :param is_news: whether it arrived while this gateway was watching the store.
+            The endpoints listed at a start say nothing about those before the order.
         """
         held = self._rollouts.get(order.service)
         if held is not None and revision <= held.revision:
             return
-        versions = {record.endpoint.version for record in self._listed(order.service)}
+        listed_versions = {
+            record.endpoint.version for record in self._listed(order.service)
+        }
         rollout = Rollout(
             order,
             revision,
             TrialAllowance(self._share, self._rng),
             self._time.seconds,
-            in_force=is_news and versions == {order.target},
+            in_force=is_news and listed_versions == {order.target},
         )
         self._rollouts[order.service] = rollout
         ordered, self._next_order = self._next_order, Event()
@@ -117,27 +119,27 @@
             target=order.target,
             duration_s=order.duration.total_seconds(),
             revision=revision,
-            listed=sorted(versions),
+            listed=sorted(listed_versions),
         )
-        self._heed_status(order.service)
+        self._apply_status(order.service)
 
     def drop_order(self, service: str) -> None:
-        """Take that an order was withdrawn.
+        """Roll back an order that was withdrawn.
 
-        Endpoints of its version may go on running; nobody has found them to be good.
+        Endpoints of its version may go on running, but the version was never accepted.
         """
         rollout = self._rollouts.get(service)
         if rollout is not None and rollout.fire("roll_back"):
             self._log_state(rollout, reason="withdrawn")
 
     def take_status(self, status: RolloutStatus, revision: int) -> None:
-        """Take what the operator was told of a service's order."""
+        """Apply the stored status of a service's order."""
         _, held = self._statuses.get(status.service, (None, 0))
         if revision > held:
             self._statuses[status.service] = (status, revision)
-            self._heed_status(status.service)
+            self._apply_status(status.service)
 
-    def _heed_status(self, service: str) -> None:
+    def _apply_status(self, service: str) -> None:
         rollout = self._rollouts.get(service)
         status, revision = self._statuses.get(service, (None, 0))
         if rollout is None or status is None:
@@ -152,7 +154,7 @@
     def usable(
         self, service: str, records: list[EndpointRecord]
     ) -> list[EndpointRecord]:
-        """Return the endpoints that get a request which is not in the sample."""
+        """Return the endpoints for a request outside the canary sample."""
         rollout = self._rollouts.get(service)
         if rollout is None:
             return records
@@ -161,26 +163,26 @@
     def sample(
         self, service: str, route: str, records: list[EndpointRecord]
     ) -> Sequence[EndpointRecord]:
-        """Return the endpoints on trial that a request may go to, if it is sampled."""
+        """Return the canary endpoints for a request; none if it is not sampled."""
         rollout = self._rollouts.get(service)
         if rollout is None or rollout.state != "running":
             return ()
         targets = rollout.targets(records)
         if not targets:
             return ()
-        rollout.is_tried = True
+        rollout.is_sampled = True
         if not rollout.allowance.may_try(route, full=rollout.is_full):
             return ()
         if rollout.is_full:
             return targets
         others = len(records) - len(targets)
         count = max(1, round(others * self._share * SAMPLED_PART))
-        turn = int(self._time.seconds / TURN.total_seconds())
+        turn = int(self._time.seconds / ROTATION_PERIOD.total_seconds())
         first = turn * count % len(targets)
         return (targets + targets)[first : first + min(count, len(targets))]
 
     def note_send(self, record: EndpointRecord, route: str) -> None:
-        """Note that a request goes out for the first time."""
+        """Count the first send of a request."""
         rollout = self._rollouts.get(record.endpoint.service)
         if rollout is None or not rollout.is_open:
             return
@@ -190,14 +192,14 @@
             self._count("request to a version on trial")
 
     def note_first(self, record: EndpointRecord, route: str, took: timedelta) -> None:
-        """Note when an endpoint's answer began."""
-        rollout = self._tried(record)
+        """Record the time to the first byte of an endpoint's answer."""
+        rollout = self._order_under_test(record)
         if rollout is not None:
             rollout.outcomes(record, route).times[bucket_of(took)] += 1
 
     def note_end(self, record: EndpointRecord, route: str, *, ok: bool) -> None:
-        """Note whether an endpoint answered whole, or failed a request that it ran."""
-        rollout = self._tried(record)
+        """Count a request as completely answered or as failed by its endpoint."""
+        rollout = self._order_under_test(record)
         if rollout is None:
             return
         outcomes = rollout.outcomes(record, route)
@@ -208,61 +210,61 @@
         if rollout.is_target(record):
             self._count("failure of a version on trial")
 
-    def _tried(self, record: EndpointRecord) -> Rollout | None:
-        """Return the order under which an endpoint is compared now."""
+    def _order_under_test(self, record: EndpointRecord) -> Rollout | None:
+        """Return the order whose canary test covers an endpoint now."""
         rollout = self._rollouts.get(record.endpoint.service)
-        if rollout is None or not rollout.is_tried or rollout.state != "running":
+        if rollout is None or not rollout.is_sampled or rollout.state != "running":
             return None
         return rollout
 
     def news(self) -> tuple[TrialNews, ...]:
-        """Return what to tell the other gateways."""
+        """Return the canary reports to send to the other gateways."""
         return tuple(rollout.news() for rollout in self.open())
 
     def hear_groups(self, groups: Sequence[HeardGroup]) -> None:
-        """Take what the other gateways tell, and judge by all that is known."""
+        """Merge the reports of the other gateways, and evaluate the canaries."""
         for rollout in self.open():
-            told = [
-                news
+            reports = [
+                report
                 for group in groups
-                for news in group.state.trials
-                if news.service == rollout.order.service
-                and news.order == rollout.revision
+                for report in group.state.trials
+                if report.service == rollout.order.service
+                and report.order == rollout.revision
             ]
             rollout.is_full = rollout.filled_at is not None or any(
-                news.full for news in told
+                report.full for report in reports
             )
-            self._judge(rollout, told)
+            self._evaluate(rollout, reports)
 
-    def _judge(self, rollout: Rollout, told: Sequence[TrialNews]) -> None:
+    def _evaluate(self, rollout: Rollout, reports: Sequence[TrialNews]) -> None:
         if rollout.is_condemned:
             return
-        if any(news.condemned for news in told):
-            self._condemn(rollout, "found by another gateway")
+        if any(report.condemned for report in reports):
+            self._reject(rollout, "found by another gateway")
             return
         table: OutcomeTable = {}
         add_rows(table, rows_of(rollout.table))
-        for news in told:
-            add_rows(table, news.rows)
+        for report in reports:
+            add_rows(table, report.rows)
         now = self._clock.elapsed()
-        # What condemns during the trial condemns at its end, too.
-        last = rollout.trial.judge(table, now, final=True)
-        if last.is_bad:
+        # A version that is rejected during the test would be rejected at its end, too.
+        at_end = rollout.trial.judge(table, now, final=True)
+        if at_end.is_bad:
             verdict = rollout.trial.judge(table, now)
             if verdict.is_bad:
-                self._condemn(rollout, verdict.reason)
+                self._reject(rollout, verdict.reason)
                 return
-        if last.is_bad and not rollout.is_suspect:
+        if at_end.is_bad and not rollout.is_suspect:
             log.info(
                 "version suspected",
                 service=rollout.order.service,
                 target=rollout.order.target,
-                reason=last.reason,
+                reason=at_end.reason,
             )
-        rollout.is_suspect = last.is_bad
-        rollout.is_suspected_elsewhere = any(news.suspect for news in told)
+        rollout.is_suspect = at_end.is_bad
+        rollout.is_suspected_elsewhere = any(report.suspect for report in reports)
 
-    def _condemn(self, rollout: Rollout, reason: str) -> None:
+    def _reject(self, rollout: Rollout, reason: str) -> None:
         rollout.fire("condemn")
         self._log_state(rollout, reason=reason)
 
@@ -280,13 +282,13 @@
         )
 
     def fill(self, rollout: Rollout) -> None:
-        """Begin the full load, as the holder of the duties."""
+        """Start the full load on the canary, as the leader."""
         rollout.filled_at = self._clock.elapsed()
         rollout.is_full = True
         self._log_state(rollout, reason="at full load")
 
     def view(self, rollout: Rollout) -> RolloutView:
-        """Return what the holder decides on."""
+        """Return the input for the leader's decision."""
         listed = self._listed(rollout.order.service)
         targets = len(rollout.targets(listed))
         filled_for = None
@@ -305,10 +307,10 @@
         )
 
     def described(self) -> list[dict[str, object]]:
-        """Return all orders for an operator."""
-        return [self._described(rollout) for rollout in self._rollouts.values()]
+        """Return all orders for the operators' page."""
+        return [self._describe(rollout) for rollout in self._rollouts.values()]
 
-    def _described(self, rollout: Rollout) -> dict[str, object]:
+    def _describe(self, rollout: Rollout) -> dict[str, object]:
         return {
             "service": rollout.order.service,
             "target": rollout.order.target,
--- a/tests/gateway/test_rollout_model.py
+++ b/tests/gateway/test_rollout_model.py
@@ -1,8 +1,8 @@
-"""Model of roll-outs: gateways that are killed, cut off and can't reach the store.
+"""Model test of rollouts under kills, partitions and store outages.
 
-Drawn fleets play an order from its beginning to beyond its deadline. What a version on
-trial gets is counted over all gateways, as its endpoints would. ``ROLLOUT_SEEDS`` in
-the environment plays more seeds than the few that always run.
+Random fleets run an order from its start to beyond its deadline. The requests to the
+canary version are counted over all gateways, as its endpoints would count them. Set
+the environment variable ``ROLLOUT_SEEDS`` to run more seeds than the default.
 """
 
 import os
@@ -38,12 +38,12 @@
 NEWS_STEPS = 6
 SHARE = 0.1
 SLACK = 50
-MOST_BAD = 50
+MAX_FAILURES = 50
 ROLL_BACK_TIME = 5 * SECOND
-# A version that has harmed fewer than this may pass, where kills took its counts.
-FEW_BAD = 12
-# A gateway is in touch if nothing has been wrong with it or the store for so long.
-TOUCH = 4 * SECOND
+# A faulty version with fewer failures than this may pass if kills lost its counts.
+UNDETECTED_FAILURES = 12
+# A gateway counts as connected this long after the last fault of it or the store.
+RECOVERY_TIME = 4 * SECOND
 START_TIME = 3 * SECOND
 ORDERED = 7
 ORDER = RolloutOrder("models", "v2", 20 * SECOND)
@@ -51,15 +51,15 @@
 
 
 class Store:
-    """Conditional writes, which may be out of reach."""
+    """Fake store with conditional writes and outages."""
 
     def __init__(self):
-        self.is_away = False
+        self.is_down = False
         self.revision = ORDERED
         self.items = {order_key("models"): StoredValue("", b"", ORDERED, ORDERED)}
 
     def get(self, key):
-        if self.is_away:
+        if self.is_down:
             raise StoreNotReached("away")
         return self.items.get(key)
 
@@ -82,7 +82,7 @@
 
 
 class Lease:
-    """Held by one gateway at a time, as the fleet says."""
+    """Fake lease; the fleet gives it to one gateway at a time."""
 
     def __init__(self):
         self.number = 0
@@ -95,45 +95,45 @@
 
 @dataclass
 class Gateway:
-    """One gateway, and what disturbs it."""
+    """One gateway and its faults."""
 
     rollouts: Rollouts
     lease: Lease
     duty: RolloutDuty
-    cut_until: timedelta = timedelta()
+    partitioned_until: timedelta = timedelta()
     down_until: timedelta = timedelta()
-    in_touch_from: timedelta = field(default_factory=timedelta)
+    connected_from: timedelta = field(default_factory=timedelta)
 
 
 class Fleet:
-    """Gateways that play one order.
+    """Simulated gateways that run one order.
 
-    :param harm: part of the new version's answers that are bad.
-    :param bad_from: time after the order at which it turns bad.
+    :param failure_share: fraction of the new version's answers that fail.
+    :param faulty_from: time after the order at which it becomes faulty.
     """
 
-    def __init__(self, seed, harm, bad_from, *, faults=True):
+    def __init__(self, seed, failure_share, faulty_from, *, faults=True):
         self.rng = Random(f"rollout {seed}")
         self.clock = ManualClock()
         self.clock.advance(100 * SECOND)
         self.time = TrueTime(self.clock)
         self.store = Store()
-        self.harm = harm
-        self.bad_from = bad_from
+        self.failure_share = failure_share
+        self.faulty_from = faulty_from
         self.faults = faults
         self.records = [record(f"o-{n}", "v1") for n in range(6)]
         self.gateways = [
             self.start(is_news=True) for _ in range(self.rng.choice([3, 9, 24]))
         ]
-        self.sent = self.tried = 0
-        self.bad_at = []
+        self.sent = self.sampled = 0
+        self.failures_at = []
         self.late = []
         self.number = 0
-        self.store_until = timedelta()
+        self.store_down_until = timedelta()
         self.store_back_at = timedelta()
         self.began = self.clock.elapsed()
         self.completed_at = None
-        self.bad_at_completion = 0
+        self.failures_at_completion = 0
 
     def start(self, *, is_news):
         rollouts = Rollouts(
@@ -151,14 +151,14 @@
     def age(self):
         return self.clock.elapsed() - self.began
 
-    def play(self):
+    def run(self):
         steps = int((ORDER.duration + 8 * SECOND) / STEP)
         for step in range(steps):
             self.clock.advance(STEP)
             if self.age >= START_TIME and len(self.records) == 6:
                 self.records += [record(f"n-{n}", "v2") for n in range(6)]
             if self.faults:
-                self.disturb()
+                self.inject_faults()
             self.serve()
             if step % 4 == 0:
                 self.do_duties()
@@ -171,26 +171,26 @@
     def note_completed(self):
         if self.completed_at is None:
             self.completed_at = self.age
-            self.bad_at_completion = len(self.bad_at)
+            self.failures_at_completion = len(self.failures_at)
 
     def state(self):
-        told = self.store.status()
-        return None if told is None else str(told[0].state)
+        stored = self.store.status()
+        return None if stored is None else str(stored[0].state)
 
     def running(self):
         now = self.clock.elapsed()
-        return [gate for gate in self.gateways if gate.down_until <= now]
+        return [gateway for gateway in self.gateways if gateway.down_until <= now]
 
-    def disturb(self):
+    def inject_faults(self):
         now, rng = self.clock.elapsed(), self.rng
         if rng.random() < 0.004:
-            self.store_until = now + rng.uniform(0.5, 5) * SECOND
-        self.store.is_away = now < self.store_until
-        if self.store.is_away:
+            self.store_down_until = now + rng.uniform(0.5, 5) * SECOND
+        self.store.is_down = now < self.store_down_until
+        if self.store.is_down:
             self.store_back_at = now
         if rng.random() < 0.01:
-            gate = rng.choice(self.gateways)
-            gate.cut_until = now + rng.uniform(0.5, 6) * SECOND
+            gateway = rng.choice(self.gateways)
+            gateway.partitioned_until = now + rng.uniform(0.5, 6) * SECOND
         share = rng.random() if rng.random() < 0.005 else 0
         if rng.random() < 0.01 or share:
             for number in range(len(self.gateways)):
@@ -199,10 +199,10 @@
 
     def kill(self, number):
         now = self.clock.elapsed()
-        gate = self.start(is_news=False)
-        gate.down_until = now + self.rng.uniform(0.3, 2) * SECOND
-        gate.in_touch_from = gate.down_until + TOUCH
-        self.gateways[number] = gate
+        gateway = self.start(is_news=False)
+        gateway.down_until = now + self.rng.uniform(0.3, 2) * SECOND
+        gateway.connected_from = gateway.down_until + RECOVERY_TIME
+        self.gateways[number] = gateway
 
     def serve(self):
         for _ in range(self.rng.choice([2, 4, 8])):
@@ -210,8 +210,8 @@
             if running:
                 self.send(self.rng.choice(running))
 
-    def send(self, gate):
-        rng, rollouts = self.rng, gate.rollouts
+    def send(self, gateway):
+        rng, rollouts = self.rng, gateway.rollouts
         route = rng.choices(ROUTES, [0.5, 0.43, 0.07])[0]
         listed = list(self.records)
         candidates = rollouts.sample("models", route, listed)
@@ -221,53 +221,64 @@
         chosen = rng.choice(candidates)
         rollouts.note_send(chosen, route)
         on_trial = chosen.endpoint.version == "v2"
-        harmed = on_trial and self.age >= self.bad_from and rng.random() < self.harm
+        fails = (
+            on_trial
+            and self.age >= self.faulty_from
+            and rng.random() < self.failure_share
+        )
         rollouts.note_first(chosen, route, rng.lognormvariate(0, 0.5) * SECOND / 8)
-        rollouts.note_end(chosen, route, ok=not harmed and rng.random() > 0.01)
+        rollouts.note_end(chosen, route, ok=not fails and rng.random() > 0.01)
         if self.age > ORDER.duration:
             return
         self.sent += 1
-        self.tried += on_trial
-        if on_trial and len(self.bad_at) >= MOST_BAD:
-            self.note_late(gate)
-        if harmed:
-            self.bad_at.append(self.clock.elapsed())
+        self.sampled += on_trial
+        if on_trial and len(self.failures_at) >= MAX_FAILURES:
+            self.record_late_request(gateway)
+        if fails:
+            self.failures_at.append(self.clock.elapsed())
 
-    def note_late(self, gate):
+    def record_late_request(self, gateway):
         now = self.clock.elapsed()
-        since = max(self.bad_at[MOST_BAD - 1], self.store_back_at)
-        in_touch = max(gate.in_touch_from, gate.cut_until + TOUCH) <= now
-        if in_touch and now - since > ROLL_BACK_TIME:
+        since = max(self.failures_at[MAX_FAILURES - 1], self.store_back_at)
+        is_connected = (
+            max(gateway.connected_from, gateway.partitioned_until + RECOVERY_TIME)
+            <= now
+        )
+        if is_connected and now - since > ROLL_BACK_TIME:
             self.late.append(now)
 
     def do_duties(self):
         now = self.clock.elapsed()
-        able = [gate for gate in self.running() if gate.cut_until <= now]
-        for gate in self.gateways:
-            gate.lease.number = 0
-        if able and not self.store.is_away:
+        reachable = [
+            gateway for gateway in self.running() if gateway.partitioned_until <= now
+        ]
+        for gateway in self.gateways:
+            gateway.lease.number = 0
+        if reachable and not self.store.is_down:
             self.number += 1
-            able[0].lease.number = self.number
-        for gate in able:
+            reachable[0].lease.number = self.number
+        for gateway in reachable:
             with suppress(LeaseNotHeld, StoreNotReached):
-                gate.duty.step()
+                gateway.duty.step()
 
     def exchange(self):
         now = self.clock.elapsed()
-        able = [gate for gate in self.running() if gate.cut_until <= now]
-        told = None if self.store.is_away else self.store.status()
-        for gate in able:
-            if told is not None:
-                gate.rollouts.take_status(told[0], told[1].mod_revision)
-        news = [gate.rollouts.news() for gate in able]
-        for number, gate in enumerate(able):
+        reachable = [
+            gateway for gateway in self.running() if gateway.partitioned_until <= now
+        ]
+        stored = None if self.store.is_down else self.store.status()
+        for gateway in reachable:
+            if stored is not None:
+                gateway.rollouts.take_status(stored[0], stored[1].mod_revision)
+        news = [gateway.rollouts.news() for gateway in reachable]
+        for number, gateway in enumerate(reachable):
             states = [
                 member(f"g-{other}", trials=trials)
                 for other, trials in enumerate(news)
                 if other != number
             ]
             groups = [HeardGroup(group_of(*states))] if states else []
-            gate.rollouts.hear_groups(groups)
+            gateway.rollouts.hear_groups(groups)
 
 
 def record(name, version):
@@ -279,36 +290,38 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_bad_version_gets_its_share_and_nothing_late(seed):
-    """Guards against a share that grows with kills, cuts and outages."""
+def test_a_faulty_version_stays_in_its_share_and_is_stopped_in_time(seed):
+    """Guards against a share that grows with kills, partitions and outages."""
     rng = Random(seed)
     fleet = Fleet(seed, rng.choice([0.3, 0.6, 1.0]), rng.choice([0, 6, 12]) * SECOND)
-    fleet.play()
-    assert fleet.tried <= SHARE * fleet.sent + SLACK
+    fleet.run()
+    assert fleet.sampled <= SHARE * fleet.sent + SLACK
     assert not fleet.late
-    assert fleet.completed_at is None or fleet.bad_at_completion < FEW_BAD
+    assert (
+        fleet.completed_at is None or fleet.failures_at_completion < UNDETECTED_FAILURES
+    )
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_good_version_is_complete_in_time(seed):
-    """Guards against a good version that is rolled back, or waits for ever."""
+    """Guards against a good version that is rolled back or never completes."""
     fleet = Fleet(seed, 0.0, timedelta(), faults=False)
-    fleet.play()
+    fleet.run()
     assert fleet.completed_at is not None
     assert fleet.completed_at < ORDER.duration
 
 
-def test_a_word_of_an_older_holder_changes_nothing():
-    """Guards against a late write that takes a verdict back."""
+def test_a_late_write_of_a_former_leader_changes_nothing():
+    """Guards against a late write that reverts a verdict."""
     fleet = Fleet(1, 0.0, timedelta(), faults=False)
     first, second = fleet.gateways[:2]
     first.lease.number = 1
     first.duty.step()
-    told = fleet.store.status()[0]
-    assert told.state is RolloutState.RUNNING
-    second.rollouts.take_status(told, fleet.store.revision)
+    stored = fleet.store.status()[0]
+    assert stored.state is RolloutState.RUNNING
+    second.rollouts.take_status(stored, fleet.store.revision)
     rollback = RolloutStatus("models", "v2", RolloutState.ROLLED_BACK)
-    second.duty._tell(second.rollouts.get("models"), rollback.state)
-    first.duty._tell(first.rollouts.get("models"), RolloutState.COMPLETE)
+    second.duty._write_status(second.rollouts.get("models"), rollback.state)
+    first.duty._write_status(first.rollouts.get("models"), RolloutState.COMPLETE)
     assert fleet.store.status()[0].state is RolloutState.ROLLED_BACK
     assert first.rollouts.get("models").state == "rolled_back"
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -14,9 +14,9 @@
 from sassafrasdale.deployment import EndpointState
 from sassafrasdale.gateway.groups import Group
 from sassafrasdale.gateway.peer_states import HeardGroup
-from sassafrasdale.gateway.rollout import SETTLED
+from sassafrasdale.gateway.rollout import DELISTING_TIME
 from sassafrasdale.gateway.rollout_news import TrialNews, rows_of
-from sassafrasdale.gateway.rollouts import TURN
+from sassafrasdale.gateway.rollouts import ROTATION_PERIOD
 from sassafrasdale.green import sleep, spawn
 from standins.gateway_fleet import wait_for
 from tests.gateway.fleets import contact, group_of, member
@@ -32,8 +32,8 @@
     return RolloutStatus("records", target, state)
 
 
-class Served(World):
-    """A serving path with two endpoints of each version."""
+class ServedWorld(World):
+    """A gateway with two endpoints of each version."""
 
     def __init__(self, *new):
         super().__init__()
@@ -49,10 +49,10 @@
     def order(self, revision=5, order=ORDER, **fields):
         self.rollouts.take_order(order, revision, is_news=True, **fields)
 
-    def told(self, state, revision=6):
+    def set_status(self, state, revision=6):
         self.rollouts.take_status(status(state), revision)
 
-    def ask_often(self, count=ENOUGH):
+    def ask_repeatedly(self, count=ENOUGH):
         return [self.ask(request(PATH, f"r-{n}", method="GET")) for n in range(count)]
 
     @property
@@ -60,154 +60,154 @@
         return self.rollouts.get("records")
 
     @property
-    def tried(self):
+    def sampled(self):
         return sum(len(endpoint.requests) for endpoint in self.new)
 
 
 @pytest.fixture
 def served():
-    return Served()
+    return ServedWorld()
 
 
-def test_a_version_gets_nothing_before_it_is_told_to_run(served):
-    """Guards against a version that was rolled back and is tried by a new gateway.
+def test_a_version_gets_nothing_before_its_rollout_runs(served):
+    """Guards against a new gateway that sends to a version that was rolled back.
 
-    The gateway has read the order, and not yet what became of it.
+    The gateway has read the order, but not yet its status.
     """
     served.order()
     served.start_new()
-    served.ask_often(60)
-    assert served.tried == 0
+    served.ask_repeatedly(60)
+    assert served.sampled == 0
 
 
-def test_a_version_on_trial_gets_its_share(served):
+def test_a_canary_version_gets_its_share(served):
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
-    answers = served.ask_often()
-    assert 0 < served.tried <= ENOUGH * 0.1
+    answers = served.ask_repeatedly()
+    assert 0 < served.sampled <= ENOUGH * 0.1
     assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
 
 
-def test_what_fails_on_trial_goes_to_the_version_in_force():
-    """Guards against callers that bear a bad version's failures twice."""
-    served = Served(plain(status="500 Oops"))
+def test_a_failed_canary_request_is_retried_at_the_current_version():
+    """Guards against failures of a faulty version that reach callers."""
+    served = ServedWorld(plain(status="500 Oops"))
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
-    answers = served.ask_often()
-    assert served.tried > 0
+    answers = served.ask_repeatedly()
+    assert served.sampled > 0
     assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
 
 
-def test_a_bad_version_gets_nothing_more_once_it_is_found(served):
-    """Guards against a gateway that waits for the store to hear of its own verdict."""
+def test_a_rejected_version_gets_no_more_requests(served):
+    """Guards against a gateway that applies its own verdict only via the store."""
     served.new = [ScriptedEndpoint(plain(status="500 Oops")) for _ in range(2)]
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
     for _ in range(8):
-        served.ask_often(100)
+        served.ask_repeatedly(100)
         served.rollouts.hear_groups(())
     assert served.rollout.is_condemned
-    before = served.tried
-    served.ask_often(100)
-    assert served.tried == before < 50
+    before = served.sampled
+    served.ask_repeatedly(100)
+    assert served.sampled == before < 50
 
 
-def test_a_version_that_another_gateway_found_bad_gets_nothing(served):
+def test_a_version_rejected_by_another_gateway_gets_nothing(served):
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
     news = TrialNews("records", 5, condemned=True)
     heard = group_of(member("b-1", trials=(news,)))
     served.rollouts.hear_groups([HeardGroup(heard)])
-    served.ask_often(100)
-    assert served.tried == 0
+    served.ask_repeatedly(100)
+    assert served.sampled == 0
 
 
-def test_word_of_another_order_condemns_nothing(served):
-    """Guards against a second order that falls with the first one's verdict."""
+def test_a_report_on_another_order_rejects_nothing(served):
+    """Guards against a verdict on the first order that rejects the second."""
     served.order(revision=9)
-    served.told(RolloutState.RUNNING, 10)
+    served.set_status(RolloutState.RUNNING, 10)
     news = TrialNews("records", 5, condemned=True)
     served.rollouts.hear_groups([HeardGroup(group_of(member("b-1", trials=(news,))))])
     assert served.rollout.state == "running"
 
 
 def test_a_version_that_was_rolled_back_gets_nothing(served):
-    """Guards against requests that go to it where the others are gone for a moment."""
+    """Guards against requests to it while no other endpoint is listed."""
     served.order()
-    served.told(RolloutState.ROLLED_BACK)
+    served.set_status(RolloutState.ROLLED_BACK)
     served.start_new()
     for number in range(2):
         served.directory.remove(f"i-{number}")
-    [answer] = served.ask_often(1)
+    [answer] = served.ask_repeatedly(1)
     assert answer.startswith(b"HTTP/1.1 503")
-    assert served.tried == 0
+    assert served.sampled == 0
 
 
 def test_a_version_whose_order_is_withdrawn_gets_nothing(served):
-    """Guards against a bad version that is set free with its order."""
+    """Guards against a faulty version that gets all requests without its order."""
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
     served.rollouts.drop_order("records")
-    served.ask_often(60)
-    assert served.tried == 0
+    served.ask_repeatedly(60)
+    assert served.sampled == 0
 
 
-def test_after_completion_only_the_new_version_is_asked(served):
-    """Guards against requests to endpoints that are stopped and still listed."""
+def test_after_completion_only_the_new_version_gets_requests(served):
+    """Guards against requests to stopped endpoints that are still listed."""
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
-    served.told(RolloutState.COMPLETE, 7)
-    served.ask_often(20)
-    assert served.tried == 20
+    served.set_status(RolloutState.COMPLETE, 7)
+    served.ask_repeatedly(20)
+    assert served.sampled == 20
 
 
-def test_a_later_release_is_not_held_up_by_an_old_order(served):
-    """Guards against a version that gets nothing, long after another's roll-out."""
+def test_a_later_release_is_not_blocked_by_an_old_order(served):
+    """Guards against a version without requests long after another's rollout."""
     clock = ManualClock()
     served.rollouts._clock = clock
     served.order()
-    served.told(RolloutState.COMPLETE)
+    served.set_status(RolloutState.COMPLETE)
     served.start_new()
     records = served.directory.of_service("records")
     assert len(served.rollouts.usable("records", records)) == 2
-    clock.advance(SETTLED + SECOND)
+    clock.advance(DELISTING_TIME + SECOND)
     assert served.rollouts.usable("records", records) == records
 
 
-def test_a_version_that_is_in_force_goes_on_being_asked(served):
-    """Guards against an order for it that leaves the service without endpoints."""
+def test_the_version_in_force_still_gets_requests(served):
+    """Guards against a service left without endpoints by an order for its version."""
     served.order(order=RolloutOrder("records", "v1", 20 * SECOND))
-    [answer] = served.ask_often(1)
+    [answer] = served.ask_repeatedly(1)
     assert answer.startswith(b"HTTP/1.1 200")
     assert served.rollouts.view(served.rollout).in_force
 
 
-def test_what_is_listed_at_a_start_is_not_taken_for_the_version_in_force(served):
+def test_endpoints_listed_at_a_start_do_not_define_the_version_in_force(served):
     """Guards against a gateway that starts while only new endpoints are listed."""
     for number in range(2):
         served.directory.remove(f"i-{number}")
     served.start_new()
     served.rollouts.take_order(ORDER, 5, is_news=False)
     assert not served.rollouts.view(served.rollout).in_force
-    [answer] = served.ask_often(1)
+    [answer] = served.ask_repeatedly(1)
     assert answer.startswith(b"HTTP/1.1 503")
 
 
-def test_what_was_told_of_an_earlier_order_is_not_of_this_one(served):
-    """Guards against a second order that is taken for completed, or rolled back."""
+def test_the_status_of_an_earlier_order_is_ignored(served):
+    """Guards against a second order that counts as completed or rolled back."""
     served.order()
-    served.told(RolloutState.ROLLED_BACK, 6)
+    served.set_status(RolloutState.ROLLED_BACK, 6)
     served.order(revision=8)
     assert served.rollout.state == "ordered"
     served.rollouts.take_status(status(RolloutState.COMPLETE, "v1"), 9)
     assert served.rollout.state == "ordered"
-    served.told(RolloutState.RUNNING, 10)
+    served.set_status(RolloutState.RUNNING, 10)
     assert served.rollout.state == "running"
 
 
@@ -217,24 +217,24 @@
     assert served.rollout.order.target == "v2"
 
 
-def test_the_sample_is_given_to_all_new_endpoints_in_turn(served):
-    """Guards against one faulty endpoint that is taken for its version."""
+def test_the_sample_rotates_over_all_new_endpoints(served):
+    """Guards against a verdict on a version from one faulty endpoint."""
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
     records = served.directory.of_service("records")
     served.rollout.allowance.may_try = lambda route, *, full: True
-    tried = set()
+    sampled = set()
     for number in range(4):
-        seconds = number * TURN.total_seconds()
+        seconds = number * ROTATION_PERIOD.total_seconds()
         served.rollouts._time = type("Time", (), {"seconds": seconds})
-        tried |= {rec.name for rec in served.rollouts.sample("records", "r", records)}
-    assert tried == {"n-0", "n-1"}
+        sampled |= {rec.name for rec in served.rollouts.sample("records", "r", records)}
+    assert sampled == {"n-0", "n-1"}
 
 
-def test_an_endpoint_that_leaves_is_not_tried(served):
+def test_an_endpoint_that_leaves_is_not_sampled(served):
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
     for record in served.directory.records.values():
         if record.endpoint.version == "v2":
@@ -249,9 +249,9 @@
 
 def test_counts_are_summed_over_gateways(served):
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
-    served.ask_often(200)
+    served.ask_repeatedly(200)
     news = served.rollout.news()
     total = group_of(member("a-1", trials=(news,)), member("a-2", trials=(news,)))
     [summed] = total.trials
@@ -261,58 +261,58 @@
     assert contact("a-1").name == total.aggregator.name
 
 
-def test_answers_that_callers_did_not_wait_for_count_as_slow():
-    """Guards against a version so slow that nobody stays to see it."""
-    served = Served(lambda sock, _request: sock.recv(100))
+def test_requests_abandoned_by_their_callers_count_as_slow():
+    """Guards against a version so slow that all callers leave before it answers."""
+    served = ServedWorld(lambda sock, _request: sock.recv(100))
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
     served.rollout.allowance.may_try = lambda route, *, full: True
     caller = served.caller()
     caller.send(request(PATH, method="GET"))
-    wait_for(lambda: served.tried, "it was not sent")
+    wait_for(lambda: served.sampled, "it was not sent")
     sleep(SECOND / 4)
     caller.close()
-    wait_for(lambda: served.rollout.table, "nothing was noted")
+    wait_for(lambda: served.rollout.table, "no outcome was recorded")
     [outcomes] = served.rollout.table.values()
     assert min(outcomes.times) >= bucket_of(SECOND / 4)
 
 
-def test_members_get_the_conclusions_alone(served):
-    """Guards against counts that are sent to each gateway of a zone, many times."""
+def test_members_get_reports_without_rows(served):
+    """Guards against sending all counts to each gateway of a zone."""
     served.order()
-    served.told(RolloutState.RUNNING)
+    served.set_status(RolloutState.RUNNING)
     served.start_new()
-    served.ask_often(60)
+    served.ask_repeatedly(60)
     group = Group(5 * SECOND, ManualClock())
     group.take(member("a-2", trials=(served.rollout.news(),)))
-    [told] = group.sums(contact("a-1"), concise=True).trials
-    assert told.rows == ()
-    assert told.order == 5
+    [report] = group.sums(contact("a-1"), concise=True).trials
+    assert report.rows == ()
+    assert report.order == 5
 
 
-def test_the_duty_waits_while_no_order_is_open(served):
-    """Guards against a task that wakes for good after the first roll-out."""
-    woken = []
-    spawn(lambda: (served.rollouts.wait_for_order(), woken.append(1)))
+def test_waiting_for_an_order_blocks_while_none_is_open(served):
+    """Guards against a task that polls for ever after the first rollout."""
+    wakeups = []
+    spawn(lambda: (served.rollouts.wait_for_order(), wakeups.append(1)))
     sleep()
-    assert not woken
+    assert not wakeups
     served.order()
     sleep()
-    assert woken == [1]
-    served.told(RolloutState.ROLLED_BACK)
-    spawn(lambda: (served.rollouts.wait_for_order(), woken.append(2)))
+    assert wakeups == [1]
+    served.set_status(RolloutState.ROLLED_BACK)
+    spawn(lambda: (served.rollouts.wait_for_order(), wakeups.append(2)))
     sleep()
-    assert woken == [1]
+    assert wakeups == [1]
     served.order(revision=8)
     sleep()
-    assert woken == [1, 2]
+    assert wakeups == [1, 2]
 
 
-def test_nothing_is_told_while_no_roll_out_is_open(served):
-    """Guards against messages that grow for good after the first roll-out."""
+def test_nothing_is_reported_while_no_rollout_is_open(served):
+    """Guards against messages that stay larger after the first rollout."""
     assert served.rollouts.news() == ()
     served.order()
     assert len(served.rollouts.news()) == 1
-    served.told(RolloutState.COMPLETE)
+    served.set_status(RolloutState.COMPLETE)
     assert served.rollouts.news() == ()
