--- a/src/sassafrasdale/gateway/usage.py
+++ b/src/sassafrasdale/gateway/usage.py
@@ -1,4 +1,4 @@
-"""Usage: requests that began to run, by customer and window of true time."""
+"""Usage metering: requests started, by customer and window of cluster time."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping
@@ -12,29 +12,29 @@
 
 log = Logger("usage")
 
-# Windows that are kept; a report is due long before the oldest is dropped.
-KEPT_WINDOWS = 5
-# The time may be this far off before it is corrected.
-TOLERATED_OFFSET = timedelta(milliseconds=50)
-# A clock that was heard this lately is passed on; one that wasn't heard for the second
-# time no longer counts.
-PASSED_ON = timedelta(seconds=1)
-SILENT = timedelta(seconds=5)
-# Time after a start in which the other gateways are heard, and their time taken over.
-YOUNG = timedelta(seconds=3)
-# A gateway that started this much earlier has had the time to hear of others.
-OLDER = timedelta(seconds=2)
-# Clocks that were stepped are set right within seconds. What most of them still say
-# after this time is right.
-LASTING = timedelta(seconds=30)
+# Windows to retain; a window is reported long before it is dropped.
+RETAINED_WINDOWS = 5
+# Smallest offset that is corrected.
+MIN_CORRECTION = timedelta(milliseconds=50)
+# Readings up to this age are forwarded to other peers.
+FORWARDING_AGE = timedelta(seconds=1)
+# Readings older than this are dropped.
+MAX_READING_AGE = timedelta(seconds=5)
+# Time after a start in which a gateway adopts the time of its peers.
+STARTUP_TIME = timedelta(seconds=3)
+# A peer that started at least this much earlier has had time to hear from others.
+MIN_LEAD = timedelta(seconds=2)
+# Stepped clocks are corrected within seconds. A median that still differs after this
+# time is correct.
+STEP_TIMEOUT = timedelta(seconds=30)
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """What a gateway says of the time, in seconds since 1970.
+    """Clock reading of a gateway, in seconds since 1970.
 
-    :param wall: time of day by its machine's clock.
-    :param true: time by its own :class:`TrueTime`.
+    :param wall: wall-clock time of its machine.
+    :param true: its cluster time, by its own :class:`ClusterTime`.
     :param age_s: time in seconds since it started.
     """
 
@@ -45,12 +45,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _PeerClock:
-    """A peer's clock, in seconds as this gateway's elapsed time counts them.
+    """A peer's clock relative to this gateway's elapsed time, in seconds.
 
-    :param wall: what its time of day is ahead of the elapsed time.
-    :param true: the same for its true time.
-    :param started_at: when it started.
-    :param heard_at: when it was last heard, in elapsed time.
+    :param wall: offset of its wall clock from the elapsed time.
+    :param true: offset of its cluster time from the elapsed time.
+    :param started_at: elapsed time at which it started.
+    :param heard_at: elapsed time of its last reading.
     """
 
     wall: float
@@ -60,11 +60,11 @@
 
 
 class TrueTime:
-    """Time that steps of machines' clocks don't move, be they one or most of them.
+    """Cluster time, which is immune to steps of one or most machines' clocks.
 
-    It advances with the elapsed time. A gateway that starts takes over the time of
-    those that run for longer; where there are none, it takes the median of all
-    clocks. After that only a difference that lasts can be no step, and is followed.
+    It advances with the elapsed time. A gateway that starts adopts the time of gateways
+    that have run for longer; without any, it adopts the median of all clocks. Later,
+    it follows the median only after a lasting difference, which can't be a clock step.
 
     :param clock: this machine's clock.
     """
@@ -82,12 +82,12 @@
         return self._clock.elapsed().total_seconds() + self._offset
 
     def reading(self) -> ClockReading:
-        """Return what to tell the peers."""
+        """Return the reading to send to peers."""
         wall = self._clock.now().timestamp()
         return ClockReading(wall, self.seconds, self._age().total_seconds())
 
     def hear(self, peer: str, reading: ClockReading) -> None:
-        """Take what a peer said a moment ago."""
+        """Add a reading that a peer has just sent."""
         elapsed = self._clock.elapsed().total_seconds()
         self._peers[peer] = _PeerClock(
             reading.wall - elapsed,
@@ -97,17 +97,17 @@
         )
 
     def others(self, most: int) -> dict[str, ClockReading]:
-        """Return some of the others' clocks as they show now, for a peer.
+        """Return readings of some other gateways, extrapolated to now, for a peer.
 
-        Only those heard lately: passed on for longer, the clock of a gateway that is
-        gone would go on counting.
+        Only recent ones: forwarded for longer, the clock of a stopped gateway would
+        continue to count in the median.
         """
         now = self._clock.elapsed()
         elapsed = now.total_seconds()
         fresh = [
             (name, peer)
             for name, peer in self._peers.items()
-            if now - peer.heard_at <= PASSED_ON
+            if now - peer.heard_at <= FORWARDING_AGE
         ]
         return {
             name: ClockReading(
@@ -117,28 +117,28 @@
         }
 
     def keep(self) -> None:
-        """Forget peers that are silent, and set the time anew if need be."""
+        """Drop peers without recent readings, and correct the time if necessary."""
         now = self._clock.elapsed()
         self._peers = {
             name: peer
             for name, peer in self._peers.items()
-            if now - peer.heard_at <= SILENT
+            if now - peer.heard_at <= MAX_READING_AGE
         }
-        if self._age() < YOUNG:
-            self._set(self._offset_at_start(), "started")
-        elif self._differs_for(LASTING):
+        if self._age() < STARTUP_TIME:
+            self._set(self._startup_offset(), "started")
+        elif self._differs_for(STEP_TIMEOUT):
             self._set(self._median_of_clocks(), "clocks agree on another time")
 
-    def _offset_at_start(self) -> float:
-        limit = (self._started_at - OLDER).total_seconds()
+    def _startup_offset(self) -> float:
+        limit = (self._started_at - MIN_LEAD).total_seconds()
         older = [peer.true for peer in self._peers.values() if peer.started_at < limit]
         return median(older) if older else self._median_of_clocks()
 
     def _differs_for(self, limit: timedelta) -> bool:
-        """Return whether most clocks have differed from this time for so long."""
-        off = abs(self._median_of_clocks() - self._offset)
+        """Return whether the median clock has differed for at least ``limit``."""
+        difference = abs(self._median_of_clocks() - self._offset)
         now = self._clock.elapsed()
-        if off <= TOLERATED_OFFSET.total_seconds():
+        if difference <= MIN_CORRECTION.total_seconds():
             self._differs_since = None
             return False
         if self._differs_since is None:
@@ -147,7 +147,7 @@
 
     def _set(self, offset: float, reason: str) -> None:
         moved = offset - self._offset
-        if abs(moved) <= TOLERATED_OFFSET.total_seconds():
+        if abs(moved) <= MIN_CORRECTION.total_seconds():
             return
         log.notice("time set", moved_s=round(moved, 3), reason=reason)
         self._offset = offset
@@ -165,10 +165,10 @@
 
 
 class UsageCounts:
-    """Counts of this gateway by window.
+    """Request counts of this gateway by window.
 
     :param window: length of a window.
-    :param time: true time.
+    :param time: cluster time.
     """
 
     def __init__(self, window: timedelta, time: TrueTime) -> None:
@@ -177,49 +177,49 @@
         self._counts: dict[int, dict[str, int]] = {}
 
     def add(self, customer: str) -> None:
-        """Count a request that begins to run now."""
+        """Count a request that starts now."""
         number = self.current_window()
         counts = self._counts.setdefault(number, {})
         counts[customer] = counts.get(customer, 0) + 1
-        for old in [key for key in self._counts if key <= number - KEPT_WINDOWS]:
+        for old in [key for key in self._counts if key <= number - RETAINED_WINDOWS]:
             del self._counts[old]
 
     def current_window(self) -> int:
-        """Return the number of the present window."""
+        """Return the number of the current window."""
         return int(self._time.seconds // self._window)
 
     def report(self) -> dict[int, dict[str, int]]:
-        """Return the counts of the windows that are kept."""
+        """Return the counts of the retained windows."""
         return {number: dict(counts) for number, counts in self._counts.items()}
 
 
 class UsageLedger:
-    """Counts of all gateways, of those that have stopped too.
+    """Request counts of all gateways, including those that have stopped.
 
-    A gateway that starts again counts from nothing. What it had counted before is
-    kept under its earlier incarnation, and still belongs to the windows. Counts only
-    grow, so rows that come twice, late or by two ways do no harm: the largest hold.
+    A restarted gateway counts from zero. Its earlier counts are kept under its earlier
+    incarnation, and still belong to their windows. Counts only grow and merge by
+    maximum, so rows that arrive twice, late or by two routes do no harm.
     """
 
     def __init__(self) -> None:
         self._rows: dict[tuple[str, int, int], dict[str, int]] = {}
         self._changed: dict[tuple[str, int, int], int] = {}
         self._version = 0
-        self._forgotten = 0
+        self._dropped_up_to = 0
 
     @property
     def version(self) -> int:
-        """Grows with each change."""
+        """Version of the ledger, incremented by each change."""
         return self._version
 
     def take(
         self, gateway: str, incarnation: int, window: int, counts: Mapping[str, int]
     ) -> None:
-        """Take what one incarnation of a gateway has counted in a window."""
+        """Merge one incarnation's counts of a window."""
         key = (gateway, incarnation, window)
-        if window <= self._forgotten:
+        if window <= self._dropped_up_to:
             return
-        self._forget_before(window - KEPT_WINDOWS)
+        self._drop_up_to(window - RETAINED_WINDOWS)
         held = self._rows.setdefault(key, {})
         grown = {
             customer: count
@@ -237,7 +237,7 @@
     ) -> list[tuple[str, int, int, dict[str, int]]]:
         """Return the rows that have changed since a version.
 
-        :param gateways: those whose rows are wanted; None for all.
+        :param gateways: gateways whose rows are returned; None for all.
         :returns: gateway, incarnation, window and counts of each.
         """
         return [
@@ -247,18 +247,18 @@
         ]
 
     def total(self, window: int) -> dict[str, int]:
-        """Return all counts of a window, by customer."""
+        """Return the sum of all counts of a window, by customer."""
         total: Counter[str] = Counter()
         for (_, _, number), counts in self._rows.items():
             if number == window:
                 total.update(counts)
         return dict(total)
 
-    def _forget_before(self, window: int) -> None:
-        """Drop the rows up to a window, once for each later one."""
-        if window <= self._forgotten:
+    def _drop_up_to(self, window: int) -> None:
+        """Drop all rows up to a window, unless that was done already."""
+        if window <= self._dropped_up_to:
             return
-        self._forgotten = window
+        self._dropped_up_to = window
         for key in [key for key in self._rows if key[2] <= window]:
             del self._rows[key]
             self._changed.pop(key, None)
--- a/tests/gateway/test_usage.py
+++ b/tests/gateway/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage by customer and window, over gateways that come and go."""
+"""Usage metering and cluster time across restarts of gateways."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -6,7 +6,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.gateway.usage import (
-    KEPT_WINDOWS,
+    RETAINED_WINDOWS,
     ClockReading,
     TrueTime,
     UsageCounts,
@@ -17,17 +17,17 @@
 
 
 class SteppedClock(ManualClock):
-    """A clock whose time of day a test sets off."""
+    """A clock whose wall time a test can step."""
 
     def __init__(self):
         super().__init__(datetime(2026, 1, 1, tzinfo=UTC))
-        self.off = timedelta()
+        self.step = timedelta()
 
     def now(self):
-        return super().now() + self.off
+        return super().now() + self.step
 
 
-def test_counts_go_to_the_window_in_which_requests_begin():
+def test_requests_count_in_the_window_of_their_start():
     clock = SteppedClock()
     counts = UsageCounts(WINDOW, TrueTime(clock))
     first = counts.current_window()
@@ -39,13 +39,13 @@
 
 
 class Fleet:
-    """Clocks of gateways that hear each other all the time."""
+    """Cluster time of gateways that exchange readings each second."""
 
     def __init__(self, count):
         self.clocks = [SteppedClock() for _ in range(count)]
         self.times = [TrueTime(clock) for clock in self.clocks]
 
-    def start_anew(self, number):
+    def restart(self, number):
         self.times[number] = TrueTime(self.clocks[number])
 
     def pass_time(self, span):
@@ -60,74 +60,74 @@
                         time.hear(str(peer), readings[peer])
                 time.keep()
 
-    def off(self):
-        """Return how far each one's time is off, in seconds."""
-        true = self.clocks[0].now() - self.clocks[0].off
+    def errors(self):
+        """Return the error of each cluster time, in seconds."""
+        true = self.clocks[0].now() - self.clocks[0].step
         return [time.seconds - true.timestamp() for time in self.times]
 
 
-def is_right(fleet):
-    return all(abs(off) < 0.1 for off in fleet.off())
+def is_correct(fleet):
+    return all(abs(error) < 0.1 for error in fleet.errors())
 
 
 @pytest.mark.parametrize("stepped", [1, 3, 5])
 @pytest.mark.parametrize("seconds", [2, -2])
-def test_stepped_clocks_move_no_window(stepped, seconds):
-    """Requests would be billed in windows of another time.
+def test_clock_steps_do_not_move_the_cluster_time(stepped, seconds):
+    """Guards against requests that are billed in the wrong window.
 
-    The time of day of some machines jumps by two seconds and back again a while
-    later, also of most of them.
+    The wall clocks of some or most machines are stepped by two seconds and stepped
+    back a while later.
     """
     fleet = Fleet(5)
     fleet.pass_time(timedelta(seconds=10))
     for clock in fleet.clocks[:stepped]:
-        clock.off = timedelta(seconds=seconds)
+        clock.step = timedelta(seconds=seconds)
     for _ in range(8):
         fleet.pass_time(timedelta(seconds=1))
-        assert is_right(fleet)
+        assert is_correct(fleet)
     for clock in fleet.clocks:
-        clock.off = timedelta()
+        clock.step = timedelta()
     fleet.pass_time(timedelta(seconds=5))
-    assert is_right(fleet)
+    assert is_correct(fleet)
 
 
-def test_a_gateway_that_starts_while_most_clocks_are_wrong():
-    """A machine restarts while its clock and most others' are stepped."""
+def test_a_restart_while_most_clocks_are_wrong():
+    """A gateway restarts while its clock and most others are stepped."""
     fleet = Fleet(5)
     fleet.pass_time(timedelta(seconds=10))
     for clock in fleet.clocks[1:]:
-        clock.off = timedelta(seconds=2)
-    fleet.start_anew(2)
+        clock.step = timedelta(seconds=2)
+    fleet.restart(2)
     fleet.pass_time(timedelta(seconds=1))
-    assert is_right(fleet)
+    assert is_correct(fleet)
 
 
-def test_one_clock_that_is_wrong_as_all_start():
+def test_one_wrong_clock_at_the_start_of_all_gateways():
     fleet = Fleet(5)
-    fleet.clocks[1].off = timedelta(seconds=30)
-    fleet.start_anew(1)
+    fleet.clocks[1].step = timedelta(seconds=30)
+    fleet.restart(1)
     fleet.pass_time(timedelta(seconds=1))
-    assert is_right(fleet)
+    assert is_correct(fleet)
 
 
-def test_a_time_that_was_wrong_from_the_start_is_mended():
-    """All gateways start while most clocks are stepped, so nobody knows better."""
+def test_a_wrong_time_from_the_start_is_corrected():
+    """All gateways start while most clocks are stepped, so none has the right time."""
     fleet = Fleet(5)
     for number in range(5):
-        fleet.clocks[number].off = timedelta(seconds=2 * (number > 0))
-        fleet.start_anew(number)
+        fleet.clocks[number].step = timedelta(seconds=2 * (number > 0))
+        fleet.restart(number)
     fleet.pass_time(timedelta(seconds=5))
     for clock in fleet.clocks:
-        clock.off = timedelta()
+        clock.step = timedelta()
     fleet.pass_time(timedelta(seconds=40))
-    assert is_right(fleet)
+    assert is_correct(fleet)
 
 
-def test_what_a_gateway_counted_before_it_started_again_still_counts():
-    """A customer's usage would be reported too low after each planned stop.
+def test_counts_from_before_a_restart_are_kept():
+    """Guards against a usage report that is too low after each planned restart.
 
-    A gateway counts requests, stops, and starts again with nothing counted, before
-    the window is reported.
+    A gateway counts requests, stops, and starts again with zero counts before the
+    window is reported.
     """
     ledger = UsageLedger()
     ledger.take("a", 1, 7, {"lab": 5})
@@ -136,17 +136,17 @@
     assert ledger.total(7) == {"lab": 8, "ward": 1}
 
 
-def test_old_windows_are_forgotten():
+def test_old_windows_are_dropped():
     ledger = UsageLedger()
     ledger.take("a", 1, 7, {"lab": 5})
-    ledger.take("a", 1, 7 + KEPT_WINDOWS, {"lab": 1})
+    ledger.take("a", 1, 7 + RETAINED_WINDOWS, {"lab": 1})
     assert ledger.total(7) == {}
     ledger.take("a", 1, 7, {"lab": 9})
     assert ledger.total(7) == {}
 
 
-def test_counts_that_come_twice_late_or_by_two_ways_count_once():
-    """A customer would be billed twice where two gateways pass the same counts on."""
+def test_counts_that_arrive_twice_late_or_by_two_routes_count_once():
+    """Guards against double billing when two gateways forward the same counts."""
     ledger = UsageLedger()
     ledger.take("a", 1, 7, {"lab": 5, "ward": 1})
     ledger.take("a", 1, 7, {"lab": 3})
@@ -154,7 +154,7 @@
     assert ledger.total(7) == {"lab": 5, "ward": 2}
 
 
-def test_only_rows_that_have_changed_are_told_again():
+def test_only_changed_rows_are_returned():
     ledger = UsageLedger()
     ledger.take("a", 1, 7, {"lab": 5})
     seen = ledger.version
@@ -166,8 +166,8 @@
     assert len(ledger.rows(0)) == 3
 
 
-def test_the_clock_of_a_gateway_that_is_gone_is_not_passed_on():
-    """Its last reading would count for good, passed on from one to the other."""
+def test_the_clock_of_a_stopped_gateway_is_not_forwarded():
+    """Guards against a last reading that gateways forward to each other for ever."""
     clock = SteppedClock()
     time = TrueTime(clock)
     time.hear("b", ClockReading(5.0, 6.0, 2.0))
