--- a/src/sassafrasdale/gateway/dependencies.py
+++ b/src/sassafrasdale/gateway/dependencies.py
@@ -1,4 +1,4 @@
-"""Whether an outside system answers, with a log line when that changes."""
+"""Health of an external dependency, logged when it changes."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -11,10 +11,10 @@
 
 
 class Dependency:
-    """What is known of an outside system from the calls made to it.
+    """Health of an external system, derived from the calls made to it.
 
-    A failed call tells of the time at which it was sent. Once a later one has been
-    answered it says nothing of now, and is passed over.
+    A failed call reflects the state at the time at which it was sent. It is ignored
+    once a call that was sent later has been answered.
 
     :param name: name for the logs.
     :param clock: source of elapsed time.
@@ -29,12 +29,12 @@
         self._regained = regained
         self._lost_at: timedelta | None = None
         self._failed_at: timedelta | None = None
-        self._answered_to: timedelta | None = None
+        self._last_success_sent_at: timedelta | None = None
 
     @property
     def is_reached(self) -> bool:
         """Whether the last call was answered."""
-        return self._answered_to is not None and self._lost_at is None
+        return self._last_success_sent_at is not None and self._lost_at is None
 
     @property
     def since_failure(self) -> timedelta | None:
@@ -48,7 +48,10 @@
 
         :param asked_at: elapsed time at which it was sent.
         """
-        if self._answered_to is not None and asked_at < self._answered_to:
+        if (
+            self._last_success_sent_at is not None
+            and asked_at < self._last_success_sent_at
+        ):
             return
         self._failed_at = self._clock.elapsed()
         if self._lost_at is not None:
@@ -66,16 +69,18 @@
 
         :param asked_at: elapsed time at which it was sent.
         """
-        if self._answered_to is None:
+        if self._last_success_sent_at is None:
             log.info("dependency reached", dependency=self._name)
-        self._answered_to = max(asked_at, self._answered_to or asked_at)
+        self._last_success_sent_at = max(
+            asked_at, self._last_success_sent_at or asked_at
+        )
         if self._lost_at is None:
             return
-        gap = self._clock.elapsed() - self._lost_at
+        outage = self._clock.elapsed() - self._lost_at
         self._lost_at = None
         log.notice(
             "dependency regained",
             dependency=self._name,
-            away_s=round(gap.total_seconds(), 3),
+            away_s=round(outage.total_seconds(), 3),
         )
         self._regained()
--- a/src/sassafrasdale/gateway/records.py
+++ b/src/sassafrasdale/gateway/records.py
@@ -1,4 +1,4 @@
-"""What a duty's holder writes to the store for the holder after it."""
+"""Records that a leader keeps in the store for its successor."""
 
 from typing import Any
 
@@ -12,50 +12,54 @@
 
 
 class DutyRecord:
-    """A document in the store that one holder at a time reads and then writes.
+    """A stored document that the leader reads once and then writes.
 
-    A write succeeds only over the revision that this holder has read. So a former
-    holder that was paused can't overwrite what its successor has written.
+    A write succeeds only over the revision that this gateway has read. So a former
+    leader that was paused can't overwrite its successor's document.
 
     :param store: the platform's store.
-    :param key: where the document is kept.
-    :param form: form of the document.
+    :param key: key of the document.
+    :param schema: schema of the document.
     """
 
-    def __init__(self, store: BaseStore, key: str, form: TypeAdapter) -> None:
+    def __init__(self, store: BaseStore, key: str, schema: TypeAdapter) -> None:
         self._store = store
         self._key = key
-        self._form = form
+        self._schema = schema
         self._revision: int | None = None
 
     @property
     def is_known(self) -> bool:
-        """Whether the document was read and nothing made that doubtful since."""
+        """Whether the stored revision is known, so that the document can be written."""
         return self._revision is not None
 
     def read(self) -> Any:
-        """Return the document, or None if there is none that can be read.
+        """Return the document, or None if it is missing or malformed.
 
-        :raises StoreError: if the store gives no answer.
+        :raises StoreError: if the store does not answer.
         """
         held = self._store.get(self._key)
         self._revision = 0 if held is None else held.mod_revision
         if held is None:
             return None
         try:
-            return self._form.validate_json(held.value)
+            return self._schema.validate_json(held.value)
         except ValidationError as error:
-            log.error("record malformed, begun anew", key=self._key, why=str(error))
+            log.error(
+                "record malformed; starting with an empty one",
+                key=self._key,
+                why=str(error),
+            )
             return None
 
     def write(self, document: Any) -> None:
         """Write the document over the one that was read.
 
-        :raises LeaseNotHeld: if another holder has written since.
-        :raises StoreError: if the store gives no answer; the write may have landed,
-            and the document has to be read before it is written again.
+        :raises LeaseNotHeld: if another leader has written since.
+        :raises StoreError: if the store does not answer; the write may have been
+            applied, so the document must be read before the next write.
         """
-        value = self._form.dump_json(document)
+        value = self._schema.dump_json(document)
         try:
             swap = self._store.compare_and_swap(self._key, value, self._revision)
         except StoreError:
@@ -63,5 +67,5 @@
             raise
         if not swap:
             self._revision = None
-            raise LeaseNotHeld(f"another holder has written {self._key}")
+            raise LeaseNotHeld(f"another leader has written {self._key}")
         self._revision = swap.revision
--- a/src/sassafrasdale/gateway/registration.py
+++ b/src/sassafrasdale/gateway/registration.py
@@ -1,4 +1,4 @@
-"""Finding the other gateways through the platform's store."""
+"""Discovery of the other gateways through the platform's store."""
 
 from datetime import timedelta
 from random import Random
@@ -22,14 +22,14 @@
 log = Logger("registration")
 
 GATEWAYS_PREFIX = "sassafrasdale/gateways/"
-# How long a gateway stays listed after it is gone.
-LISTED = timedelta(seconds=15)
-RENEWALS = 3
-FAILURE_PAUSE = timedelta(milliseconds=500)
+# TTL of the entry: how long a gateway stays listed after it has failed.
+ENTRY_TTL = timedelta(seconds=15)
+RENEWALS_PER_TTL = 3
+RETRY_DELAY = timedelta(milliseconds=500)
 
 
 class Registration:
-    """Task that keeps this gateway listed and introduces the listed ones.
+    """Task that keeps this gateway registered and adds the listed ones as peers.
 
     :param own: this gateway's contact.
     """
@@ -50,17 +50,17 @@
         self._clock = clock
         self._rng = rng
         self._lease: Lease | None = None
-        self._listed = False
+        self._list_read = False
 
     @property
     def has_listed(self) -> bool:
-        """Whether the listed gateways have been read since the start."""
-        return self._listed
+        """Whether the list of gateways has been read since the start."""
+        return self._list_read
 
     def run(self) -> None:
-        """Keep the entry until the task is killed."""
+        """Keep this gateway registered until the task is killed."""
         while True:
-            pause = LISTED / RENEWALS
+            pause = ENTRY_TTL / RENEWALS_PER_TTL
             asked_at = self._clock.elapsed()
             try:
                 self._step()
@@ -70,18 +70,20 @@
                 pause = timedelta()
             except StoreError as error:
                 self._dependency.failed(error, asked_at)
-                pause = FAILURE_PAUSE
+                pause = RETRY_DELAY
             sleep(pause * self._rng.uniform(0.8, 1.0))
 
     def release(self) -> None:
-        """Leave the list."""
+        """Remove this gateway's entry."""
         lease, self._lease = self._lease, None
         if lease is None:
             return
         try:
             self._store.revoke(lease)
         except StoreError as error:
-            log.info("registration left to run out", why=str(error))
+            log.info(
+                "registration not revoked; it expires with its lease", why=str(error)
+            )
 
     def _step(self) -> None:
         if self._lease is not None:
@@ -89,15 +91,15 @@
             if self._peering.hears_all():
                 return
         else:
-            lease = self._store.grant_lease(LISTED)
+            lease = self._store.grant_lease(ENTRY_TTL)
             key = GATEWAYS_PREFIX + self._own.name
             self._store.put(key, encode(self._own), lease)
             self._lease = lease
         for item in self._store.list(GATEWAYS_PREFIX):
-            self._introduce(item)
-        self._listed = True
+            self._add_peer(item)
+        self._list_read = True
 
-    def _introduce(self, item: StoredValue) -> None:
+    def _add_peer(self, item: StoredValue) -> None:
         try:
             self._peering.introduce(CONTACT.decode(item.value))
         except MessageMalformed as error:
--- a/tests/gateway/test_dependencies.py
+++ b/tests/gateway/test_dependencies.py
@@ -1,4 +1,4 @@
-"""What failed and answered calls say of an outside system."""
+"""Health of a dependency, derived from failed and answered calls."""
 
 from datetime import timedelta
 
@@ -27,9 +27,9 @@
     return dependency
 
 
-def test_a_loss_and_its_end(clock, store, regained):
+def test_an_outage_and_its_end(clock, store, regained):
     clock.advance(SECOND)
-    store.failed(OSError("silent"), SECOND)
+    store.failed(OSError("no answer"), SECOND)
     assert not store.is_reached
     assert regained == []
     clock.advance(SECOND)
@@ -39,20 +39,20 @@
     assert store.since_failure == SECOND
 
 
-def test_a_call_from_before_the_return_is_no_second_outage(clock, store, regained):
-    """Others would stop relying on a gateway that follows the store.
+def test_a_call_from_before_the_recovery_is_no_second_outage(clock, store, regained):
+    """Guards against peers that stop relying on a gateway that follows the store.
 
-    A call is sent into a silence and ends in a timeout, seconds after the store is back
+    A call is sent during an outage and times out seconds after the store has recovered
     and has answered a call that was sent later.
     """
     clock.advance(SECOND)
-    store.failed(OSError("silent"), SECOND)
+    store.failed(OSError("no answer"), SECOND)
     store.succeeded(3 * SECOND)
     store.failed(OSError("no answer in time"), 2 * SECOND)
     assert store.is_reached
     assert len(regained) == 1
 
 
-def test_answers_alone_tell_nothing_new(store, regained):
+def test_answers_without_an_outage_call_nothing(store, regained):
     store.succeeded(SECOND)
     assert regained == []
--- a/tests/gateway/test_records.py
+++ b/tests/gateway/test_records.py
@@ -1,4 +1,4 @@
-"""What a duty's holder leaves to the next one."""
+"""Records that a leader keeps for its successor."""
 
 import pytest
 from pydantic import TypeAdapter
@@ -7,7 +7,7 @@
 from sassafrasdale.gateway.records import DutyRecord
 from tests.coordination.fakes import FakeStore
 
-FORM = TypeAdapter(dict[int, str])
+SCHEMA = TypeAdapter(dict[int, str])
 
 
 @pytest.fixture
@@ -16,10 +16,10 @@
 
 
 def record(store):
-    return DutyRecord(store, "duty", FORM)
+    return DutyRecord(store, "duty", SCHEMA)
 
 
-def test_the_next_holder_reads_what_was_written(store):
+def test_the_next_leader_reads_the_record(store):
     first, second = record(store), record(store)
     assert first.read() is None
     first.write({1: "a"})
@@ -27,8 +27,8 @@
     assert second.read() == {1: "a", 2: "b"}
 
 
-def test_a_former_holder_does_not_overwrite_its_successor(store):
-    """A gateway freezes after it has read, and wakes when another has the duty."""
+def test_a_former_leader_does_not_overwrite_its_successor(store):
+    """A gateway is paused after its read and resumes when another is the leader."""
     first, second = record(store), record(store)
     first.read()
     second.read()
@@ -39,7 +39,7 @@
     assert second.read() == {2: "b"}
 
 
-def test_after_a_lost_answer_it_is_read_again(store):
+def test_a_record_is_read_again_after_a_lost_answer(store):
     held = record(store)
     held.read()
     store.faults = ["lost_after"]
@@ -50,8 +50,8 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b"[1]", b'{"a": 1}'])
-def test_a_document_that_cannot_be_read_is_begun_anew(store, value):
-    """The duty would stand still for good: each holder would fail at its start."""
+def test_a_malformed_record_is_replaced(store, value):
+    """Guards against a duty that stops for good as each new leader fails to start."""
     store.compare_and_swap("duty", value, 0)
     held = record(store)
     assert held.read() is None
