--- a/src/sassafrasdale/gateway/planning.py
+++ b/src/sassafrasdale/gateway/planning.py
@@ -18,10 +18,10 @@
     """Return the services that the leader scales.
 
     Endpoints of a canary version are not counted: the leader did not order them, and
-    the endpoints of the current version are still needed beside them.
+    the endpoints of the baseline version are still needed beside them.
 
     :param load: returns a service's load as a number of fully busy endpoints.
-    :param rollouts: knows which versions are in force.
+    :param rollouts: knows which versions are baseline and canary.
     """
     if configuration is None:
         return ()
--- a/src/sassafrasdale/gateway/scaling.py
+++ b/src/sassafrasdale/gateway/scaling.py
@@ -139,7 +139,7 @@
         self._repeat_if_due()
         for service in services:
             planned = self._with_estimated_load(service)
-            plan = plan_orders(planned, frozenset(self._exhausted))
+            plan = plan_orders(planned, frozenset(self._unavailable))
             self._send_orders(planned, plan)
         self._write_record()
 
@@ -168,7 +168,7 @@
     def _reset_term(self) -> None:
         self._ordered: dict[OrderKey, int] = {}
         self._inherited: dict[OrderKey, int] = {}
-        self._exhausted: set[OrderKey] = set()
+        self._unavailable: set[OrderKey] = set()
         # The last count sent, and until when it is not sent again.
         self._last_sent: dict[OrderKey, tuple[int, timedelta]] = {}
         self._last_running: dict[OrderKey, int] = {}
@@ -299,14 +299,14 @@
                 reclaimable=key.reclaimable,
             )
         except NoneAvailable:
-            self._exhausted.add(key)
+            self._unavailable.add(key)
             outcome = "none available"
         except DutyCallFailed as error:
             outcome = f"not confirmed: {error.message}"
         else:
             self._ordered[key] = count
             if count > service.running.get(key, 0):
-                self._exhausted.discard(key)
+                self._unavailable.discard(key)
             # A new endpoint is listed only after its start time; until then it counts.
             listed_at = now + service.bounds.start_time + RETRY_PAUSE
             self._last_sent[key] = (count, listed_at)
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -89,7 +89,7 @@
     assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
 
 
-def test_a_failed_canary_request_is_retried_at_the_current_version():
+def test_a_failed_canary_request_is_retried_at_the_baseline_version():
     """Guards against failures of a faulty version that reach callers."""
     served = ServedWorld(plain(status="500 Oops"))
     served.order()
@@ -180,7 +180,7 @@
     assert served.rollouts.usable("records", records) == records
 
 
-def test_the_version_in_force_still_gets_requests(served):
+def test_the_baseline_version_still_gets_requests(served):
     """Guards against a service left without endpoints by an order for its version."""
     served.order(order=RolloutOrder("records", "v1", 20 * SECOND))
     [answer] = served.ask_repeatedly(1)
@@ -188,7 +188,7 @@
     assert served.rollouts.view(served.rollout).in_force
 
 
-def test_endpoints_listed_at_a_start_do_not_define_the_version_in_force(served):
+def test_endpoints_listed_at_a_start_do_not_define_the_baseline_version(served):
     """Guards against a gateway that starts while only new endpoints are listed."""
     for number in range(2):
         served.directory.remove(f"i-{number}")
--- a/tests/gateway/test_scaling.py
+++ b/tests/gateway/test_scaling.py
@@ -17,17 +17,17 @@
 
 
 class Cloud:
-    """Fake platform with exhausted zones and failing calls."""
+    """Fake platform with unavailable zones and failing calls."""
 
     def __init__(self):
         self.orders = []
-        self.exhausted = set()
+        self.unavailable = set()
         self.failing_calls = False
 
     def order_endpoints(self, service, zone, count, number, *, reclaimable):
         if self.failing_calls:
             raise DutyCallFailed("no answer")
-        if reclaimable and zone in self.exhausted:
+        if reclaimable and zone in self.unavailable:
             raise NoneAvailable("none")
         self.orders.append((zone, reclaimable, count, number))
 
@@ -105,16 +105,16 @@
     assert sum(scaled.cloud.wanted().values()) < before
 
 
-def test_an_exhausted_zone_is_compensated_and_tried_again():
+def test_an_unavailable_zone_is_compensated_and_tried_again():
     """Reclaimable endpoints are reclaimed and unavailable for a while."""
     scaled = ScaledService()
     scaled.running = {OrderKey("models", "a", False): 1}
-    scaled.cloud.exhausted = {"a", "b"}
+    scaled.cloud.unavailable = {"a", "b"}
     scaled.load = 2.0
     scaled.pass_time(4 * SECOND)
     on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
     assert on_demand >= 4
-    scaled.cloud.exhausted = set()
+    scaled.cloud.unavailable = set()
     scaled.pass_time(4 * SECOND)
     assert any(spot for _, spot in scaled.cloud.wanted())
 
