--- a/src/sassafrasdale/__main__.py
+++ b/src/sassafrasdale/__main__.py
@@ -3,7 +3,7 @@
 import os
 import sys
 
-from sassafrasdale.platform.early import open_early
+from sassafrasdale.platform.early import open_early_listener
 from sassafrasdale.signals import hold_signals
 
 # The gateway's arguments as the platform gives them. Loading the command line takes
@@ -16,7 +16,7 @@
     arguments = sys.argv[1:]
     if arguments[:1] == ["gateway"]:
         hold_signals()
-        open_early(os.environ)
+        open_early_listener(os.environ)
     if arguments[:-1] == _PLAIN_GATEWAY and arguments[-1].isdecimal():
         from sassafrasdale.gateway.launch import launch_gateway
 
--- a/src/sassafrasdale/gateway/process.py
+++ b/src/sassafrasdale/gateway/process.py
@@ -16,11 +16,11 @@
 from sassafrasdale.deployment import GatewaySettings
 from sassafrasdale.gateway.drain import Drain
 from sassafrasdale.gateway.parts import GatewayParts
-from sassafrasdale.green import adopt, listen, sleep, spawn
+from sassafrasdale.green import listen, make_green, sleep, spawn
 from sassafrasdale.http.messages import Request
 from sassafrasdale.http.server import HttpServer, ServerConnection, ServerLimits
 from sassafrasdale.logs import start_logs
-from sassafrasdale.platform.early import take_opened
+from sassafrasdale.platform.early import take_early_listener
 from sassafrasdale.platform.exceptions import AdapterError
 from sassafrasdale.signals import heed_signals
 from sassafrasdale.structures import Address
@@ -110,8 +110,8 @@
         self._stop(server)
 
     def _open_listener(self, address: Address) -> socket.socket:
-        opened = take_opened(str(address))
-        return listen(address) if opened is None else adopt(opened)
+        early_listener = take_early_listener(str(address))
+        return listen(address) if early_listener is None else make_green(early_listener)
 
     def _serve(
         self, address: Address, handle: Callable[[ServerConnection, Request], None]
@@ -208,7 +208,7 @@
             self._answer_operator(connection, request)
             return
         if request.target == ROLLOUTS_TARGET:
-            self._answer_document(connection, self._parts.rollouts.described())
+            self._answer_document(connection, self._parts.rollouts.describe())
             return
         headers = [("content-type", self._parts.metrics.content_type)]
         connection.answer(200, headers, self._parts.metrics.metrics_page())
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -306,7 +306,7 @@
             others=len(listed) - targets,
         )
 
-    def described(self) -> list[dict[str, object]]:
+    def describe(self) -> list[dict[str, object]]:
         """Return all orders for the operators' page."""
         return [self._describe(rollout) for rollout in self._rollouts.values()]
 
--- a/src/sassafrasdale/green.py
+++ b/src/sassafrasdale/green.py
@@ -56,7 +56,7 @@
     eventlet.sleep(pause.total_seconds())
 
 
-def adopt(sock: socket.socket) -> socket.socket:
+def make_green(sock: socket.socket) -> socket.socket:
     """Return a green socket in place of a plain one."""
     return green_socket.socket(sock.family, sock.type, sock.proto, fileno=sock.detach())
 
--- a/src/sassafrasdale/platform/__init__.py
+++ b/src/sassafrasdale/platform/__init__.py
@@ -1,5 +1,4 @@
-"""The users' platform: its names, formats and calls, decoded once.
+"""Adapter to the users' platform: its names, formats and calls.
 
-Nothing here decides anything, and nothing outside this folder knows a name of the
-platform's.
+It makes no decisions, and the platform's names appear nowhere else in the package.
 """
--- a/src/sassafrasdale/platform/configuration.py
+++ b/src/sassafrasdale/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform's store holds it."""
+"""Decoder of the operators' configuration in the platform's store."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -20,7 +20,7 @@
 )
 from sassafrasdale.platform.exceptions import ValueMalformed
 
-# Below it lies all that operators write.
+# Prefix of all keys that operators write.
 OPERATORS_PREFIX = "op/"
 CONFIGURATION_KEY = "op/config"
 
@@ -96,9 +96,9 @@
 
 
 def decode_configuration(value: bytes) -> Configuration:
-    """Return the configuration that a stored value holds.
+    """Return the configuration in a stored value.
 
-    :raises ValueMalformed: if it has another form; the message names the field.
+    :raises ValueMalformed: if it is malformed; the message names the field.
     """
     try:
         document = _Configuration.model_validate_json(value)
--- a/src/sassafrasdale/platform/duties.py
+++ b/src/sassafrasdale/platform/duties.py
@@ -1,4 +1,4 @@
-"""Calls that one gateway at a time makes to the platform, with a fencing number."""
+"""Client of the platform's duty API, whose calls carry a fencing number."""
 
 import json
 from collections.abc import Mapping
@@ -16,14 +16,15 @@
 from sassafrasdale.structures import Address
 
 CALL_LIMIT = timedelta(seconds=1.5)
-# The platform says 409 for two things; a refusal for want of endpoints says why.
+# The platform uses 409 for an old fencing number and for a lack of endpoints; the body
+# tells them apart.
 _CONFLICT = 409
 
 
 class DutyClient:
-    """Usage reports and orders of endpoints.
+    """Client for usage reports and endpoint orders of the leader.
 
-    :param address: where the platform takes them.
+    :param address: address of the duty API.
     :param holder: name of this gateway.
     :param clock: source of elapsed time.
     """
@@ -35,15 +36,15 @@
     def report_usage(
         self, window: int, counts: Mapping[str, int], fencing_number: int
     ) -> None:
-        """Report the requests of each customer that began in a window.
+        """Report the number of requests of each customer that started in a window.
 
         :param window: number of the window, counted from the start of 1970.
-        :raises DutyCallRefused: if a newer holder has reported.
-        :raises DutyCallFailed: if that is not known to have succeeded.
+        :raises DutyCallRefused: if a newer leader has reported.
+        :raises DutyCallFailed: if the outcome is unknown.
         """
         document = {"window": window, "counts": dict(counts)}
-        answer = self._post("/usage", document, fencing_number)
-        if answer.status == _CONFLICT:
+        response = self._post("/usage", document, fencing_number)
+        if response.status == _CONFLICT:
             raise DutyCallRefused("usage: a newer fencing number was seen")
 
     def order_endpoints(
@@ -55,19 +56,19 @@
         *,
         reclaimable: bool,
     ) -> None:
-        """Order how many endpoints of a kind a service has in a zone.
+        """Set the number of endpoints of a kind that a service has in a zone.
 
-        :raises NoneAvailable: if the platform has none of the kind now.
-        :raises DutyCallRefused: if a newer holder has ordered.
-        :raises DutyCallFailed: if that is not known to have succeeded.
+        :raises NoneAvailable: if the platform has none of the kind left.
+        :raises DutyCallRefused: if a newer leader has ordered.
+        :raises DutyCallFailed: if the outcome is unknown.
         """
         document = {"service": service, "zone": availability_zone, "desired": count}
         if reclaimable:
             document["spot"] = True
-        answer = self._post("/scale", document, fencing_number)
-        if answer.status != _CONFLICT:
+        response = self._post("/scale", document, fencing_number)
+        if response.status != _CONFLICT:
             return
-        if reclaimable and b"fence" not in answer.body.lower():
+        if reclaimable and b"fence" not in response.body.lower():
             raise NoneAvailable(f"no reclaimable endpoints in {availability_zone}")
         raise DutyCallRefused("orders: a newer fencing number was seen")
 
@@ -79,11 +80,11 @@
         )
         body = json.dumps(document).encode()
         try:
-            answer = self._client.call(
+            response = self._client.call(
                 Request("POST", target, headers, body), CALL_LIMIT
             )
         except HttpError as error:
             raise DutyCallFailed(f"{target}: {error.message}") from error
-        if answer.status not in (200, _CONFLICT):
-            raise DutyCallFailed(f"{target}: status {answer.status}")
-        return answer
+        if response.status not in (200, _CONFLICT):
+            raise DutyCallFailed(f"{target}: status {response.status}")
+        return response
--- a/src/sassafrasdale/platform/early.py
+++ b/src/sassafrasdale/platform/early.py
@@ -1,9 +1,9 @@
-"""Listening before anything else is loaded.
+"""Listening socket that is opened before the rest of the program is loaded.
 
-A process that starts again after a kill takes most of a second to load its program.
-Without a listening socket, callers are turned away all that time; with one, their
-connections wait in its queue. So this module uses the standard library only, and
-checks nothing: what it can't open is opened later, with an error that says why.
+A process that restarts after a kill takes most of a second to import its modules.
+Without a listening socket, callers' connections are refused in that time; with one,
+they wait in its backlog. So this module uses the standard library only and validates
+nothing: a socket that it can't open is opened later, with an error that says why.
 """
 
 import json
@@ -12,24 +12,24 @@
 from pathlib import Path
 
 PATH_VARIABLE = "SASSAFRASDALE_BOOT"
-# Connections that wait to be taken.
+# Maximum number of connections that wait to be accepted.
 BACKLOG = 1024
 
-_opened: dict[str, socket.socket] = {}
+_listeners: dict[str, socket.socket] = {}
 
 
-def open_early(environ: Mapping[str, str]) -> None:
-    """Listen where callers connect, as the settings file says."""
+def open_early_listener(environ: Mapping[str, str]) -> None:
+    """Open the callers' listening socket at the address in the settings file."""
     try:
         fields = json.loads(Path(environ[PATH_VARIABLE]).read_text(encoding="utf-8"))
-        written = fields["listen"]["front"]
-        host, _, port = written.rpartition(":")
-        _opened[written] = socket.create_server((host, int(port)), backlog=BACKLOG)
+        address = fields["listen"]["front"]
+        host, _, port = address.rpartition(":")
+        _listeners[address] = socket.create_server((host, int(port)), backlog=BACKLOG)
     except (KeyError, TypeError, ValueError, OSError):
-        # The settings are read and checked when the program is loaded.
+        # The settings are read again and validated after the program is loaded.
         return
 
 
-def take_opened(address: str) -> socket.socket | None:
-    """Return the socket that was opened early for an address, if there is one."""
-    return _opened.pop(address, None)
+def take_early_listener(address: str) -> socket.socket | None:
+    """Return the socket that was opened early for an address, or None."""
+    return _listeners.pop(address, None)
--- a/src/sassafrasdale/platform/endpoints.py
+++ b/src/sassafrasdale/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""The platform's list of endpoints, which they keep in its store themselves."""
+"""Decoder of endpoint registrations in the platform's store."""
 
 from typing import Literal
 
@@ -9,15 +9,15 @@
 from sassafrasdale.structures import Address
 
 ENDPOINTS_PREFIX = "servers/"
-# Far above any endpoint's; a larger number is another writer's.
-MOST_SLOTS = 100_000
+# Far above the slots of any endpoint; a larger value comes from another writer.
+MAX_SLOTS = 100_000
 
 
-class _Entry(BaseModel):
-    """An entry of the list.
+class _Registration(BaseModel):
+    """Registration of an endpoint.
 
-    Others may write below the prefix, too. Numbers as text, an unknown state or a
-    number that no endpoint has are not guessed at: nobody may be sent there.
+    Other programs may write below the prefix, too. Numbers as text, an unknown state
+    and values out of range are rejected: no request may be sent to such an address.
     """
 
     model_config = ConfigDict(extra="ignore", frozen=True, strict=True)
@@ -25,38 +25,38 @@
     service: str = Field(min_length=1)
     addr: str
     zone: str = Field(min_length=1)
-    slots: int = Field(1, ge=1, le=MOST_SLOTS)
+    slots: int = Field(1, ge=1, le=MAX_SLOTS)
     state: Literal["ready", "draining"]
-    # Endpoints that the platform may take back at short notice.
+    # Whether the platform may reclaim the endpoint at short notice.
     spot: bool = False
-    # When it started, in milliseconds since 1970; tells a restart under its name.
+    # Start time in milliseconds since 1970; distinguishes restarts under one name.
     born: int | None = Field(None, ge=0)
     version: str = ""
 
 
 def endpoint_name(key: str) -> str:
-    """Return the endpoint's name, which only the key of its entry holds."""
+    """Return the name of an endpoint from the key of its registration."""
     return key.removeprefix(ENDPOINTS_PREFIX)
 
 
 def decode_endpoint(key: str, value: bytes) -> Endpoint:
-    """Return the endpoint that an entry of the list describes.
+    """Return the endpoint that a registration describes.
 
-    :raises ValueMalformed: if the entry has another form.
+    :raises ValueMalformed: if the registration is malformed.
     """
     try:
-        entry = _Entry.model_validate_json(value)
-        address = Address.parse(entry.addr)
+        registration = _Registration.model_validate_json(value)
+        address = Address.parse(registration.addr)
     except (ValidationError, ValueError) as error:
         raise ValueMalformed(f"{key}: {error}", field=key) from error
     return Endpoint(
         name=endpoint_name(key),
-        service=entry.service,
+        service=registration.service,
         address=address,
-        availability_zone=entry.zone,
-        state=EndpointState(entry.state),
-        slots=entry.slots,
-        reclaimable=entry.spot,
-        born=entry.born,
-        version=entry.version,
+        availability_zone=registration.zone,
+        state=EndpointState(registration.state),
+        slots=registration.slots,
+        reclaimable=registration.spot,
+        born=registration.born,
+        version=registration.version,
     )
--- a/src/sassafrasdale/platform/exceptions.py
+++ b/src/sassafrasdale/platform/exceptions.py
@@ -11,22 +11,22 @@
 
 
 class ValueMalformed(AdapterError):
-    """Something that the platform holds or sends has another form."""
+    """A value from the platform is malformed."""
 
 
 class SettingsFileError(AdapterError):
-    """The settings file can't be read at all."""
+    """The settings file is missing or is not JSON."""
 
 
 class SettingsFileFaults(ExceptionGroup[ValueMalformed], AdapterError):
-    """Fields of the settings file are missing or wrong; one member for each."""
+    """Fields of the settings file are missing or invalid; one member for each."""
 
     def __new__(cls, faults: Iterable[ValueMalformed]) -> Self:
         """Build the group."""
         return super().__new__(cls, "the settings file is faulty", list(faults))
 
     def __init__(self, faults: Iterable[ValueMalformed]) -> None:
-        # A group's message is read-only, so the root's initializer can't run.
+        # An exception group's message is read-only, so the base initializer can't run.
         self.field = None
         self.retry_after = None
 
@@ -36,12 +36,12 @@
 
 
 class DutyCallFailed(AdapterError):
-    """A call under a duty got no usable answer; it may take effect later."""
+    """A duty call got no usable response; it may take effect later."""
 
 
 class DutyCallRefused(AdapterError):
-    """A newer holder's fencing number was seen; this holder must step down."""
+    """The platform has seen a newer fencing number; this leader must step down."""
 
 
 class NoneAvailable(AdapterError):
-    """The platform has no endpoint of the ordered kind to give now."""
+    """The platform has no endpoint of the ordered kind available."""
--- a/src/sassafrasdale/platform/headers.py
+++ b/src/sassafrasdale/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers between callers, the system and endpoints."""
+"""HTTP headers between callers, gateways and endpoints."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -18,16 +18,16 @@
 _TOKENS = "token-count"
 _PREFIX = "prompt-prefix"
 _EXPECTED_ENDPOINT = "expect-replica"
-# Smaller numbers go first; an endpoint assumes 5.
+# Lower values have priority; the default of an endpoint is 5.
 _PRIORITY = "request-priority"
-_LAST_PRIORITY = 9
-# Where an engine finds what another one keeps of the prompt.
+_LOWEST_PRIORITY = 9
+# Address of the engine whose KV cache holds more of the prompt.
 _FETCH_FROM = "kv-fetch"
 _NOT_RUN = "not-run"
 _SIGNATURE = "replica-stamp"
 
-# Headers that concern one connection only, and those that the codec writes itself.
-_PER_CONNECTION = frozenset(
+# Hop-by-hop headers, and those that the HTTP codec sets itself.
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "content-length",
@@ -42,8 +42,8 @@
         "upgrade",
     }
 )
-# Headers that are the system's to set; a caller's own are dropped.
-_SYSTEM = frozenset(
+# Headers that the gateway sets; the values of callers are dropped.
+_GATEWAY_HEADERS = frozenset(
     {
         _CUSTOMER,
         _DEADLINE,
@@ -61,19 +61,19 @@
     }
 )
 _MISDIRECTED = 421
-# Largest header values that are taken for numbers.
-_MOST_DIGITS = 15
+# Maximum number of digits in a numeric header.
+_MAX_DIGITS = 15
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointOrder:
-    """What the system tells an endpoint with a request.
+    """Values that the gateway sends to an endpoint in the headers of a request.
 
-    :param endpoint: name of the endpoint that is meant; another refuses.
-    :param time_left: time after which the endpoint need not go on.
-    :param priority: rank among the requests of an engine, 0 goes first.
-    :param resume_after: last event of the stream that is already there.
-    :param fetch_from: engine that keeps more of the prompt, to be fetched from there.
+    :param endpoint: name of the intended endpoint; any other one rejects the request.
+    :param time_left: time after which the endpoint may abandon the request.
+    :param priority: priority among the requests of an engine, 0 is the highest.
+    :param resume_after: last event of the stream that was already received.
+    :param fetch_from: engine to fetch KV cache blocks of the prompt from.
     """
 
     endpoint: str
@@ -85,9 +85,9 @@
 
 
 def read_traits(request: Request) -> RequestTraits:
-    """Return what a caller's headers say.
+    """Return the request properties in a caller's headers.
 
-    :raises ValueMalformed: if a header that the system needs has another form.
+    :raises ValueMalformed: if a header is malformed.
     """
     prompt, output = _token_counts(request.header(_TOKENS))
     deadline = _number(request, _DEADLINE)
@@ -103,17 +103,17 @@
 
 
 def endpoint_request(request: Request, order: EndpointOrder) -> Request:
-    """Return a caller's request as it is sent to an endpoint."""
+    """Return the request to send to an endpoint for a caller's request."""
     left = max(1, milliseconds(order.time_left))
     headers = [
-        *_forwarded(request.headers, _SYSTEM),
+        *_forwarded(request.headers, _GATEWAY_HEADERS),
         (_DEADLINE, str(left)),
         (_EXPECTED_ENDPOINT, order.endpoint),
     ]
     if order.customer:
         headers.append((_CUSTOMER, order.customer))
     if order.priority is not None:
-        headers.append((_PRIORITY, str(min(max(order.priority, 0), _LAST_PRIORITY))))
+        headers.append((_PRIORITY, str(min(max(order.priority, 0), _LOWEST_PRIORITY))))
     if order.resume_after is not None:
         headers.append((_LAST_EVENT, str(order.resume_after)))
     if order.fetch_from is not None:
@@ -122,7 +122,7 @@
 
 
 def caller_headers(head: AnswerHead) -> Headers:
-    """Return an endpoint's headers as the caller gets them."""
+    """Return an endpoint's headers without hop-by-hop headers, for the caller."""
     return tuple(_forwarded(head.headers, frozenset()))
 
 
@@ -132,7 +132,7 @@
 
 
 def is_signed(head: AnswerHead) -> bool:
-    """Return whether an answer bears an endpoint's signature."""
+    """Return whether a response has an endpoint's signature header."""
     return bool(head.header(_SIGNATURE))
 
 
@@ -143,38 +143,40 @@
         if name == "connection"
         for token in value.split(",")
     }
-    # A caller can't have the system's own headers dropped by naming them.
+    # A caller must not have required headers dropped by listing them here.
     named -= {REQUEST_ID, "host"}
     for name, value in headers:
-        if name not in _PER_CONNECTION and name not in dropped and name not in named:
+        if name not in _HOP_BY_HOP and name not in dropped and name not in named:
             yield name, value
 
 
 def _number(request: Request, name: str) -> int | None:
-    written = request.header(name)
-    if not written:
+    value = request.header(name)
+    if not value:
         return None
-    if not written.isdecimal() or len(written) > _MOST_DIGITS:
-        raise ValueMalformed(f"{name} is no number", field=name)
-    return int(written)
+    if not value.isdecimal() or len(value) > _MAX_DIGITS:
+        raise ValueMalformed(f"{name} is not a number", field=name)
+    return int(value)
 
 
-def _token_counts(written: str) -> tuple[int | None, int]:
-    if not written:
+def _token_counts(value: str) -> tuple[int | None, int]:
+    if not value:
         return None, 0
-    numbers = [part.strip() for part in written.split(",")]
+    numbers = [part.strip() for part in value.split(",")]
     if len(numbers) != 2 or not all(
-        part.isdecimal() and len(part) <= _MOST_DIGITS for part in numbers
+        part.isdecimal() and len(part) <= _MAX_DIGITS for part in numbers
     ):
         raise ValueMalformed(f"{_TOKENS} is not two numbers", field=_TOKENS)
     return int(numbers[0]), int(numbers[1])
 
 
-def _parts(written: str) -> tuple[PromptPart, ...]:
+def _parts(value: str) -> tuple[PromptPart, ...]:
     parts = []
-    for item in filter(None, (part.strip() for part in written.split(","))):
+    for item in filter(None, (part.strip() for part in value.split(","))):
         name, _, tokens = item.partition(":")
-        if not tokens.isdecimal() or len(tokens) > _MOST_DIGITS:
-            raise ValueMalformed(f"{_PREFIX} has a part without tokens", field=_PREFIX)
+        if not tokens.isdecimal() or len(tokens) > _MAX_DIGITS:
+            raise ValueMalformed(
+                f"{_PREFIX} has a part without a token count", field=_PREFIX
+            )
         parts.append(PromptPart(name, int(tokens)))
     return tuple(parts)
--- a/src/sassafrasdale/platform/rollouts.py
+++ b/src/sassafrasdale/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Operators' orders of roll-outs in the platform's store, and what they are told."""
+"""Rollout orders of the operators and their statuses in the platform's store."""
 
 from datetime import timedelta
 from typing import Literal
@@ -14,15 +14,15 @@
 
 ORDERS_PREFIX = "op/rollout/"
 STATUS_PREFIX = "status/rollout/"
-# A longer roll-out is a slip of the operator's.
-LONGEST = timedelta(days=7)
+# A longer duration is taken for a mistake of the operator.
+MAX_DURATION = timedelta(days=7)
 
 _STATES = {
     "running": RolloutState.RUNNING,
     "complete": RolloutState.COMPLETE,
     "rolled_back": RolloutState.ROLLED_BACK,
 }
-_WORDS = {state: word for word, state in _STATES.items()}
+_STATE_NAMES = {state: name for name, state in _STATES.items()}
 
 
 class _Model(BaseModel):
@@ -32,7 +32,7 @@
 class _Order(_Model):
     service: str = Field(min_length=1)
     target: str = Field(min_length=1)
-    over_s: float = Field(alias="overS", gt=0, le=LONGEST.total_seconds())
+    over_s: float = Field(alias="overS", gt=0, le=MAX_DURATION.total_seconds())
 
 
 class _Status(_Model):
@@ -41,24 +41,24 @@
 
 
 def status_key(service: str) -> str:
-    """Return the key of what the operator is told of a service's roll-out."""
+    """Return the key of the rollout status of a service."""
     return STATUS_PREFIX + service
 
 
 def order_key(service: str) -> str:
-    """Return the key of the order for a service."""
+    """Return the key of the rollout order for a service."""
     return ORDERS_PREFIX + service
 
 
 def ordered_service(key: str) -> str:
-    """Return the service that the key of an order names."""
+    """Return the service in the key of a rollout order."""
     return key.removeprefix(ORDERS_PREFIX)
 
 
 def decode_order(key: str, value: bytes) -> RolloutOrder:
-    """Return the order that a stored value holds.
+    """Return the order in a stored value.
 
-    :raises ValueMalformed: if it has another form, or is for another service.
+    :raises ValueMalformed: if it is malformed, or is for another service.
     """
     try:
         order = _Order.model_validate_json(value)
@@ -70,9 +70,9 @@
 
 
 def decode_status(key: str, value: bytes) -> RolloutStatus:
-    """Return what the operator was told.
+    """Return the status in a stored value.
 
-    :raises ValueMalformed: if it has another form.
+    :raises ValueMalformed: if it is malformed.
     """
     try:
         status = _Status.model_validate_json(value)
@@ -83,6 +83,6 @@
 
 
 def encode_status(status: RolloutStatus) -> bytes:
-    """Return the value that tells the operator."""
-    written = _Status(state=_WORDS[status.state], target=status.target)
-    return written.model_dump_json().encode()
+    """Return the stored value for a status."""
+    document = _Status(state=_STATE_NAMES[status.state], target=status.target)
+    return document.model_dump_json().encode()
--- a/src/sassafrasdale/platform/settings.py
+++ b/src/sassafrasdale/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Decoder of the settings file that the platform writes for each process."""
 
 import json
 from collections.abc import Mapping
@@ -21,7 +21,7 @@
 
 
 class _Model(BaseModel):
-    # The platform adds fields as it grows; those unknown here are ignored.
+    # Future versions of the platform may add fields; unknown ones are ignored.
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
@@ -74,10 +74,10 @@
 
 
 def read_settings(environ: Mapping[str, str]) -> GatewaySettings:
-    """Return the settings in the file that the environment names.
+    """Return the settings in the file that the environment variable names.
 
     :raises SettingsFileError: if there is no such file or it is not JSON.
-    :raises SettingsFileFaults: if fields are missing or wrong.
+    :raises SettingsFileFaults: if fields are missing or invalid.
     """
     path = environ.get(PATH_VARIABLE, "")
     if not path:
@@ -92,9 +92,9 @@
 
 
 def decode_settings(fields: object) -> GatewaySettings:
-    """Return the settings that the file's fields give.
+    """Return the settings in the fields of the file.
 
-    :raises SettingsFileFaults: if fields are missing or wrong.
+    :raises SettingsFileFaults: if fields are missing or invalid.
     """
     try:
         file = _File.model_validate(fields)
@@ -112,9 +112,9 @@
     return ".".join(str(part) for part in location)
 
 
-def _address(field: str, written: str) -> Address:
+def _address(field: str, value: str) -> Address:
     try:
-        return Address.parse(written)
+        return Address.parse(value)
     except ValueError as error:
         raise SettingsFileFaults(
             [ValueMalformed(f"{field}: {error}", field=field)]
@@ -136,7 +136,7 @@
         reports_usage=USAGE_DUTY in duties,
         orders_endpoints=SCALE_DUTY in duties,
         bounds=_bounds(file.bounds, file.platform),
-        # A core is as many times as fast as the file counts cores.
+        # The file's number of cores stands for the relative speed of one core.
         power=file.limits.cpu_share * file.limits.cores,
     )
 
--- a/src/sassafrasdale/platform/store.py
+++ b/src/sassafrasdale/platform/store.py
@@ -31,16 +31,16 @@
 from sassafrasdale.http.messages import Answer, Request
 from sassafrasdale.structures import Address
 
-# A call is answered in milliseconds; one that takes longer has lost its answer or
-# meets a store in trouble.
+# The store normally answers in milliseconds. A longer call has lost its response, or
+# the store is failing.
 CALL_LIMIT = timedelta(seconds=1.5)
-# The store is milliseconds away; what isn't open by now won't be soon. A call that
-# begins as the store is about to return must not hold its caller up for long.
+# The store is milliseconds away, so a connection that takes longer is unlikely to open.
+# A call that starts shortly before the store recovers must not block for long.
 CONNECT_LIMIT = timedelta(milliseconds=500)
-# A watch's answer may come this much after the time that it asked for.
+# Extra time for the response of a watch beyond its requested wait.
 WATCH_MARGIN = timedelta(seconds=1)
-# A watch that is not meant to wait.
-SHORTEST_WAIT = timedelta(milliseconds=1)
+# Wait of a watch that only polls for changes.
+MIN_WAIT = timedelta(milliseconds=1)
 _JSON = (("content-type", "application/json"),)
 
 
@@ -48,7 +48,7 @@
 class Change:
     """One change of a key.
 
-    :param value: what was written; None if the key was deleted.
+    :param value: the written value; None if the key was deleted.
     """
 
     key: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Keys below a prefix, and the revision from which to follow them."""
+    """Keys with a prefix, and the revision from which to watch them."""
 
     values: tuple[StoredValue, ...]
     revision: int
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What a watch returned, and the revision from which to go on."""
+    """Result of a watch, and the revision from which to continue."""
 
     events: tuple[Change, ...]
     revision: int
 
 
 class PlatformStore(BaseStore):
-    """The platform's store behind the package's own contract.
+    """Client of the platform's store, with the package's store interface.
 
     :param address: the store's address.
     :param clock: source of elapsed time.
@@ -81,16 +81,16 @@
 
     def __init__(self, address: Address, clock: Clock) -> None:
         self._client = HttpClient(address, clock, CONNECT_LIMIT)
-        # A watch holds its connection for long; calls must not share its fate.
+        # A watch blocks its connection, and dropping watches must not affect calls.
         self._watches = HttpClient(address, clock, CONNECT_LIMIT)
         self._drops = 0
 
     def get(self, key: str) -> StoredValue | None:
-        """Return what ``key`` holds."""
-        answer = self._call("GET", "/v1/kv-key?" + urlencode({"key": key}))
-        if answer.status == 404:
+        """Return the value of ``key``."""
+        response = self._call("GET", "/v1/kv-key?" + urlencode({"key": key}))
+        if response.status == 404:
             return None
-        return _stored_value(_document(answer))
+        return _stored_value(_document(response))
 
     def revision_of(self, key: str) -> int:
         """Return the revision of the last write of ``key``, 0 if there is none."""
@@ -107,10 +107,10 @@
         return values[:limit] if limit else values
 
     def snapshot(self, prefix: str) -> Snapshot:
-        """Return the keys that begin with ``prefix``, and where to follow them from.
+        """Return the keys that begin with ``prefix``, and the revision to watch from.
 
-        Pages are read one after the other, so the first page's revision counts:
-        what changes meanwhile is seen again by the watch.
+        The revision is that of the first page: changes made while later pages are
+        read are returned again by the watch.
         """
         values: list[StoredValue] = []
         revision = 0
@@ -125,7 +125,7 @@
             after = page["items"][-1]["key"]
 
     def follow(self, prefix: str, after: int, limit: timedelta) -> Changes:
-        """Wait for changes below ``prefix`` beyond the revision ``after``.
+        """Wait for changes of keys with ``prefix`` after the revision ``after``.
 
         :raises StoreHistoryLost: if the store no longer has that history.
         :raises StoreWatchDropped: if :meth:`drop_watches` was called meanwhile.
@@ -141,11 +141,11 @@
             raise
 
     def changes(self, prefix: str, after: int) -> Changes:
-        """Return the changes below ``prefix`` beyond ``after`` that there are now.
+        """Return the current changes of keys with ``prefix`` after revision ``after``.
 
         :raises StoreHistoryLost: if the store no longer has that history.
         """
-        return self._changes(prefix, after, SHORTEST_WAIT, CALL_LIMIT, self._client)
+        return self._changes(prefix, after, MIN_WAIT, CALL_LIMIT, self._client)
 
     def _changes(
         self,
@@ -158,17 +158,19 @@
         query = urlencode(
             {"prefix": prefix, "after": after, "waitMs": milliseconds(wait)}
         )
-        answer = self._call("GET", "/v1/kv-watch?" + query, limit=limit, client=client)
-        if answer.status == 410:
+        response = self._call(
+            "GET", "/v1/kv-watch?" + query, limit=limit, client=client
+        )
+        if response.status == 410:
             raise StoreHistoryLost(f"changes of {prefix} after {after} are gone")
-        document = _document(answer)
+        document = _document(response)
         return Changes(
             tuple(_change(item) for item in document["events"]),
             max(after, document["at"]),
         )
 
     def drop_watches(self) -> None:
-        """Give up the watches that wait now, so that they are asked for anew."""
+        """Cancel the current watches, so that their callers start new ones."""
         self._drops += 1
         self._watches.abort()
 
@@ -184,7 +186,7 @@
     ) -> Swap:
         """Write ``key`` if its last write still has ``mod_revision``.
 
-        :param unchanged: revisions that other keys must have, too.
+        :param unchanged: required revisions of other keys.
         """
         others = [_write(name, other, None) for name, other in (also or {}).items()]
         writes = [_write(key, value, lease), *others]
@@ -199,7 +201,7 @@
         )
 
     def put(self, key: str, value: bytes, lease: Lease | None = None) -> None:
-        """Write ``key`` whatever it holds."""
+        """Write ``key`` unconditionally."""
         self._commit([], [_write(key, value, lease)])
 
     def delete(self, key: str) -> None:
@@ -214,8 +216,8 @@
 
     def keep_alive(self, lease: Lease) -> None:
         """Extend ``lease`` to its whole time to live from now."""
-        answer = self._call("POST", f"/v1/kv-keep/{lease.id}")
-        if answer.status == 404:
+        response = self._call("POST", f"/v1/kv-keep/{lease.id}")
+        if response.status == 404:
             raise LeaseNotFound(f"lease {lease.id} has ended")
 
     def revoke(self, lease: Lease) -> None:
@@ -233,17 +235,17 @@
         self, conditions: Iterable[tuple[str, int]], writes: Iterable[dict]
     ) -> tuple[Swap, ...]:
         conditions = list(conditions)
-        answer = self._transaction(
+        response = self._transaction(
             {
                 "ifRev": [{"key": key, "rev": rev} for key, rev in conditions],
                 "writes": list(writes),
                 "delete": [],
             }
         )
-        if answer.status == 404:
+        if response.status == 404:
             raise LeaseNotFound("the lease has ended")
-        document = _document(answer, also=(412,))
-        if answer.status == 412:
+        document = _document(response, also=(412,))
+        if response.status == 412:
             held = {item["key"]: item for item in document["items"]}
             return tuple(
                 Swap(False, 0, _stored_value(held[key]) if held.get(key) else None)
@@ -266,19 +268,19 @@
         data = b"" if body is None else json.dumps(body).encode()
         request = Request(method, target, _JSON if data else (), data)
         try:
-            answer = (client or self._client).call(request, limit)
+            response = (client or self._client).call(request, limit)
         except NotConnected as error:
             raise StoreNotReached(error.message) from error
         except HttpError as error:
             raise StoreAnswerLost(error.message) from error
-        match answer.status:
+        match response.status:
             case 429:
-                raise StoreOverloaded("the store refuses calls over its rate")
+                raise StoreOverloaded("the store's rate limit was exceeded")
             case 503:
-                raise StoreNotReached("the store does nothing now")
+                raise StoreNotReached("the store is unavailable")
             case 400 | 403 | 413:
-                raise StoreRejected(f"the store rejected a call: {answer.status}")
-        return answer
+                raise StoreRejected(f"the store rejected a call: {response.status}")
+        return response
 
 
 def _write(key: str, value: bytes, lease: Lease | None) -> dict:
@@ -288,13 +290,13 @@
     return written
 
 
-def _document(answer: Answer, also: tuple[int, ...] = ()) -> dict:
-    if answer.status != 200 and answer.status not in also:
-        raise StoreRejected(f"the store answered {answer.status}")
+def _document(response: Answer, also: tuple[int, ...] = ()) -> dict:
+    if response.status != 200 and response.status not in also:
+        raise StoreRejected(f"the store answered {response.status}")
     try:
-        return json.loads(answer.body)
+        return json.loads(response.body)
     except ValueError as error:
-        raise StoredValueMalformed("the store's answer is not JSON") from error
+        raise StoredValueMalformed("the store's response is not JSON") from error
 
 
 def _stored_value(item: dict) -> StoredValue | None:
--- a/tests/platform/documents.py
+++ b/tests/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents as the platform writes them, with figures of the tests' own."""
+"""Sample documents in the platform's format, with values chosen for the tests."""
 
 import copy
 from typing import Any
@@ -117,10 +117,10 @@
 
 
 def settings(**changed: Any) -> dict[str, Any]:
-    """Return settings with other values for some fields."""
+    """Return the settings with some fields replaced."""
     return {**copy.deepcopy(SETTINGS), **changed}
 
 
 def configuration(**changed: Any) -> dict[str, Any]:
-    """Return a configuration with other values for some fields."""
+    """Return the configuration with some fields replaced."""
     return {**copy.deepcopy(CONFIGURATION), **changed}
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the adapter."""
+"""The platform's names appear only in the adapter."""
 
 from pathlib import Path
 
@@ -6,7 +6,7 @@
 
 PACKAGE = Path(__file__).parents[2] / "src" / "sassafrasdale"
 ADAPTER = PACKAGE / "platform"
-# Names on the platform's wire and in its files, in lower case.
+# Names in the platform's protocol and files, in lower case.
 NAMES = (
     "allowresume",
     "api-key",
@@ -43,7 +43,7 @@
     "usagewindows",
     "zoneprices",
 )
-# More of them, which nothing here reads.
+# More names of the platform that the adapter does not read.
 UNREAD_NAMES = ("coldleftms", "gapaimms", "goalms", "leaves_ms", "maxconns")
 MODULES = sorted(
     path
@@ -55,11 +55,11 @@
 @pytest.mark.parametrize(
     "path", MODULES, ids=lambda path: str(path.relative_to(PACKAGE))
 )
-def test_no_name_of_the_platforms_outside_the_adapter(path):
+def test_platform_names_are_absent_outside_the_adapter(path):
     text = path.read_text(encoding="utf-8").lower()
     assert [name for name in NAMES + UNREAD_NAMES if name in text] == []
 
 
-def test_the_adapter_has_them():
+def test_the_adapter_uses_all_names():
     text = "".join(path.read_text("utf-8").lower() for path in ADAPTER.rglob("*.py"))
     assert [name for name in NAMES if name not in text] == []
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the store holds it."""
+"""Decoding of the operators' configuration."""
 
 import json
 from datetime import timedelta
@@ -41,16 +41,16 @@
     assert decoded().limits.idle_timeout == timedelta(seconds=15)
 
 
-def test_what_is_unknown_is_ignored():
+def test_unknown_fields_are_ignored():
     assert decoded(newField=[1]).version == 7
 
 
-def test_the_fault_is_named():
+def test_the_error_names_the_field():
     with pytest.raises(ValueMalformed) as caught:
         decoded(version="seven")
     assert caught.value.field == "version"
 
 
-def test_no_json():
+def test_invalid_json():
     with pytest.raises(ValueMalformed):
         decode_configuration(b"{")
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's list of endpoints, by endpoints and by other writers."""
+"""Decoding of endpoint registrations, from endpoints and from other writers."""
 
 import json
 
@@ -8,7 +8,7 @@
 from sassafrasdale.platform.endpoints import decode_endpoint
 from sassafrasdale.platform.exceptions import ValueMalformed
 
-ENTRY = {
+REGISTRATION = {
     "service": "records",
     "addr": "10.1.0.4:8080",
     "zone": "a",
@@ -18,10 +18,10 @@
 
 
 def decode(**changed):
-    return decode_endpoint("servers/i-1", json.dumps(ENTRY | changed).encode())
+    return decode_endpoint("servers/i-1", json.dumps(REGISTRATION | changed).encode())
 
 
-def test_an_entry():
+def test_a_registration():
     endpoint = decode(spot=True, born=1_790_000_000_000, calls=4, version="v2")
     assert endpoint.name == "i-1"
     assert endpoint.state is EndpointState.READY
@@ -30,7 +30,7 @@
     assert endpoint.version == "v2"
 
 
-def test_an_entry_without_a_time_of_birth():
+def test_a_registration_without_a_start_time():
     assert decode().born is None
 
 
@@ -57,24 +57,26 @@
     ],
     ids=str,
 )
-def test_a_field_of_another_form_names_no_endpoint(changed):
-    """A caller would be sent to an address that no endpoint gave.
+def test_a_malformed_field_is_rejected(changed):
+    """Guards against requests to an address that no endpoint registered.
 
-    Another program writes below the list's prefix. Its fields have the names of the
-    list's, and values that no endpoint writes.
+    Another program writes below the same prefix. Its fields have the same names, and
+    values that no endpoint writes.
     """
     with pytest.raises(ValueMalformed):
         decode(**changed)
 
 
 @pytest.mark.parametrize("missing", ["service", "addr", "zone", "state"])
-def test_a_missing_field_names_no_endpoint(missing):
-    entry = {name: value for name, value in ENTRY.items() if name != missing}
+def test_a_missing_field_is_rejected(missing):
+    registration = {
+        name: value for name, value in REGISTRATION.items() if name != missing
+    }
     with pytest.raises(ValueMalformed):
-        decode_endpoint("servers/i-1", json.dumps(entry).encode())
+        decode_endpoint("servers/i-1", json.dumps(registration).encode())
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff\xfe", b"[]", b"7", b"{", b"null"])
-def test_bytes_that_are_no_entry_name_no_endpoint(value):
+def test_bytes_of_another_format_are_rejected(value):
     with pytest.raises(ValueMalformed):
         decode_endpoint("servers/i-1", value)
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers between callers, the system and endpoints."""
+"""HTTP headers between callers, gateways and endpoints."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -44,7 +44,7 @@
     assert traits.parts[1] == PromptPart("91bd", 410)
 
 
-def test_nothing_is_said():
+def test_traits_without_headers():
     traits = read_traits(request())
     assert traits.deadline is None
     assert traits.prompt_tokens is None
@@ -66,11 +66,11 @@
         read_traits(request(**headers))
 
 
-def test_what_is_the_systems_to_set_is_replaced():
-    """A caller could choose an endpoint, a customer or a priority of its own.
+def test_gateway_headers_of_callers_are_replaced():
+    """Guards against a caller that chooses its own endpoint, customer or priority.
 
-    It sends the headers that the system uses towards endpoints; none of its values
-    may arrive, and its key must not, either.
+    It sends the headers that the gateway sets for endpoints. None of its values may
+    reach an endpoint, nor may its API key.
     """
     forged = request(
         request_id="9c",
@@ -99,7 +99,7 @@
     assert (sent.method, sent.target, sent.body) == ("POST", "/a/?q=1", b"body")
 
 
-def test_headers_of_one_connection_are_dropped():
+def test_hop_by_hop_headers_are_dropped():
     sent = endpoint_request(
         request(
             connection="close, x-hop, request-id", x_hop="1", te="t", request_id="9"
@@ -113,7 +113,7 @@
     assert "request-id" in names
 
 
-def test_an_endpoints_headers_go_to_the_caller():
+def test_an_endpoints_headers_are_forwarded_to_the_caller():
     head = AnswerHead(
         200,
         (
@@ -137,11 +137,11 @@
         (AnswerHead(500), False),
     ],
 )
-def test_only_the_endpoint_says_that_it_did_not_run(head, expected):
+def test_not_run_requires_a_statement_of_the_endpoint(head, expected):
     assert says_not_run(head) is expected
 
 
-def test_an_engine_is_told_where_a_prompt_is_kept():
+def test_an_engine_gets_the_address_to_fetch_a_prompt_from():
     order = replace(ORDER, fetch_from=Address("10.1.0.4", 80))
     sent = endpoint_request(Request("POST", "/"), order)
     assert sent.header("kv-fetch") == "10.1.0.4:80"
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs in the platform's store, and what operators are told."""
+"""Encoding of rollout orders and statuses in the platform's store."""
 
 import json
 from datetime import timedelta
@@ -27,7 +27,7 @@
     return decode_order(order_key("models"), value)
 
 
-def test_an_order_is_read():
+def test_an_order():
     expected = RolloutOrder("models", "v2", timedelta(seconds=12))
     assert decoded() == expected
     assert decoded(somethingNew=1) == expected
@@ -45,29 +45,29 @@
         {"overS": 1e300},
     ],
 )
-def test_a_malformed_order_is_none(changed):
+def test_a_malformed_order_is_rejected(changed):
     with pytest.raises(ValueMalformed):
         decoded(**changed)
 
 
 @pytest.mark.parametrize("value", [b"", b"\xff", b"[]", b"null"])
-def test_what_is_no_order_is_none(value):
+def test_bytes_of_another_format_are_rejected(value):
     with pytest.raises(ValueMalformed):
         decode_order(order_key("models"), value)
 
 
 @pytest.mark.parametrize("state", RolloutState)
-def test_what_is_told_can_be_read_again(state):
+def test_a_status_round_trip(state):
     status = RolloutStatus("models", "v2", state)
     assert decode_status(status_key("models"), encode_status(status)) == status
 
 
-def test_operators_are_told_in_their_words():
+def test_the_format_of_a_status():
     status = RolloutStatus("models", "v2", RolloutState.ROLLED_BACK)
-    told = json.loads(encode_status(status))
-    assert told == {"state": "rolled_back", "target": "v2"}
+    document = json.loads(encode_status(status))
+    assert document == {"state": "rolled_back", "target": "v2"}
 
 
-def test_a_malformed_status_is_none():
+def test_a_malformed_status_is_rejected():
     with pytest.raises(ValueMalformed):
         decode_status(status_key("models"), b'{"state": "done", "target": "v2"}')
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Decoding of the platform's settings file."""
 
 import json
 from datetime import timedelta
@@ -16,14 +16,14 @@
 
 
 @pytest.mark.parametrize("share", [0, 0.1, 1])
-def test_any_share_of_a_version_on_trial_is_taken(share):
-    """Guards against a gateway that does not start where none is allowed."""
+def test_any_canary_share_is_accepted(share):
+    """Guards against a gateway that does not start with a canary share of zero."""
     fields = settings()
     fields["bounds"]["canaryShare"] = share
     assert decode_settings(fields).bounds.trial_share == share
 
 
-def test_figures_come_from_the_file():
+def test_values_come_from_the_file():
     decoded = decode_settings(settings())
     assert decoded.name == "front-a-1"
     assert decoded.address == Address("127.0.0.1", 7001)
@@ -37,13 +37,13 @@
     assert decoded.bounds.retry_slack == 33
 
 
-def test_no_duties_without_the_platforms_interface():
+def test_no_duties_without_a_cloud_address():
     decoded = decode_settings(settings(cloud=None))
     assert decoded.cloud is None
     assert not decoded.reports_usage
 
 
-def test_all_faults_are_told_with_their_fields():
+def test_all_faults_are_reported_with_their_fields():
     faulty = settings(node=None, portRange="x")
     with pytest.raises(SettingsFileFaults) as caught:
         decode_settings(faulty)
@@ -51,21 +51,21 @@
     assert fields == {"node", "portRange"}
 
 
-def test_an_address_that_is_none():
+def test_an_invalid_address():
     faulty = settings(listen={"front": "nowhere", "ready": "127.0.0.1:1"})
     with pytest.raises(SettingsFileFaults) as caught:
         decode_settings(faulty)
     assert caught.value.exceptions[0].field == "listen.front"
 
 
-def test_the_file_is_found_by_the_environment(tmp_path):
+def test_the_environment_names_the_file(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(settings()), encoding="utf-8")
     assert read_settings({PATH_VARIABLE: str(path)}).name == "front-a-1"
 
 
 @pytest.mark.parametrize("content", ["", "{", None])
-def test_a_file_that_cannot_be_read(tmp_path, content):
+def test_an_unreadable_file(tmp_path, content):
     path = tmp_path / "settings.json"
     if content is not None:
         path.write_text(content, encoding="utf-8")
@@ -73,6 +73,6 @@
         read_settings({PATH_VARIABLE: str(path)})
 
 
-def test_no_file_is_named():
+def test_a_missing_environment_variable():
     with pytest.raises(SettingsFileError):
         read_settings({})
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -26,11 +26,11 @@
     return PlatformStore(platform.serve(Address("127.0.0.1", 0)), CLOCK)
 
 
-def test_a_watch_in_a_silence_is_given_up_at_once(platform, store):
-    """A change would be seen seconds late, when the watch runs out of its time.
+def test_a_watch_from_an_outage_is_cancelled_at_once(platform, store):
+    """Guards against a change that is seen seconds late, after the watch times out.
 
-    The watch is sent into a silence; the store is back and has a change, and the watch
-    is dropped. The next one brings the change.
+    The watch is sent during an outage. The store recovers and has a change, and the
+    watch is dropped; the next one returns the change.
     """
     platform.fault = Fault.SILENT
     task = spawn(store.follow, "p/", 1, WAIT)
@@ -46,7 +46,7 @@
     assert CLOCK.elapsed() - began < WAIT / 2
 
 
-def test_dropping_watches_leaves_other_calls_alone(platform, store):
+def test_dropping_watches_does_not_affect_other_calls(platform, store):
     platform.put("p/a", 1)
     task = spawn(store.get, "p/a")
     sleep()
--- a/tests/stalls.py
+++ b/tests/stalls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from sassafrasdale.green import adopt, receive, sleep, spawn
+from sassafrasdale.green import make_green, receive, sleep, spawn
 
 
 def hold_up(pause: timedelta, first: Callable[[], object] = lambda: None) -> None:
@@ -26,4 +26,4 @@
 def green_pair() -> tuple[socket.socket, socket.socket]:
     """Return a green socket and the plain one at its other end."""
     here, there = socket.socketpair()
-    return adopt(here), there
+    return make_green(here), there
