--- a/src/sassafrasdale/http/connections.py
+++ b/src/sassafrasdale/http/connections.py
@@ -1,8 +1,8 @@
-"""Client connections: one request at a time, answers matched to requests.
+"""HTTP client connections: one request at a time, with responses matched to requests.
 
-h11 does the protocol and this module the sockets. Unlike urllib3's, a connection
-here can be closed by another task while its own task waits for an answer, shows
-bytes that came after an answer, and reads an answer while the body is still sent.
+h11 handles the protocol and this module the sockets. Unlike in urllib3, another task
+can close a connection while its own task waits for a response, surplus bytes after a
+response are detected, and a response can be read while the request body is still sent.
 """
 
 import socket
@@ -32,19 +32,20 @@
 from sassafrasdale.structures import Address
 
 READ_BYTES = 65_536
-# A request up to this size fits into the socket's buffers, so sending it can't
-# block on a peer that answers before it has read everything.
-SENT_AT_ONCE_BYTES = 4096
-# Answers to other requests that are passed over while one's own is awaited.
-MOST_STRAY_ANSWERS = 4
-# Largest body that is kept in memory as a whole.
+# A request up to this size fits into the socket's buffers, so sending it can't block on
+# a server that responds before it has read everything.
+MAX_INLINE_SEND_BYTES = 4096
+# Responses to other requests that are skipped while waiting for the right one.
+MAX_STRAY_RESPONSES = 4
+# Maximum size of a response body that is read into memory.
 MAX_BODY_BYTES = 64 * 1024 * 1024
-# An endpoint's own idle limit, less this, so that a request doesn't cross its close.
-IDLE_MARGIN = timedelta(seconds=1)
+# Subtracted from the server's keep-alive timeout, so that no request is sent as the
+# server closes the connection.
+KEEP_ALIVE_MARGIN = timedelta(seconds=1)
 
 
 class Reach(Enum):
-    """What an address makes of a new connection."""
+    """Result of a connection probe."""
 
     OPEN = auto()
     REFUSED = auto()
@@ -58,8 +59,8 @@
 
         connection = HttpConnection.open(address, timedelta(seconds=1), clock)
         connection.send(request)
-        head = connection.read_head(until)
-        while data := connection.read_data(until):
+        head = connection.read_head(deadline)
+        while data := connection.read_data(deadline):
             ...
 
     :param sock: a connected green socket.
@@ -74,11 +75,11 @@
         self._events: list[h11.Request | h11.Data | h11.EndOfMessage] = []
         self._closed = False
         self._sending = False
-        self._ended_by_peer = False
+        self._closed_by_peer = False
         self._reading = False
-        self._keeps_until: timedelta | None = None
+        self._reusable_until: timedelta | None = None
         self.used_at = clock.elapsed()
-        self.answers = 0
+        self.responses = 0
 
     @classmethod
     def open(cls, address: Address, limit: timedelta, clock: Clock) -> "HttpConnection":
@@ -95,33 +96,33 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether this end closed the connection."""
+        """Whether the connection was closed locally."""
         return self._closed
 
     @property
     def is_reusable(self) -> bool:
-        """Whether the last answer ended so that another request may follow."""
+        """Whether the last exchange is complete, so that another request may follow."""
         codec = self._codec
         return (
             not self._closed
             and not self._sending
-            and not self._ended_by_peer
+            and not self._closed_by_peer
             and codec.our_state is h11.IDLE
             and not codec.trailing_data[0]
         )
 
-    def is_idle_and_sound(self) -> bool:
-        """Return whether an idle connection can take a request now.
+    def is_idle_and_healthy(self) -> bool:
+        """Return whether an idle connection can be used for a request now.
 
-        Bytes on an idle connection belong to no request, and an end of the stream
-        means that the server has closed it.
+        Bytes on an idle connection belong to no request, and an end of file means
+        that the server has closed it.
         """
         if not self.is_reusable:
             return False
-        keeps_until = self._keeps_until
-        if keeps_until is not None and self._clock.elapsed() >= keeps_until:
+        reusable_until = self._reusable_until
+        if reusable_until is not None and self._clock.elapsed() >= reusable_until:
             return False
-        # A green socket's own `fd` is the plain non-blocking one.
+        # The `fd` of a green socket is the underlying non-blocking socket.
         try:
             self._sock.fd.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -131,9 +132,10 @@
         return False
 
     def send(self, request: Request) -> None:
-        """Send a request; a long body goes out while the answer is awaited.
+        """Send a request; a long body is sent in the background.
 
-        :raises ConnectionLost: if the connection breaks; it may have been read.
+        :raises ConnectionLost: if the connection fails; the server may have read the
+            request.
         """
         self._head = None
         framing = [("content-length", str(len(request.body)))]
@@ -149,53 +151,53 @@
         if request.body:
             self._events.insert(1, h11.Data(data=request.body))
         data = b"".join(self._codec.send(event) or b"" for event in self._events)
-        if len(data) <= SENT_AT_ONCE_BYTES:
+        if len(data) <= MAX_INLINE_SEND_BYTES:
             self._send_bytes(data)
             return
         self._sending = True
         spawn(self._send_in_background, data)
 
     def read_head(
-        self, until: timedelta, *, echoed: tuple[str, str] | None = None
+        self, deadline: timedelta, *, echoed: tuple[str, str] | None = None
     ) -> AnswerHead:
-        """Return the answer's status and headers.
+        """Return the response's status and headers.
 
-        :param until: elapsed time until which it is awaited.
-        :param echoed: header and value by which the answer shows that it belongs to
-            the request; an answer with another value is passed over. A server may
-            send a second answer to an earlier request, late.
+        :param deadline: elapsed time until which to wait.
+        :param echoed: header and value that the server echoes from the request. A
+            response with another value is skipped: a server may send a late second
+            response to an earlier request.
         :raises ConnectionLost: if the server closes first.
-        :raises AnswerTimeout: if the time runs out.
-        :raises MalformedAnswer: if what comes is no answer.
+        :raises AnswerTimeout: if the deadline passes.
+        :raises MalformedAnswer: if the server sends no valid response.
         """
-        for _ in range(MOST_STRAY_ANSWERS):
-            head = self._read_own_head(until)
+        for _ in range(MAX_STRAY_RESPONSES):
+            head = self._next_head(deadline)
             if echoed is None or head.header(echoed[0]) in ("", echoed[1]):
                 self._head = head
                 return head
-            self._pass_over(until)
-        raise MalformedAnswer("too many answers to other requests")
+            self._skip_response(deadline)
+        raise MalformedAnswer("too many responses to other requests")
 
-    def read_data(self, until: timedelta) -> bytes:
-        """Return more of the body, or nothing at its end.
+    def read_data(self, deadline: timedelta) -> bytes:
+        """Return the next part of the body, or no bytes at its end.
 
         :raises ConnectionLost: if the server closes before the end.
-        :raises AnswerTimeout: if the time runs out.
-        :raises MalformedAnswer: if what comes is no body.
+        :raises AnswerTimeout: if the deadline passes.
+        :raises MalformedAnswer: if the server sends no valid body.
         """
-        event = self._next_event(until)
+        event = self._next_event(deadline)
         match event:
             case h11.Data():
                 return bytes(event.data)
             case _:
-                self._end_answer()
+                self._finish_response()
                 return b""
 
-    def read_body(self, until: timedelta) -> bytes:
+    def read_body(self, deadline: timedelta) -> bytes:
         """Return the whole body."""
         parts = []
         size = 0
-        while data := self.read_data(until):
+        while data := self.read_data(deadline):
             parts.append(data)
             size += len(data)
             if size > MAX_BODY_BYTES:
@@ -203,13 +205,13 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Close the connection, also under a task that waits on it."""
+        """Close the connection, even while another task waits on it."""
         if self._closed:
             return
         self._closed = True
-        # The shutdown wakes a task that reads, and that closes the socket. Closed
-        # here, the socket would leave the hub before the hub sees the shutdown, and
-        # the task would wait until its time runs out.
+        # The shutdown wakes the reading task, which then closes the socket. Closing it
+        # here would remove it from the event loop before the loop sees the shutdown,
+        # and the task would wait until its deadline.
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
         if not self._reading:
@@ -219,36 +221,38 @@
         with suppress(OSError):
             self._sock.close()
 
-    def _end_answer(self) -> None:
-        self.answers += 1
+    def _finish_response(self) -> None:
+        self.responses += 1
         self.used_at = self._clock.elapsed()
-        self._note_idle_limit()
+        self._read_keep_alive_timeout()
         codec = self._codec
         if codec.our_state is h11.DONE and codec.their_state is h11.DONE:
             codec.start_next_cycle()
 
-    def _note_idle_limit(self) -> None:
+    def _read_keep_alive_timeout(self) -> None:
         value = self._head.header("keep-alive") if self._head else ""
         for part in value.split(","):
             name, _, number = part.strip().partition("=")
             if name.lower() == "timeout" and number.isdecimal():
                 limit = timedelta(seconds=int(number))
-                self._keeps_until = self.used_at + max(limit - IDLE_MARGIN, limit / 2)
+                self._reusable_until = self.used_at + max(
+                    limit - KEEP_ALIVE_MARGIN, limit / 2
+                )
 
-    def _read_own_head(self, until: timedelta) -> AnswerHead:
+    def _next_head(self, deadline: timedelta) -> AnswerHead:
         while True:
-            event = self._next_event(until)
+            event = self._next_event(deadline)
             match event:
                 case h11.InformationalResponse():
                     continue
                 case h11.Response():
                     return AnswerHead(event.status_code, decoded_headers(event.headers))
                 case _:
-                    raise MalformedAnswer("no answer begins here")
+                    raise MalformedAnswer("expected the head of a response")
 
-    def _pass_over(self, until: timedelta) -> None:
-        """Read an answer to another request, and begin anew with what follows."""
-        while not isinstance(self._next_event(until), h11.EndOfMessage):
+    def _skip_response(self, deadline: timedelta) -> None:
+        """Skip a response to another request, and restart the codec after it."""
+        while not isinstance(self._next_event(deadline), h11.EndOfMessage):
             pass
         rest = self._codec.trailing_data[0]
         self._codec = h11.Connection(h11.CLIENT)
@@ -257,30 +261,30 @@
         if rest:
             self._codec.receive_data(rest)
 
-    def _next_event(self, until: timedelta) -> h11.Event:
+    def _next_event(self, deadline: timedelta) -> h11.Event:
         while True:
             try:
                 event = self._codec.next_event()
                 if event is h11.NEED_DATA:
-                    self._codec.receive_data(self._receive(until))
+                    self._codec.receive_data(self._receive(deadline))
                     continue
             except h11.RemoteProtocolError as error:
-                if self._ended_by_peer:
+                if self._closed_by_peer:
                     raise ConnectionLost(str(error)) from error
                 raise MalformedAnswer(str(error)) from error
             if isinstance(event, h11.ConnectionClosed):
-                raise ConnectionLost("the connection ended without an answer")
+                raise ConnectionLost("the connection was closed without a response")
             return event
 
-    def _receive(self, until: timedelta) -> bytes:
-        left = until - self._clock.elapsed()
-        if left <= timedelta():
+    def _receive(self, deadline: timedelta) -> bytes:
+        time_left = deadline - self._clock.elapsed()
+        if time_left <= timedelta():
             raise AnswerTimeout("no answer in time")
         if self._closed:
             raise ConnectionLost("closed on this side")
         self._reading = True
         try:
-            data = receive(self._sock, READ_BYTES, left)
+            data = receive(self._sock, READ_BYTES, time_left)
         except TimeoutError as error:
             raise AnswerTimeout("no answer in time") from error
         except OSError as error:
@@ -291,7 +295,7 @@
                 self._close_socket()
         if self._closed:
             raise ConnectionLost("closed on this side")
-        self._ended_by_peer = not data
+        self._closed_by_peer = not data
         return data
 
     def _send_bytes(self, data: bytes) -> None:
@@ -302,7 +306,7 @@
             raise ConnectionLost(str(error)) from error
 
     def _send_in_background(self, data: bytes) -> None:
-        # A failure shows in the task that reads: as an early answer or an end.
+        # The reading task sees a failure as an early response or a closed connection.
         try:
             self._sock.sendall(data)
             self._sending = False
@@ -311,10 +315,12 @@
 
 
 class ConnectionPool:
-    """Idle connections to one server; those in use belong to their tasks.
+    """Pool of idle connections to one server.
+
+    Connections in use belong to their tasks.
 
     :param address: the server's address.
-    :param connect_limit: longest time to connect.
+    :param connect_limit: maximum time to connect.
     :param clock: source of elapsed time.
     :param opened: called for each connection that is opened.
     """
@@ -333,25 +339,25 @@
         self._idle: list[HttpConnection] = []
 
     def take(self, newest_use: timedelta | None = None) -> HttpConnection:
-        """Return a connection that can take a request.
+        """Return a usable connection, an idle one or a new one.
 
-        :param newest_use: how long a kept connection may have been idle.
+        :param newest_use: maximum idle time of a reused connection.
         :raises NotConnected: if none can be opened.
         """
         while self._idle:
             connection = self._idle.pop()
             age = self._clock.elapsed() - connection.used_at
             fresh = newest_use is None or age <= newest_use
-            if fresh and connection.is_idle_and_sound():
+            if fresh and connection.is_idle_and_healthy():
                 return connection
             connection.close()
         self._opened()
         return HttpConnection.open(self._address, self._connect_limit, self._clock)
 
     def look(self) -> Reach:
-        """Return what the server's address makes of a new connection.
+        """Return the result of opening a new connection to the server.
 
-        One that is opened is kept for a request.
+        An open connection is kept in the pool.
         """
         self._opened()
         try:
@@ -366,21 +372,21 @@
         return Reach.OPEN
 
     def give_back(self, connection: HttpConnection) -> None:
-        """Keep a connection for the next request, or close it."""
+        """Return a connection to the pool, or close it if it can't be reused."""
         if connection.is_reusable:
             self._idle.append(connection)
         else:
             connection.close()
 
     def close(self) -> None:
-        """Close what is idle."""
+        """Close the idle connections."""
         idle, self._idle = self._idle, []
         for connection in idle:
             connection.close()
 
 
 class HttpClient:
-    """Whole calls to one server over kept connections; never repeats one.
+    """Client for complete calls to one server over pooled connections, without retries.
 
     Usage::
 
@@ -397,47 +403,48 @@
         self._address = address
         self._clock = clock
         self._pool = ConnectionPool(address, connect_limit, clock)
-        self._waiting: set[HttpConnection] = set()
+        self._active: set[HttpConnection] = set()
 
     @property
     def address(self) -> Address:
-        """Where the server is."""
+        """Address of the server."""
         return self._address
 
     def call(self, request: Request, limit: timedelta) -> Answer:
-        """Return the answer to a request.
+        """Return the response to a request.
 
         :raises NotConnected: if nothing was sent.
-        :raises HttpError: if no whole answer came; it may have been carried out.
+        :raises HttpError: if no complete response came; the server may have processed
+            the request.
         """
-        until = self._clock.elapsed() + limit
+        deadline = self._clock.elapsed() + limit
         connection = self._pool.take()
-        self._waiting.add(connection)
+        self._active.add(connection)
         try:
-            connection.send(self._addressed(request))
-            head = connection.read_head(until)
-            body = connection.read_body(until)
+            connection.send(self._with_host(request))
+            head = connection.read_head(deadline)
+            body = connection.read_body(deadline)
         except BaseException:
-            # A connection that lost an answer brings nothing more; its idle
-            # siblings may have gone silent with it.
+            # A connection that lost a response is unusable, and the idle ones may have
+            # stopped responding with it.
             connection.close()
             self._pool.close()
             raise
         finally:
-            self._waiting.discard(connection)
+            self._active.discard(connection)
         self._pool.give_back(connection)
         return Answer(head.status, head.headers, body)
 
     def close(self) -> None:
-        """Close what is idle."""
+        """Close the idle connections."""
         self._pool.close()
 
     def abort(self) -> None:
-        """Close all connections; calls that wait for an answer end as lost."""
-        for connection in list(self._waiting):
+        """Close all connections; pending calls raise :class:`ConnectionLost`."""
+        for connection in list(self._active):
             connection.close()
         self._pool.close()
 
-    def _addressed(self, request: Request) -> Request:
+    def _with_host(self, request: Request) -> Request:
         headers = (("host", str(self._address)), *request.headers)
         return Request(request.method, request.target, headers, request.body)
--- a/src/sassafrasdale/http/exceptions.py
+++ b/src/sassafrasdale/http/exceptions.py
@@ -1,10 +1,10 @@
-"""Errors of the HTTP layer."""
+"""Exceptions of the HTTP layer."""
 
 from sassafrasdale.exceptions import SassafrasdaleError
 
 
 class HttpError(SassafrasdaleError):
-    """Base class of the HTTP layer's errors."""
+    """Base class of the HTTP layer's exceptions."""
 
 
 class NotConnected(HttpError):
@@ -12,25 +12,25 @@
 
 
 class ConnectionRefused(NotConnected):
-    """The instance is there, and no process takes connections at the address."""
+    """The instance is up, but no process listens at the address."""
 
 
 class ConnectionLost(HttpError):
-    """The other end closed or reset the connection before the message ended."""
+    """The peer closed or reset the connection before the message was complete."""
 
 
 class AnswerTimeout(HttpError):
-    """The time for an answer ran out."""
+    """No response arrived before the deadline."""
 
 
 class MalformedAnswer(HttpError):
-    """The other end sent bytes that are no answer in the protocol."""
+    """The server sent bytes that are not a valid response."""
 
 
 class MalformedRequest(HttpError):
-    """A caller sent bytes that are no request in the protocol.
+    """A caller sent bytes that are not a valid request.
 
-    :param status: status code to refuse it with.
+    :param status: status code of the error response.
     """
 
     def __init__(self, message: str, status: int = 400) -> None:
--- a/src/sassafrasdale/http/messages.py
+++ b/src/sassafrasdale/http/messages.py
@@ -1,17 +1,17 @@
-"""Requests and answers as the HTTP layer hands them on."""
+"""Requests and responses of the HTTP layer."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 Headers = tuple[tuple[str, str], ...]
-"""Names in lower case, and values, in the order in which they came."""
+"""Pairs of lower-case name and value, in the order of arrival."""
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     """A request with its whole body.
 
-    :param target: path and query as they were sent.
+    :param target: path and query, unchanged from the request line.
     """
 
     method: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Status and headers of an answer whose body follows."""
+    """Status and headers of a response whose body is read separately."""
 
     status: int
     headers: Headers = ()
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An answer with its whole body."""
+    """A response with its whole body."""
 
     status: int
     headers: Headers = ()
@@ -57,10 +57,10 @@
     return default
 
 
-def decoded_headers(raw: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return headers as text; their bytes are kept one to one."""
+def decoded_headers(encoded: Iterable[tuple[bytes, bytes]]) -> Headers:
+    """Return headers as text, decoded without loss."""
     return tuple(
-        (name.decode("latin-1"), value.decode("latin-1")) for name, value in raw
+        (name.decode("latin-1"), value.decode("latin-1")) for name, value in encoded
     )
 
 
--- a/src/sassafrasdale/http/server.py
+++ b/src/sassafrasdale/http/server.py
@@ -1,8 +1,7 @@
-"""Server connections: strict requests in, answers out, and word of callers that leave.
+"""HTTP server with strict parsing that detects disconnects during a request.
 
-Each connection has two tasks. One reads bytes, so that a caller that closes is
-noticed while its request is being answered; the other parses requests and has them
-answered one after the other.
+Each connection has two tasks. One reads bytes, which detects a caller's disconnect
+while its request is being handled; the other parses requests and handles them in turn.
 """
 
 import socket
@@ -28,21 +27,21 @@
 log = Logger("http")
 
 READ_BYTES = 65_536
-# Reads of a connection that may wait to be parsed; then its reader waits, too, and
-# the caller is held by its own socket.
-WAITING_READS = 4
-# How long a closed connection is still read, so that the caller gets the last
-# answer: a socket closed over unread bytes is reset.
+# Reads of a connection that are queued for the parser. If the queue is full, the reader
+# waits too, and TCP flow control slows the caller down.
+MAX_QUEUED_READS = 4
+# Time for which a connection is still read after its last response. Closing a socket
+# with unread bytes resets it, and the caller could lose that response.
 LINGER = timedelta(seconds=1)
-# Pause after a connection could not be accepted, most often for want of descriptors.
-ACCEPT_PAUSE = timedelta(milliseconds=20)
-# Longest time in which a caller must take some bytes of an answer.
+# Delay after a failed accept, usually for lack of file descriptors.
+ACCEPT_RETRY_DELAY = timedelta(milliseconds=20)
+# Time within which a caller must read some bytes of a response.
 WRITE_TIMEOUT = timedelta(seconds=10)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """Bounds on what a caller sends and how long it takes."""
+    """Limits on the size and duration of a caller's requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -51,10 +50,10 @@
 
 
 class ServerConnection:
-    """One caller's connection; handlers answer through it.
+    """One caller's connection, through which handlers send responses.
 
     :param sock: the accepted green socket.
-    :param server: the server that it belongs to.
+    :param server: the server that accepted it.
     """
 
     def __init__(self, sock: socket.socket, server: "HttpServer") -> None:
@@ -63,39 +62,39 @@
         self._codec = h11.Connection(
             h11.SERVER, max_incomplete_event_size=server.limits().header_bytes
         )
-        self._reads: Queue = Queue(WAITING_READS)
-        self._gone = False
-        self._on_gone: Callable[[], None] | None = None
+        self._reads: Queue = Queue(MAX_QUEUED_READS)
+        self._disconnected = False
+        self._on_disconnect: Callable[[], None] | None = None
         self._busy = False
         self._head_sent = False
-        self._ended = False
-        self._takes_no_more = False
-        self._held = b""
+        self._aborted = False
+        self._closed_while_idle = False
+        self._unsent_head = b""
 
     @property
     def is_gone(self) -> bool:
         """Whether the caller has closed its connection."""
-        return self._gone
+        return self._disconnected
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request has begun to come in or is being answered."""
+        """Whether a request is being received or handled."""
         return self._busy
 
     @property
     def head_sent(self) -> bool:
-        """Whether an answer has begun."""
+        """Whether a response has started."""
         return self._head_sent
 
     def when_gone(self, callback: Callable[[], None] | None) -> None:
-        """Have ``callback`` called once if the caller leaves; None for nothing."""
-        self._on_gone = callback
-        if self._gone and callback is not None:
-            self._on_gone = None
+        """Set a callback for the caller's disconnect; None removes it."""
+        self._on_disconnect = callback
+        if self._disconnected and callback is not None:
+            self._on_disconnect = None
             callback()
 
     def run(self) -> None:
-        """Serve requests until the connection ends."""
+        """Handle requests until the connection ends."""
         reader = spawn(self._read)
         try:
             while self._serve_one():
@@ -110,9 +109,9 @@
                 self._sock.close()
 
     def answer(self, status: int, headers: Iterable = (), body: bytes = b"") -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
-        :raises CallerGone: if the caller has left.
+        :raises CallerGone: if the caller has disconnected.
         """
         self.begin(status, [*headers, ("content-length", str(len(body)))])
         if body:
@@ -120,11 +119,11 @@
         self.end()
 
     def begin(self, status: int, headers: Iterable[tuple[str, str]]) -> None:
-        """Send an answer's status and headers.
+        """Start a response with its status and headers.
 
-        Without a length among them the body goes in chunks.
+        Without a Content-Length, the body is sent in chunks.
 
-        :raises CallerGone: if the caller has left.
+        :raises CallerGone: if the caller has disconnected.
         """
         headers = list(headers)
         if self._server.is_draining():
@@ -135,40 +134,40 @@
             headers=encoded_headers(headers),
             reason=_phrase(status),
         )
-        self._held = self._codec.send(event) or b""
+        self._unsent_head = self._codec.send(event) or b""
 
     def write(self, data: bytes) -> None:
         """Send a part of the body.
 
-        :raises CallerGone: if the caller has left.
+        :raises CallerGone: if the caller has disconnected.
         """
         self._flush(self._codec.send(h11.Data(data=data)) or b"")
 
     def flush(self) -> None:
-        """Send the head now, before any part of the body is there."""
+        """Send the head now, before the first part of the body."""
         self._flush(b"")
 
     def end(self) -> None:
-        """End the answer as complete.
+        """Complete the response.
 
-        :raises CallerGone: if the caller has left.
+        :raises CallerGone: if the caller has disconnected.
         """
         self._flush(self._codec.send(h11.EndOfMessage()) or b"")
 
     def abort(self) -> None:
-        """Break the answer off, so that it can't be taken for a whole one."""
-        self._ended = True
+        """Abort the response, so that the caller can't take it for complete."""
+        self._aborted = True
         self.close()
 
     def close_if_idle(self) -> None:
-        """End the connection unless a request is under way or has come in.
+        """Close the connection unless a request is in progress or has arrived.
 
-        A request whose bytes are there already must be answered; one that crosses
-        the close must not be passed on, or it would run without an answer.
+        A request whose bytes have arrived must be answered. One that arrives after the
+        close must not be handled, or it would run without a response.
         """
         if self._busy or self._reads.qsize() or self._has_unread():
             return
-        self._takes_no_more = True
+        self._closed_while_idle = True
         self.close()
 
     def _has_unread(self) -> bool:
@@ -178,13 +177,13 @@
             return False
 
     def close(self) -> None:
-        """End the connection; its tasks notice, and the socket is closed by them."""
+        """Shut the connection down; its tasks end and close the socket."""
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_RDWR)
 
     def _flush(self, data: bytes) -> None:
-        data, self._held = self._held + data, b""
-        if self._gone:
+        data, self._unsent_head = self._unsent_head + data, b""
+        if self._disconnected:
             raise CallerGone
         if not data:
             return
@@ -192,39 +191,39 @@
             self._sock.settimeout(WRITE_TIMEOUT.total_seconds())
             self._sock.sendall(data)
         except (OSError, EOFError) as error:
-            self._note_gone()
+            self._handle_disconnect()
             raise CallerGone from error
 
     def _read(self) -> None:
-        """Read bytes for the parser, and notice the end of the connection."""
+        """Read bytes for the parser, and detect the end of the connection."""
         while True:
             try:
-                # The timeouts are the parser's; this task just waits.
+                # No timeout here: the parser applies the timeouts.
                 data = receive(self._sock, READ_BYTES)
             except OSError:
                 data = b""
             if not data:
-                self._note_gone()
+                self._handle_disconnect()
                 self._reads.put(b"")
                 return
             self._reads.put(data)
 
-    def _note_gone(self) -> None:
-        if self._gone:
+    def _handle_disconnect(self) -> None:
+        if self._disconnected:
             return
-        self._gone = True
-        callback, self._on_gone = self._on_gone, None
+        self._disconnected = True
+        callback, self._on_disconnect = self._on_disconnect, None
         if callback is not None:
             callback()
 
     def _serve_one(self) -> bool:
-        """Answer one request and return whether another may follow."""
+        """Handle one request and return whether another may follow."""
         try:
             request = self._read_request()
         except MalformedRequest as error:
-            self._refuse(error)
+            self._reject(error)
             return False
-        if request is None or self._takes_no_more:
+        if request is None or self._closed_while_idle:
             return False
         self._head_sent = False
         try:
@@ -232,9 +231,9 @@
         finally:
             self._busy = False
             self.when_gone(None)
-        return not self._ended and self._may_go_on()
+        return not self._aborted and self._start_next_cycle()
 
-    def _may_go_on(self) -> bool:
+    def _start_next_cycle(self) -> bool:
         codec = self._codec
         if codec.our_state is not h11.DONE or codec.their_state is not h11.DONE:
             return False
@@ -242,9 +241,9 @@
         return True
 
     def _read_request(self) -> Request | None:
-        """Return the next request, or None if there is none.
+        """Return the next request, or None at the end of the connection.
 
-        :raises MalformedRequest: if what comes is no request.
+        :raises MalformedRequest: if the caller sends no valid request.
         """
         limits = self._server.limits()
         head = self._read_head(limits)
@@ -271,12 +270,12 @@
                 case h11.ConnectionClosed():
                     return None
             if event is not h11.NEED_DATA:
-                raise MalformedRequest("no request begins here")
-            # The first byte begins the time for the head.
+                raise MalformedRequest("expected the head of a request")
+            # The header timeout starts with the first byte.
             if self._codec.trailing_data[0]:
                 self._busy = True
                 wait = limits.header_timeout
-            data = self._await_bytes(wait)
+            data = self._wait_for_bytes(wait)
             if not data:
                 return None
             self._codec.receive_data(data)
@@ -295,23 +294,25 @@
                 case h11.EndOfMessage():
                     return b"".join(parts)
                 case _:
-                    data = self._await_bytes(limits.idle_timeout)
+                    data = self._wait_for_bytes(limits.idle_timeout)
                     if not data:
                         raise CallerGone
                     self._codec.receive_data(data)
 
     def _check(self, head: h11.Request, headers: Headers) -> None:
-        """Refuse what another reader of the same bytes might read otherwise.
+        """Reject requests that another HTTP parser might interpret differently.
 
         :raises MalformedRequest: if the request is ambiguous.
         """
         names = [name for name, _ in headers]
         if "transfer-encoding" in names and "content-length" in names:
-            raise MalformedRequest("a body with a length and in chunks")
+            raise MalformedRequest(
+                "both Content-Length and Transfer-Encoding are present"
+            )
         if names.count("host") != 1:
-            raise MalformedRequest("not one Host header")
+            raise MalformedRequest("expected exactly one Host header")
         if not head.target.startswith(b"/"):
-            raise MalformedRequest("the target is no path")
+            raise MalformedRequest("the target is not a path")
         length = dict(headers).get("content-length", "0")
         if int(length) > self._server.limits().body_bytes:
             raise MalformedRequest("the body is too long", 413)
@@ -322,14 +323,14 @@
         except h11.RemoteProtocolError as error:
             raise MalformedRequest(str(error), error.error_status_hint) from error
 
-    def _await_bytes(self, limit: timedelta) -> bytes:
+    def _wait_for_bytes(self, limit: timedelta) -> bytes:
         try:
             return self._reads.get(timeout=limit.total_seconds())
         except Empty:
             return b""
 
-    def _refuse(self, error: MalformedRequest) -> None:
-        log.info("request refused as malformed", why=error.message, status=error.status)
+    def _reject(self, error: MalformedRequest) -> None:
+        log.info("malformed request rejected", why=error.message, status=error.status)
         headers = [("connection", "close"), ("content-length", "0")]
         if self._codec.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -342,24 +343,24 @@
         )
 
     def _linger(self) -> None:
-        """Let the caller read the last answer before the connection ends."""
-        if self._gone or self._ended:
+        """Let the caller read the last response before the socket is closed."""
+        if self._disconnected or self._aborted:
             return
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
         until = self._server.clock.elapsed() + LINGER
-        while not self._gone and self._server.clock.elapsed() < until:
-            if not self._await_bytes(until - self._server.clock.elapsed()):
+        while not self._disconnected and self._server.clock.elapsed() < until:
+            if not self._wait_for_bytes(until - self._server.clock.elapsed()):
                 return
 
 
 class HttpServer:
-    """Accepts connections and hands their requests to a handler.
+    """Accepts connections and passes their requests to a handler.
 
     :param listener: a listening green socket.
-    :param handle: answers one request through its connection.
-    :param limits: bounds in force now.
-    :param is_draining: whether answers end their connections.
+    :param handle: handler that responds to one request through its connection.
+    :param limits: returns the limits in force.
+    :param is_draining: whether responses close their connections.
     :param clock: source of elapsed time.
     """
 
@@ -381,7 +382,7 @@
 
     @property
     def busy_connections(self) -> int:
-        """Connections with a request under way."""
+        """Number of connections with a request in progress."""
         return sum(connection.is_busy for connection in self._connections)
 
     def serve(self) -> None:
@@ -392,24 +393,24 @@
             except OSError as error:
                 if self._listener.fileno() < 0:
                     return
-                # Out of descriptors, or the caller left while it was queued.
-                log.warning("a connection was not accepted", why=str(error))
-                sleep(ACCEPT_PAUSE)
+                # Out of file descriptors, or the caller left the backlog.
+                log.warning("accepting a connection failed", why=str(error))
+                sleep(ACCEPT_RETRY_DELAY)
                 continue
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             spawn(self._run, ServerConnection(sock, self))
 
     def handle(self, connection: ServerConnection, request: Request) -> None:
-        """Have a request answered."""
+        """Pass a request to the handler."""
         self._handle(connection, request)
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is under way."""
+        """Close the connections without a request in progress."""
         for connection in list(self._connections):
             connection.close_if_idle()
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
     def _run(self, connection: ServerConnection) -> None:
--- a/tests/http/test_closes_model.py
+++ b/tests/http/test_closes_model.py
@@ -1,6 +1,6 @@
-"""Model of a planned stop: callers that send, cross closes and use connections again.
+"""Model test of a graceful shutdown under concurrent requests on reused connections.
 
-Real sockets on loopback; times are milliseconds instead of seconds.
+It uses real sockets on loopback, with milliseconds instead of seconds.
 """
 
 from dataclasses import dataclass
@@ -18,22 +18,22 @@
 
 CLOCK = SystemClock()
 MILLISECOND = timedelta(milliseconds=1)
-# Longer than a busy machine's process stalls: with 600 ms, a stall of 700 ms while the
-# server stops leaves 36 requests unanswered, one of 400 ms none. The stop itself takes
-# a quarter of a second.
+# Longer than a process stalls on a busy machine: with 600 ms, a stall of 700 ms during
+# the shutdown leaves 36 requests unanswered, one of 400 ms none. The shutdown itself
+# takes a quarter of a second.
 GRACE = 4000 * MILLISECOND
-# A caller whose last byte comes later than this after the stop crosses the close.
-SERVED = 20 * MILLISECOND
+# A request whose last byte is sent later than this after the stop may be lost.
+SERVED_AFTER_STOP = 20 * MILLISECOND
 BODY = b"0123456789" * 20
 
 
 @dataclass(frozen=True)
-class Visit:
+class PlannedRequest:
     """One request of a caller.
 
-    :param after: time in ms since its last answer.
-    :param cut: place at which its bytes are parted; the rest comes ``pause`` ms later.
-    :param work: time in ms that its answer takes.
+    :param after: time in ms since its last response.
+    :param cut: number of bytes sent first; the rest follows ``pause`` ms later.
+    :param work: time in ms that its response takes.
     """
 
     after: int
@@ -42,8 +42,8 @@
     work: int
 
 
-def draw_visit(rng):
-    return Visit(
+def draw_request(rng):
+    return PlannedRequest(
         after=rng.randrange(130),
         cut=rng.randrange(50),
         pause=rng.choice([0, 0, 5, 15]),
@@ -51,12 +51,12 @@
     )
 
 
-class Stop:
-    """A server that is stopped while callers come and go."""
+class ShutdownScenario:
+    """A server that is stopped while callers send requests."""
 
     def __init__(self):
-        self.passed_on = set()
-        self.answered = set()
+        self.handled = set()
+        self.completed = set()
         self.sent_in_time = set()
         self.stopped_at = None
         listener = listen(LOOPBACK)
@@ -71,52 +71,55 @@
 
     def handle(self, connection, request):
         number, work = request.target.strip("/").split("/")
-        self.passed_on.add(int(number))
+        self.handled.add(int(number))
         connection.begin(200, [("content-length", str(len(BODY)))])
         connection.write(BODY[:50])
         sleep(int(work) * MILLISECOND)
         connection.write(BODY[50:])
         connection.end()
 
-    def call(self, first_number, visits):
-        """Send one request after the other, on the same connection if it stays."""
+    def call(self, first_number, requests):
+        """Send requests in turn, on the same connection while it stays open."""
         caller = None
-        for number, visit in enumerate(visits, first_number):
-            sleep(visit.after * MILLISECOND)
-            data = b"GET /%d/%d HTTP/1.1\r\nHost: h\r\n\r\n" % (number, visit.work)
+        for number, planned in enumerate(requests, first_number):
+            sleep(planned.after * MILLISECOND)
+            data = b"GET /%d/%d HTTP/1.1\r\nHost: h\r\n\r\n" % (number, planned.work)
             try:
                 caller = caller or RawCaller(self.address)
-                caller.send(data[: visit.cut])
-                sleep(visit.pause * MILLISECOND)
-                caller.send(data[visit.cut :])
+                caller.send(data[: planned.cut])
+                sleep(planned.pause * MILLISECOND)
+                caller.send(data[planned.cut :])
             except OSError:
-                self.note_sent(number)
+                self.record_sent(number)
                 caller = None
                 continue
-            self.note_sent(number)
-            answer = self.read(caller)
-            if answer.endswith(BODY):
-                self.answered.add(number)
-            if not answer or b"connection: close" in answer.lower():
+            self.record_sent(number)
+            response = self.read(caller)
+            if response.endswith(BODY):
+                self.completed.add(number)
+            if not response or b"connection: close" in response.lower():
                 caller = None
 
-    def note_sent(self, number):
-        if self.stopped_at is None or CLOCK.elapsed() < self.stopped_at + SERVED:
+    def record_sent(self, number):
+        if (
+            self.stopped_at is None
+            or CLOCK.elapsed() < self.stopped_at + SERVED_AFTER_STOP
+        ):
             self.sent_in_time.add(number)
 
     def read(self, caller):
-        answer = b""
-        while not answer.endswith(BODY):
+        response = b""
+        while not response.endswith(BODY):
             data = caller.read_some()
             if not data:
                 break
-            answer += data
-        return answer
+            response += data
+        return response
 
     def stop(self):
         self.stopped_at = CLOCK.elapsed()
         Drain(self.server, GRACE, CLOCK).run()
-        # The process ends, and all that it has open with it.
+        # Simulates the end of the process, which closes all its connections.
         for connection in list(self.server._connections):
             connection.close()
 
@@ -131,22 +134,22 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_is_passed_on_is_answered(seed):
-    """Requests would run and their callers get nothing, at each planned stop.
+def test_each_handled_request_is_answered(seed):
+    """Guards against requests that run without a response at a planned shutdown.
 
-    A process is told to stop while requests are half sent, under way, or about to
-    come on connections that are kept; many come just as idle ones are closed.
+    A process is stopped while requests are partly sent, in progress, or about to be
+    sent on reused connections; many arrive just as idle connections are closed.
     """
     rng = Random(seed)
-    stop = Stop()
+    scenario = ShutdownScenario()
     tasks = [
-        spawn(stop.call, 100 * number, [draw_visit(rng) for _ in range(3)])
+        spawn(scenario.call, 100 * number, [draw_request(rng) for _ in range(3)])
         for number in range(150)
     ]
     sleep(rng.randrange(60) * MILLISECOND)
-    stop.stop()
+    scenario.stop()
     for task in tasks:
         task.wait()
-    assert stop.passed_on
-    assert stop.passed_on <= stop.answered
-    assert stop.sent_in_time <= stop.answered
+    assert scenario.handled
+    assert scenario.handled <= scenario.completed
+    assert scenario.sent_in_time <= scenario.completed
--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -1,4 +1,4 @@
-"""Client connections against servers that misbehave."""
+"""HTTP client connections against misbehaving servers."""
 
 import socket
 from datetime import timedelta
@@ -21,11 +21,11 @@
 CLOCK = SystemClock()
 
 
-def soon() -> timedelta:
+def deadline() -> timedelta:
     return CLOCK.elapsed() + LIMIT
 
 
-def answer(request_id: str, body: bytes = b"ok", extra: str = "") -> bytes:
+def response(request_id: str, body: bytes = b"ok", extra: str = "") -> bytes:
     head = (
         f"HTTP/1.1 200 OK\r\nRequest-Id: {request_id}\r\n"
         f"Content-Length: {len(body)}\r\n{extra}\r\n"
@@ -33,110 +33,110 @@
     return head.encode() + body
 
 
-def ask(request_id: str, body: bytes = b"") -> Request:
+def make_request(request_id: str, body: bytes = b"") -> Request:
     return Request("POST", "/a/", (("host", "h"), ("request-id", request_id)), body)
 
 
-def converse(connection: HttpConnection, request_id: str) -> bytes:
-    connection.send(ask(request_id))
-    connection.read_head(soon(), echoed=("request-id", request_id))
-    return connection.read_body(soon())
+def exchange(connection: HttpConnection, request_id: str) -> bytes:
+    connection.send(make_request(request_id))
+    connection.read_head(deadline(), echoed=("request-id", request_id))
+    return connection.read_body(deadline())
 
 
-def test_answer_with_a_length():
+def test_response_with_a_length():
     def script(sock):
         read_request(sock)
-        sock.sendall(answer("1", b"hello"))
+        sock.sendall(response("1", b"hello"))
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
-    assert converse(connection, "1") == b"hello"
+    assert exchange(connection, "1") == b"hello"
     assert connection.is_reusable
 
 
-def test_a_late_answer_to_an_earlier_request_is_passed_over():
-    """A caller would get another caller's answer.
+def test_a_late_response_to_an_earlier_request_is_skipped():
+    """Guards against a caller that gets another caller's response.
 
-    The server answers the first request, and once more when the second is due;
-    only then comes the second's own answer.
+    The server answers the first request again when the second arrives, before it
+    answers the second.
     """
 
     def script(sock):
         read_request(sock)
-        sock.sendall(answer("1", b"first"))
+        sock.sendall(response("1", b"first"))
         read_request(sock)
-        sock.sendall(answer("1", b"again") + answer("2", b"second"))
+        sock.sendall(response("1", b"again") + response("2", b"second"))
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
-    assert converse(connection, "1") == b"first"
-    assert converse(connection, "2") == b"second"
+    assert exchange(connection, "1") == b"first"
+    assert exchange(connection, "2") == b"second"
 
 
-def test_bytes_after_an_answer_end_the_connections_use():
-    """The next caller on the connection would get bytes that are not its own.
+def test_bytes_after_a_response_prevent_reuse():
+    """Guards against a caller that gets bytes of another caller's response.
 
-    The server sends a whole answer and more bytes right behind it.
+    The server sends a complete response and more bytes right after it.
     """
 
     def script(sock):
         read_request(sock)
-        sock.sendall(answer("1") + answer("1"))
+        sock.sendall(response("1") + response("1"))
         sock.recv(10)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
     connection = pool.take()
-    converse(connection, "1")
+    exchange(connection, "1")
     assert not connection.is_reusable
     pool.give_back(connection)
     assert connection.is_closed
 
 
-def test_bytes_on_an_idle_connection_end_its_use():
-    """The same, but the bytes come while the connection is idle in the pool."""
+def test_bytes_on_an_idle_connection_prevent_reuse():
+    """Like above, but the bytes arrive while the connection is idle in the pool."""
 
     def script(sock):
         read_request(sock)
-        sock.sendall(answer("1"))
+        sock.sendall(response("1"))
         sleep(timedelta(milliseconds=20))
-        sock.sendall(answer("1"))
+        sock.sendall(response("1"))
         sock.recv(10)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
     connection = pool.take()
-    converse(connection, "1")
+    exchange(connection, "1")
     pool.give_back(connection)
     sleep(timedelta(milliseconds=60))
     assert pool.take() is not connection
     assert connection.is_closed
 
 
-def test_a_connection_that_the_server_closed_is_not_used():
+def test_a_connection_closed_by_the_server_is_not_reused():
     def script(sock):
         read_request(sock)
-        sock.sendall(answer("1"))
+        sock.sendall(response("1"))
         sock.close()
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
     connection = pool.take()
-    converse(connection, "1")
+    exchange(connection, "1")
     pool.give_back(connection)
     sleep(timedelta(milliseconds=40))
     assert pool.take() is not connection
 
 
-def test_the_servers_idle_limit_is_kept():
+def test_the_keep_alive_timeout_of_the_server_is_respected():
     def script(sock):
         read_request(sock)
-        sock.sendall(answer("1", extra="Keep-Alive: timeout=0\r\n"))
+        sock.sendall(response("1", extra="Keep-Alive: timeout=0\r\n"))
         sock.recv(10)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
     connection = pool.take()
-    converse(connection, "1")
+    exchange(connection, "1")
     pool.give_back(connection)
     assert pool.take() is not connection
 
 
-def test_an_unframed_answer_ends_with_the_connection():
+def test_an_unframed_response_ends_with_the_connection():
     def script(sock):
         read_request(sock)
         sock.sendall(b"HTTP/1.1 200 OK\r\nRequest-Id: 1\r\n\r\nwhole")
@@ -144,14 +144,14 @@
         sock.recv(10)
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
-    assert converse(connection, "1") == b"whole"
+    assert exchange(connection, "1") == b"whole"
     assert not connection.is_reusable
 
 
-def test_an_unframed_answer_that_is_reset_is_lost():
-    """A caller would take half an answer for a whole one.
+def test_an_unframed_response_that_is_reset_is_lost():
+    """Guards against a partial response that is taken for a complete one.
 
-    The answer has no length and the connection is reset in the middle of it.
+    The response has no length, and the connection is reset in the middle of it.
     """
 
     def script(sock):
@@ -163,10 +163,10 @@
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
     with pytest.raises(ConnectionLost):
-        converse(connection, "1")
+        exchange(connection, "1")
 
 
-def test_a_truncated_answer_is_lost():
+def test_a_truncated_response_is_lost():
     def script(sock):
         read_request(sock)
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
@@ -174,10 +174,10 @@
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
     with pytest.raises((ConnectionLost, MalformedAnswer)):
-        converse(connection, "1")
+        exchange(connection, "1")
 
 
-def test_bytes_that_are_no_answer():
+def test_an_invalid_response():
     def script(sock):
         read_request(sock)
         sock.sendall(b"\x00\x01 what is this\r\n\r\n")
@@ -185,19 +185,19 @@
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
     with pytest.raises(MalformedAnswer):
-        converse(connection, "1")
+        exchange(connection, "1")
 
 
-def test_no_answer_in_time():
+def test_response_timeout():
     connection = HttpConnection.open(
         serve_raw(lambda sock: sock.recv(10) and sleep(LIMIT)), LIMIT, CLOCK
     )
-    connection.send(ask("1"))
+    connection.send(make_request("1"))
     with pytest.raises(AnswerTimeout):
         connection.read_head(CLOCK.elapsed() + timedelta(milliseconds=30))
 
 
-def test_nobody_listens():
+def test_connection_refused():
     listener = socket.create_server(("127.0.0.1", 0))
     address = Address(*listener.getsockname())
     listener.close()
@@ -205,11 +205,11 @@
         HttpConnection.open(address, LIMIT, CLOCK)
 
 
-def test_closing_wakes_the_task_that_waits():
-    """An endpoint would work on for a caller that has left.
+def test_close_wakes_the_waiting_task():
+    """Guards against an endpoint that continues to work for a disconnected caller.
 
-    One task waits for the answer; the caller leaves and another task closes the
-    connection, which must reach both the endpoint and the waiting task at once.
+    One task waits for the response; the caller disconnects and another task closes the
+    connection. Both the endpoint and the waiting task must notice at once.
     """
     ended = []
 
@@ -218,12 +218,12 @@
         ended.append(sock.recv(10))
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
-    connection.send(ask("1"))
+    connection.send(make_request("1"))
     outcome = []
 
     def wait():
         try:
-            connection.read_head(soon())
+            connection.read_head(deadline())
         except ConnectionLost:
             outcome.append(CLOCK.elapsed())
 
@@ -236,28 +236,28 @@
     assert outcome[0] - began < timedelta(milliseconds=20)
 
 
-def test_an_early_answer_to_a_long_body():
-    """The next request would be read as the rest of a body that is still due.
+def test_an_early_response_to_a_long_body_prevents_reuse():
+    """Guards against a request that the server reads as the rest of the last body.
 
-    The server answers after the head and keeps the connection, before the body
-    has gone out: the connection must not be used again.
+    The server responds after the head, before the body has been sent, and keeps the
+    connection open.
     """
 
     def script(sock):
         sock.recv(1000)
-        sock.sendall(answer("1", b"no"))
+        sock.sendall(response("1", b"no"))
         sleep(LIMIT)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
     connection = pool.take()
-    connection.send(ask("1", b"x" * 30_000_000))
-    connection.read_head(soon(), echoed=("request-id", "1"))
-    assert connection.read_body(soon()) == b"no"
+    connection.send(make_request("1", b"x" * 30_000_000))
+    connection.read_head(deadline(), echoed=("request-id", "1"))
+    assert connection.read_body(deadline()) == b"no"
     pool.give_back(connection)
     assert connection.is_closed
 
 
-def test_a_client_never_repeats_a_call():
+def test_a_client_never_retries_a_call():
     calls = []
 
     def script(sock):
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""The server against callers that are malformed, slow, or leave."""
+"""The HTTP server against malformed requests, slow callers and disconnects."""
 
 from datetime import timedelta
 
@@ -12,8 +12,8 @@
 CLOCK = SystemClock()
 
 
-class Service:
-    """A server whose handler keeps the requests and answers them all alike."""
+class RecordingServer:
+    """A server whose handler records requests and sends the same response to all."""
 
     def __init__(self, handle=None, **options):
         self.requests = []
@@ -34,14 +34,14 @@
         connection.answer(200, [("request-id", request.header("request-id"))], b"ok")
 
 
-def exchange(service: Service, data: bytes) -> bytes:
+def exchange(service: RecordingServer, data: bytes) -> bytes:
     caller = RawCaller(service.address)
     caller.send(data)
     return caller.read()
 
 
 def test_two_requests_on_one_connection():
-    service = Service()
+    service = RecordingServer()
     caller = RawCaller(service.address)
     for number in (1, 2):
         caller.send(b"GET /a/%d HTTP/1.1\r\nHost: h\r\n\r\n" % number)
@@ -49,8 +49,8 @@
     assert [request.target for request in service.requests] == ["/a/1", "/a/2"]
 
 
-def test_a_chunked_body_is_put_together():
-    service = Service()
+def test_a_chunked_body():
+    service = RecordingServer()
     caller = RawCaller(service.address)
     caller.send(
         b"POST /a/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -77,80 +77,80 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_ambiguous_requests_are_refused(head):
-    """A request smuggled inside another would run in its place.
+def test_ambiguous_requests_are_rejected(head):
+    """Guards against request smuggling.
 
-    Each of these can be read in two ways by two readers in a row, so none is
-    passed on: the caller gets a refusal and the connection ends.
+    Two parsers in a row could interpret each of these in two ways, so none is
+    handled: the caller gets an error response and the connection is closed.
     """
-    service = Service()
+    service = RecordingServer()
     smuggled = b"GET /smuggled/ HTTP/1.1\r\nHost: h\r\n\r\n"
-    answer = exchange(service, head + smuggled)
-    assert answer.startswith((b"HTTP/1.1 400", b"HTTP/1.1 501"))
-    assert answer.count(b"HTTP/1.1") == 1
+    response = exchange(service, head + smuggled)
+    assert response.startswith((b"HTTP/1.1 400", b"HTTP/1.1 501"))
+    assert response.count(b"HTTP/1.1") == 1
     assert service.requests == []
 
 
-def test_a_body_over_the_limit_is_refused():
-    service = Service(limits=lambda: ServerLimits(body_bytes=10))
-    answer = exchange(
+def test_a_body_over_the_limit_is_rejected():
+    service = RecordingServer(limits=lambda: ServerLimits(body_bytes=10))
+    response = exchange(
         service, b"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 11\r\n\r\n"
     )
-    assert answer.startswith(b"HTTP/1.1 413")
+    assert response.startswith(b"HTTP/1.1 413")
 
 
-def test_headers_over_the_limit_are_refused():
-    service = Service(limits=lambda: ServerLimits(header_bytes=500))
-    answer = exchange(service, b"GET /a/ HTTP/1.1\r\nHost: h\r\nLong: " + b"x" * 2000)
-    assert answer.startswith(b"HTTP/1.1 431")
+def test_headers_over_the_limit_are_rejected():
+    service = RecordingServer(limits=lambda: ServerLimits(header_bytes=500))
+    response = exchange(service, b"GET /a/ HTTP/1.1\r\nHost: h\r\nLong: " + b"x" * 2000)
+    assert response.startswith(b"HTTP/1.1 431")
 
 
-def test_a_slow_head_ends_the_connection():
+def test_a_slow_head_closes_the_connection():
     limits = ServerLimits(header_timeout=timedelta(milliseconds=30))
-    service = Service(limits=lambda: limits)
+    service = RecordingServer(limits=lambda: limits)
     assert exchange(service, b"GET /a/ HT") == b""
 
 
-def test_a_caller_that_leaves_is_noticed_while_its_request_runs():
-    """An endpoint would work on for nobody.
+def test_a_disconnect_is_detected_while_the_request_runs():
+    """Guards against an endpoint that continues to work for a disconnected caller.
 
-    The caller sends a request and closes before the answer; the handler waits
-    meanwhile and must be told at once.
+    The caller sends a request and closes before the response; the waiting handler must
+    be notified at once.
     """
-    told = []
+    disconnects = []
 
     def handle(connection, request):
-        connection.when_gone(lambda: told.append(CLOCK.elapsed()))
+        connection.when_gone(lambda: disconnects.append(CLOCK.elapsed()))
         sleep(timedelta(milliseconds=100))
 
-    service = Service(handle)
+    service = RecordingServer(handle)
     caller = RawCaller(service.address)
     caller.send(b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
     sleep(timedelta(milliseconds=30))
     left = CLOCK.elapsed()
     caller.close()
     sleep(timedelta(milliseconds=30))
-    assert told
-    assert told[0] - left < timedelta(milliseconds=25)
+    assert disconnects
+    assert disconnects[0] - left < timedelta(milliseconds=25)
 
 
-def test_an_aborted_answer_does_not_look_complete():
+def test_an_aborted_response_does_not_look_complete():
     def handle(connection, request):
         connection.begin(200, [])
         connection.write(b"half")
         connection.abort()
 
-    service = Service(handle)
-    answer = exchange(service, b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
-    assert b"half" in answer
-    assert not answer.endswith(b"0\r\n\r\n")
+    service = RecordingServer(handle)
+    response = exchange(service, b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
+    assert b"half" in response
+    assert not response.endswith(b"0\r\n\r\n")
 
 
-def test_answers_end_their_connections_while_draining():
-    service = Service()
+def test_responses_close_their_connections_while_draining():
+    service = RecordingServer()
     service.draining = True
-    answer = exchange(service, b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
-    assert b"connection: close" in answer.lower()
+    response = exchange(service, b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
+    assert b"connection: close" in response.lower()
 
 
 def test_only_idle_connections_are_closed():
@@ -158,7 +158,7 @@
         sleep(timedelta(milliseconds=60))
         connection.answer(200)
 
-    service = Service(handle)
+    service = RecordingServer(handle)
     idle = RawCaller(service.address)
     busy = RawCaller(service.address)
     busy.send(b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -168,13 +168,13 @@
     assert busy.read_some().startswith(b"HTTP/1.1 200")
 
 
-def test_a_request_that_has_come_in_is_not_closed_upon():
-    """A caller would lose a request that its endpoint runs.
+def test_a_request_that_has_arrived_is_not_dropped_by_close_idle():
+    """Guards against a request that runs without a response to its caller.
 
-    The request's bytes are there, but nobody has looked at them, when the server
-    closes what is idle; a moment later it would be read and passed on.
+    The bytes of the request have arrived but are not parsed yet when the server closes
+    idle connections; a moment later it would be parsed and handled.
     """
-    service = Service()
+    service = RecordingServer()
     caller = RawCaller(service.address)
     sleep(timedelta(milliseconds=20))
     caller.send(b"GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -184,8 +184,8 @@
     assert answered
 
 
-def test_a_request_that_crosses_the_close_is_not_passed_on():
-    service = Service()
+def test_a_request_after_the_close_is_not_handled():
+    service = RecordingServer()
     caller = RawCaller(service.address)
     sleep(timedelta(milliseconds=20))
     service.server.close_idle()
--- a/tests/http/wires.py
+++ b/tests/http/wires.py
@@ -1,4 +1,4 @@
-"""A server of raw bytes and a raw client, for tests of what goes over a socket."""
+"""A raw socket server and client for tests of the HTTP protocol."""
 
 import socket
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 def bound(listener: socket.socket) -> Address:
-    """Return the address that a listener got."""
+    """Return the address to which a listener is bound."""
     host, port = listener.getsockname()
     return Address(host, port)
 
@@ -31,7 +31,7 @@
 
 
 def read_request(sock: socket.socket) -> bytes:
-    """Return the bytes of one request with a length."""
+    """Return the bytes of one request with a Content-Length."""
     data = b""
     while b"\r\n\r\n" not in data:
         more = sock.recv(65536)
@@ -47,7 +47,7 @@
 
 
 class RawCaller:
-    """A caller that sends and reads bytes as they are."""
+    """A caller that sends and reads raw bytes."""
 
     def __init__(self, address: Address) -> None:
         self._sock = connect(address, LIMIT)
@@ -58,7 +58,7 @@
         self._sock.sendall(data)
 
     def read(self) -> bytes:
-        """Return all bytes until the other end closes."""
+        """Return all bytes until the peer closes."""
         parts = []
         while data := self._sock.recv(65536):
             parts.append(data)
