--- a/src/sassafrasdale/burn.py
+++ b/src/sassafrasdale/burn.py
@@ -1,7 +1,7 @@
-"""Counts of requests in and out of time, for the burn report.
+"""Burn rates: counts of requests that met or missed the objective.
 
-The burn rate of a window is the share of requests that were late or lost over
-the share that the objective allows: at 1 the error budget lasts exactly as long
+The burn rate of a window is the fraction of requests that were late or lost, divided
+by the fraction that the objective allows: at 1 the error budget lasts exactly as long
 as the objective's period, at 10 a tenth of it.
 """
 
@@ -26,8 +26,8 @@
     """Requests of one service that ended within a window.
 
     :param window: length of the window.
-    :param total: requests that ended.
-    :param in_time: those of them that met the objective.
+    :param total: number of requests that ended.
+    :param in_time: number of those that met the objective.
     """
 
     window: timedelta
@@ -37,7 +37,7 @@
     def burn_rate(self, objective: float) -> float | None:
         """Return the burn rate, or None if no request ended.
 
-        :param objective: share of requests that are to be in time, below 1.
+        :param objective: fraction of requests that should be in time, below 1.
         """
         if not self.total:
             return None
@@ -50,13 +50,13 @@
 
 
 class BurnCounter:
-    """Counts of one service over the last six hours, in a ring of buckets.
+    """Counts of one service over the last six hours, in a ring buffer.
 
-    A window reaches back in whole buckets of 30 s, of which the newest is still
-    being filled. The memory is fixed: 720 buckets of 16 bytes.
+    A window consists of whole buckets of 30 s, of which the newest is still being
+    filled. The memory is fixed: 720 buckets of 16 bytes.
 
     :param service: name of the service.
-    :param objective: share of requests that are to be in time.
+    :param objective: fraction of requests that should be in time.
     """
 
     __slots__ = ("_epochs", "_in_time", "_objective", "_service", "_total")
@@ -75,7 +75,7 @@
 
     @property
     def objective(self) -> float:
-        """Share of requests that are to be in time."""
+        """Fraction of requests that should be in time."""
         return self._objective
 
     @objective.setter
@@ -85,8 +85,8 @@
     def record(self, now: timedelta, in_time: bool) -> None:
         """Count one request that ended.
 
-        :param now: elapsed time of the clock; it never goes back, so that a
-            step of the wall clock cannot empty the windows.
+        :param now: elapsed time of the clock; it is monotonic, so that a step of the
+            wall clock cannot empty the windows.
         :param in_time: whether it met the objective.
         """
         epoch = now // BUCKET
@@ -118,8 +118,8 @@
     """Counts of one service in all windows.
 
     :param service: name of the service.
-    :param objective: share of requests that are to be in time.
-    :param windows: counts, the shortest window first.
+    :param objective: fraction of requests that should be in time.
+    :param windows: counts, shortest window first.
     """
 
     service: str
@@ -128,34 +128,34 @@
 
 
 class BurnBook:
-    """The counters of every service in the text.
+    """Counters of all services in the configuration text.
 
     Usage::
 
-        book = BurnBook()
-        book.set_objectives({"reports": 0.95})
-        book.record("reports", clock.elapsed(), in_time=True)
+        counters = BurnCounters()
+        counters.set_objectives({"reports": 0.95})
+        counters.record("reports", clock.elapsed(), in_time=True)
     """
 
     def __init__(self) -> None:
         self._counters: dict[str, BurnCounter] = {}
 
     def set_objectives(self, objectives: Mapping[str, float]) -> None:
-        """Take over the services of a text; those that stay keep their counts."""
-        kept = self._counters
+        """Replace the set of services; those that remain keep their counts."""
+        previous = self._counters
         self._counters = {}
         for service, objective in objectives.items():
-            counter = kept.get(service) or BurnCounter(service, objective)
+            counter = previous.get(service) or BurnCounter(service, objective)
             counter.objective = objective
             self._counters[service] = counter
 
     def record(self, service: str, now: timedelta, in_time: bool) -> None:
-        """Count one request; one of a service that left the text is dropped."""
+        """Count one request, unless its service has been removed."""
         if counter := self._counters.get(service):
             counter.record(now, in_time)
 
     def snapshot(self, now: timedelta) -> tuple[ServiceBurn, ...]:
-        """Return the counts of every service."""
+        """Return the counts of all services."""
         return tuple(
             ServiceBurn(counter.service, counter.objective, counter.snapshot(now))
             for counter in self._counters.values()
@@ -163,26 +163,26 @@
 
 
 def sum_burns(parts: Iterable[ServiceBurn]) -> tuple[ServiceBurn, ...]:
-    """Return the counts of several entries as one, by service.
+    """Return the sums of the counts of several entries, by service.
 
-    While a new text spreads, entries may differ in a service's objective; the
-    strictest counts.
+    While a new text propagates, entries may have different objectives for a service;
+    the strictest one is used.
     """
     sums: dict[str, ServiceBurn] = {}
     for part in parts:
         known = sums.get(part.service)
-        sums[part.service] = part if known is None else _sum_two(known, part)
+        sums[part.service] = part if known is None else _add_burns(known, part)
     return tuple(sums[name] for name in sorted(sums))
 
 
-def _sum_two(one: ServiceBurn, other: ServiceBurn) -> ServiceBurn:
+def _add_burns(one: ServiceBurn, other: ServiceBurn) -> ServiceBurn:
     windows = tuple(a + b for a, b in zip(one.windows, other.windows, strict=True))
     objective = max(one.objective, other.objective)
     return ServiceBurn(one.service, objective, windows)
 
 
 def burns_to_json(burns: Iterable[ServiceBurn]) -> list[dict[str, object]]:
-    """Return the counts as ``GET /admin/v1/burn`` gives them."""
+    """Return the counts in the format of ``GET /admin/v1/burn``."""
     return [
         {
             "service": burn.service,
--- a/src/sassafrasdale/clock.py
+++ b/src/sassafrasdale/clock.py
@@ -1,4 +1,4 @@
-"""Time as an interface, so that tests pass in a clock of their own."""
+"""Clock interface, which tests replace by a manual clock."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -6,7 +6,7 @@
 
 
 def milliseconds(time: timedelta) -> int:
-    """Return the whole milliseconds of a time."""
+    """Return a duration in whole milliseconds."""
     return time // timedelta(milliseconds=1)
 
 
@@ -17,37 +17,37 @@
         """Return the wall-clock time, timezone-aware in UTC."""
 
     def elapsed(self) -> timedelta:
-        """Return time since an arbitrary start; it never goes back."""
+        """Return the monotonic time since an arbitrary start."""
 
 
 class SystemClock:
-    """Clock of the machine."""
+    """Clock of the operating system."""
 
     def now(self) -> datetime:
         """Return the wall-clock time, timezone-aware in UTC."""
         return datetime.now(UTC)
 
     def elapsed(self) -> timedelta:
-        """Return time since an arbitrary start; it never goes back."""
+        """Return the monotonic time since an arbitrary start."""
         return timedelta(seconds=time.monotonic())
 
 
 class SuspendAwareClock(SystemClock):
-    """Clock of the machine whose elapsed time goes on while it is suspended.
+    """System clock whose elapsed time includes the time in suspension.
 
-    The monotonic clock stands still while a machine is suspended. A lease that
-    ran out meanwhile would then look valid after the machine wakes.
+    The monotonic clock stops while the machine is suspended, so a lease that expired
+    meanwhile would look valid after the machine resumes.
     """
 
     def elapsed(self) -> timedelta:
-        """Return time since the machine started, suspensions included."""
+        """Return the time since the machine booted, including suspensions."""
         return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
 class ManualClock:
-    """Clock that a test moves by hand.
+    """Clock that tests advance explicitly.
 
-    :param start: wall-clock time at the beginning.
+    :param start: initial wall-clock time.
     """
 
     def __init__(self, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
@@ -59,9 +59,9 @@
         return self._start + self._elapsed
 
     def elapsed(self) -> timedelta:
-        """Return the time advanced so far."""
+        """Return the total time advanced."""
         return self._elapsed
 
     def advance(self, step: timedelta) -> None:
-        """Move the clock forward by ``step``."""
+        """Advance the clock by ``step``."""
         self._elapsed += step
--- a/src/sassafrasdale/deployment.py
+++ b/src/sassafrasdale/deployment.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of its deployment: routes, customers, endpoints, settings."""
+"""Data classes of a deployment: routes, customers, endpoints, settings."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 
 
 class RequestKind(StrEnum):
-    """What may be repeated of a request."""
+    """Which retries a kind of request allows."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -18,7 +18,7 @@
 
 
 class EndpointState(StrEnum):
-    """Whether an endpoint takes requests."""
+    """Whether an endpoint accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service that gets a part of a route's requests."""
+    """A service that gets a weighted share of a route's requests."""
 
     service: str
     weight: float
@@ -34,19 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of one host and path prefix go.
+    """Routing rule for the requests of one host and path prefix.
 
     :param name: name in the configuration.
     :param host: value of the Host header, without a port.
-    :param prefix: beginning of the path; it starts and ends with a slash.
-    :param kind: what may be repeated.
-    :param services: services that run the requests, by weight.
-    :param max_sends: endpoints to which one request may be sent.
-    :param timeout: longest time that a request may take.
-    :param priority: rank, 0 goes first.
-    :param public: whether requests carry no key.
-    :param shares_prompts: whether requests name the parts of their prompts.
-    :param resumable: whether a stream may go on at another endpoint.
+    :param prefix: path prefix; it starts and ends with a slash.
+    :param kind: which retries are allowed.
+    :param services: services for the requests, by weight.
+    :param max_attempts: number of endpoints to which one request may be sent.
+    :param timeout: maximum duration of a request.
+    :param priority: priority, 0 is the highest.
+    :param public: whether requests need no API key.
+    :param shares_prompts: whether requests name the shared parts of their prompts.
+    :param resumable: whether a stream may be resumed at another endpoint.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
@@ -71,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleBounds:
-    """How many endpoints of a service may be ordered, and what they cost.
-
-    :param least: fewest in each availability zone.
-    :param most: most in each availability zone, both kinds together.
-    :param start_time: time from an order until the endpoint serves.
-    :param reclaimable_price: price of a reclaimable endpoint, as a part of the
-        price of another.
-    :param zone_prices: price of a second of an endpoint, by availability zone.
+    """Scaling limits of a service, and prices of its endpoints.
+
+    :param min_endpoints: minimum in each availability zone.
+    :param max_endpoints: maximum in each availability zone, over both kinds.
+    :param start_time: time from an order until the endpoint serves requests.
+    :param reclaimable_price: price of a reclaimable endpoint, as a fraction of the
+        price of an on-demand one.
+    :param zone_prices: price of an endpoint per second, by availability zone.
     """
 
     least: int
@@ -90,11 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What a model engine can do.
+    """Capacity of a model engine.
 
-    :param slots: requests in one batch.
-    :param cache_tokens: tokens that its memory holds.
-    :param link: the way to other engines' memories; None if there is none.
+    :param slots: maximum batch size in requests.
+    :param cache_tokens: capacity of its KV cache in tokens.
+    :param link: link to the KV caches of other engines; None if there is none.
     """
 
     slots: int
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service as the configuration describes it."""
+    """A service in the configuration."""
 
     name: str
     engine: EngineTraits | None = None
@@ -113,13 +113,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer with its keys and its limit.
+    """A customer with its API keys and rate limit.
 
-    :param rate: tokens or requests a second; 0 is no limit.
-    :param burst: tokens or requests above the rate at once.
+    :param rate: tokens or requests per second; 0 is no limit.
+    :param burst: burst size in tokens or requests.
     :param counts_tokens: whether rate and burst count tokens.
-    :param plain_tokens: tokens of a request that names none.
-    :param priority: rank that goes before the route's, if it is given.
+    :param default_tokens: tokens of a request without a token count.
+    :param priority: priority that overrides the route's; None for no override.
     """
 
     name: str
@@ -132,13 +132,13 @@
 
 
 def name_of(customer: Customer | None) -> str:
-    """Return a customer's name; empty for none, on a public route."""
+    """Return a customer's name; empty without a customer, on a public route."""
     return customer.name if customer else ""
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller sends and how long it takes."""
+    """Limits on the size and duration of a caller's requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -161,9 +161,10 @@
 class Endpoint:
     """An endpoint as the platform lists it.
 
-    :param reclaimable: whether it may be taken back at short notice.
-    :param born: distinguishes starts under one name; None if that isn't told.
-    :param version: of its software.
+    :param reclaimable: whether the platform may reclaim it at short notice.
+    :param started_ms: start time, which distinguishes restarts under one name; None if
+        it is unknown.
+    :param version: version of its software.
     """
 
     name: str
@@ -179,21 +180,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures that the deployment promises its users.
+    """Limits that the deployment guarantees to its users.
 
-    :param endpoint_drain: time in which a leaving endpoint must get no more.
+    :param endpoint_drain: time after which a draining endpoint must get no requests.
     :param configuration_delay: time in which a confirmed configuration must be in
         force.
     :param stop_grace: time from the stop signal until the process is killed.
-    :param retry_share: repeated sends as a part of the requests.
-    :param retry_slack: repeated sends beyond that part.
-    :param quota_slack: tokens beyond a customer's limit.
-    :param lease: time within which holders of a duty must not alternate.
-    :param usage_window: length of the windows that usage is reported for.
+    :param retry_share: maximum retries as a fraction of the requests.
+    :param retry_slack: retries allowed beyond that fraction.
+    :param quota_slack: tokens allowed beyond a customer's limit.
+    :param lease: time within which leadership must not alternate between gateways.
+    :param usage_window: length of a usage reporting window.
     :param usage_delay: time after a window in which its report is due.
-    :param shortest_lease: shortest time to live that the store grants.
-    :param checks_fencing: whether the platform refuses duty calls of former holders.
-    :param trial_share: part of a service's requests that a version on trial may get.
+    :param min_lease: minimum TTL that the store grants.
+    :param checks_fencing: whether the platform rejects duty calls of former leaders.
+    :param canary_share: fraction of a service's requests that a canary may get.
     """
 
     endpoint_drain: timedelta
@@ -215,14 +216,14 @@
     """Settings of one gateway process.
 
     :param name: name of the instance.
-    :param address: where callers connect.
-    :param ready_address: where the balancer asks whether to send callers.
-    :param peer_address: where other gateways connect.
+    :param address: listening address for callers.
+    :param ready_address: listening address for the load balancer's readiness checks.
+    :param peer_address: listening address for other gateways.
     :param store: address of the platform's store.
-    :param cloud: address for duties; None if there are none.
-    :param reports_usage: whether customers' usage is to be reported.
-    :param orders_endpoints: whether endpoints are to be ordered.
-    :param power: processor time a second that the process may use.
+    :param cloud: address of the duty API; None if there are no duties.
+    :param reports_usage: whether the leader reports customers' usage.
+    :param orders_endpoints: whether the leader orders endpoints.
+    :param cpu_share: CPU seconds per second that the process may use.
     """
 
     name: str
@@ -241,7 +242,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that several requests may share."""
+    """A part of a prompt that several requests may have in common."""
 
     name: str
     tokens: int
@@ -249,11 +250,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTraits:
-    """What a caller's headers say of its request.
+    """Request properties from a caller's headers.
 
-    :param deadline: how long the caller waits; None if it doesn't say.
-    :param resume_after: last event of a stream that the caller has.
-    :param output_tokens: most tokens that may be generated.
+    :param deadline: how long the caller waits; None if unknown.
+    :param resume_after: last stream event that the caller has received.
+    :param output_tokens: maximum number of tokens to generate.
     """
 
     request_id: str
--- a/src/sassafrasdale/exceptions.py
+++ b/src/sassafrasdale/exceptions.py
@@ -1,18 +1,18 @@
-"""Root of the package's exceptions.
+"""Base class of the package's exceptions.
 
-Each layer keeps its own children of the root in its ``exceptions`` module and
-translates the errors of the layers below it.
+Each layer defines its own subclasses in its ``exceptions`` module and translates the
+exceptions of the layers below it.
 """
 
 from datetime import timedelta
 
 
 class SassafrasdaleError(Exception):
-    """Base class of every error that the package raises.
+    """Base class of all exceptions that the package raises.
 
     :param message: what went wrong, for an operator.
-    :param field: name of the offending input field, if there is one.
-    :param retry_after: when it is worth coming back, if that is known.
+    :param field: name of the invalid input field, if there is one.
+    :param retry_after: time after which to retry, if it is known.
     """
 
     def __init__(
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of the counts behind the burn report."""
+"""Tests of the counts for burn rates."""
 
 from datetime import timedelta
 
@@ -23,7 +23,7 @@
     return [count.total for count in counter.snapshot(now)]
 
 
-def test_each_window_counts_what_ended_within_it():
+def test_each_window_counts_the_requests_within_it():
     counter = BurnCounter("reports", 0.95)
     for ago in (2 * MINUTE, 20 * MINUTE, 50 * MINUTE, 5 * HOUR):
         counter.record(10 * HOUR - ago, in_time=True)
@@ -31,7 +31,7 @@
     assert totals(counter, 10 * HOUR) == [1, 2, 3, 4]
 
 
-def test_rate_is_one_when_the_budget_is_used_as_fast_as_allowed():
+def test_rate_is_one_if_the_budget_is_used_as_fast_as_allowed():
     counter = BurnCounter("reports", 0.95)
     for number in range(100):
         counter.record(HOUR, in_time=number >= 5)
@@ -40,7 +40,7 @@
     assert WindowCount(MINUTE, 0, 0).burn_rate(0.95) is None
 
 
-def test_ring_forgets_what_is_older_than_the_longest_window():
+def test_counts_older_than_the_longest_window_are_dropped():
     counter = BurnCounter("reports", 0.95)
     for step in range(3 * WINDOWS[-1] // BUCKET):
         counter.record(step * BUCKET, in_time=step % 2 == 0)
@@ -51,21 +51,21 @@
     assert totals(counter, end + 7 * HOUR) == [0, 0, 0, 0]
 
 
-def test_book_keeps_counts_of_services_that_stay():
-    book = BurnBook()
-    book.set_objectives({"reports": 0.95, "records": 0.99})
-    book.record("reports", MINUTE, in_time=False)
-    book.record("records", MINUTE, in_time=True)
-    book.set_objectives({"reports": 0.9, "answers": 0.9})
-    book.record("records", MINUTE, in_time=True)
+def test_services_that_remain_keep_their_counts():
+    counters = BurnBook()
+    counters.set_objectives({"reports": 0.95, "records": 0.99})
+    counters.record("reports", MINUTE, in_time=False)
+    counters.record("records", MINUTE, in_time=True)
+    counters.set_objectives({"reports": 0.9, "answers": 0.9})
+    counters.record("records", MINUTE, in_time=True)
 
-    reports, answers = book.snapshot(MINUTE)
+    reports, answers = counters.snapshot(MINUTE)
     assert (reports.service, reports.objective) == ("reports", 0.9)
     assert reports.windows[0] == WindowCount(WINDOWS[0], 1, 0)
     assert answers.windows[0].total == 0
 
 
-def test_counts_of_entries_add_up_with_the_strictest_objective():
+def test_counts_are_summed_with_the_strictest_objective():
     windows = tuple(WindowCount(window, 10, 9) for window in WINDOWS)
     parts = [
         ServiceBurn("reports", 0.95, windows),
