--- a/src/sassafrasdale/__main__.py
+++ b/src/sassafrasdale/__main__.py
@@ -4,20 +4,20 @@
 import sys
 
 from sassafrasdale.platform.early import open_early_listener
-from sassafrasdale.signals import hold_signals
+from sassafrasdale.signals import block_signals
 
-# The gateway's arguments as the platform gives them. Loading the command line takes
-# 0.1 s of 0.5 s until a gateway serves, and its callers wait: after a restart of all
-# gateways, each tenth of a second makes a tenth of a second's requests late.
-_PLAIN_GATEWAY = ["gateway", "--metrics-port"]
+# Arguments with which the platform starts a gateway. Importing the command line takes
+# 0.1 s of the 0.5 s until a gateway serves, while callers wait: after a restart of all
+# gateways, each tenth of a second delays the requests of a tenth of a second.
+_DIRECT_ARGUMENTS = ["gateway", "--metrics-port"]
 
 
 def _start() -> None:
     arguments = sys.argv[1:]
     if arguments[:1] == ["gateway"]:
-        hold_signals()
+        block_signals()
         open_early_listener(os.environ)
-    if arguments[:-1] == _PLAIN_GATEWAY and arguments[-1].isdecimal():
+    if arguments[:-1] == _DIRECT_ARGUMENTS and arguments[-1].isdecimal():
         from sassafrasdale.gateway.launch import launch_gateway
 
         sys.exit(launch_gateway(int(arguments[-1]), "info"))
--- a/src/sassafrasdale/green.py
+++ b/src/sassafrasdale/green.py
@@ -1,7 +1,7 @@
-"""What the package knows of the cooperative scheduler that it runs on.
+"""Wrapper of the cooperative scheduler, eventlet.
 
-Nothing is monkey-patched: green sockets are asked for by name. So the standard
-library stays as it is for the thread that runs the peers' asyncio loop.
+Nothing is monkey-patched: callers create green sockets explicitly. So the standard
+library is unchanged for the thread that runs the peers' asyncio loop.
 """
 
 import os
@@ -17,8 +17,8 @@
 # says why it is used all the same.
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
 
-# Nothing here looks names up, and eventlet's own resolver takes longer to load than
-# all the rest of it.
+# The package resolves no host names, and eventlet's DNS resolver takes longer to import
+# than the rest of eventlet.
 os.environ.setdefault("EVENTLET_NO_GREENDNS", "yes")
 
 import eventlet  # noqa: E402
@@ -37,56 +37,56 @@
 
 
 def spawn(function: Callable[..., Any], *args: Any, **kwargs: Any) -> GreenThread:
-    """Start ``function`` as a task of its own."""
+    """Start ``function`` in a new task."""
     return eventlet.spawn(function, *args, **kwargs)
 
 
 def current_task() -> GreenThread:
-    """Return the task that runs now."""
+    """Return the current task."""
     return eventlet.getcurrent()
 
 
 def interrupt(task: GreenThread, error: BaseException) -> None:
-    """Raise ``error`` in another task, where it waits."""
+    """Raise ``error`` in another task, at the point where it waits."""
     eventlet.kill(task, error)
 
 
 def sleep(pause: timedelta = timedelta()) -> None:
-    """Let other tasks run for ``pause``."""
+    """Suspend the current task for ``pause``."""
     eventlet.sleep(pause.total_seconds())
 
 
 def make_green(sock: socket.socket) -> socket.socket:
-    """Return a green socket in place of a plain one."""
+    """Convert a plain socket to a green one."""
     return green_socket.socket(sock.family, sock.type, sock.proto, fileno=sock.detach())
 
 
 def listen(address: Address, backlog: int = 1024) -> socket.socket:
     """Return a green listening socket bound to ``address``."""
     listener = eventlet.listen((address.host, address.port), backlog=backlog)
-    # Accepted sockets inherit this. Without it the last small write of a stream
-    # waits for the peer's delayed acknowledgement, 40 ms on Linux.
+    # Inherited by accepted sockets. Without it, the last small write of a stream waits
+    # for the peer's delayed acknowledgement, 40 ms on Linux.
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return listener
 
 
-# Between the end of a limit and the time-out, so that sockets are looked at once more.
-LAST_LOOK = timedelta(milliseconds=20)
+# Delay from the expiry of a timer to its time-out; sockets are polled once more in it.
+EXPIRY_GRACE = timedelta(milliseconds=20)
 
 
 class Timeout(eventlet.Timeout):
-    """Time-out of the task that starts it, raised there.
+    """Time-out that is raised in the task that starts it.
 
-    Timers that are due go before sockets that can be read. So work that could have
-    ended while the process was held up gets the time to do so.
+    The event loop runs expired timers before readable sockets. The grace period allows
+    work to complete that could have completed while the process was stalled.
     """
 
     def start(self) -> None:
-        """Begin to count."""
+        """Start the timer."""
         self._call_after(self.seconds, self._expire, eventlet.getcurrent())
 
     def _expire(self, task: GreenThread) -> None:
-        self._call_after(LAST_LOOK.total_seconds(), task.throw, self)
+        self._call_after(EXPIRY_GRACE.total_seconds(), task.throw, self)
 
     def _call_after(self, seconds: float, function: Callable, argument: Any) -> None:
         hub = eventlet.hubs.get_hub()
@@ -101,7 +101,7 @@
 def connect(address: Address, limit: timedelta) -> socket.socket:
     """Return a green socket connected to ``address``.
 
-    :raises OSError: if there is no connection within ``limit``.
+    :raises OSError: if the connection is not established within ``limit``.
     """
     sock = green_socket.create_connection(
         (address.host, address.port), limit.total_seconds()
@@ -111,15 +111,15 @@
 
 
 def receive(sock: socket.socket, size: int, limit: timedelta | None = None) -> bytes:
-    """Return bytes that a green socket has, waiting for them if need be.
+    """Receive bytes from a green socket, waiting if there are none.
 
-    A green socket's own ``recv`` gives no bytes for a connection that was reset,
-    as if the other end had closed it in order. What was cut off in the middle would
-    then be taken for whole.
+    The ``recv`` of a green socket returns no bytes for a connection that was reset, as
+    if the peer had closed it normally. A truncated message would then be taken for a
+    complete one.
 
-    :param limit: longest time to wait; None for any.
-    :raises TimeoutError: if nothing comes within ``limit``.
-    :raises OSError: if the connection is reset or was closed here.
+    :param limit: maximum time to wait; None for no limit.
+    :raises TimeoutError: if no bytes arrive within ``limit``.
+    :raises OSError: if the connection was reset, or was closed locally.
     """
     seconds = None if limit is None else limit.total_seconds()
     while True:
@@ -136,9 +136,9 @@
 
 
 def _receive_now(sock: socket.socket, size: int, error: TimeoutError) -> bytes:
-    """Return bytes that came while this process was held up, or raise ``error``.
+    """Return bytes that arrived while the process was stalled, or raise ``error``.
 
-    Timers that are due go before sockets that can be read.
+    The event loop runs expired timers before readable sockets.
     """
     try:
         return sock.fd.recv(size)
--- a/src/sassafrasdale/green_http.py
+++ b/src/sassafrasdale/green_http.py
@@ -1,4 +1,4 @@
-"""urllib3's connections and pools on green sockets."""
+"""Connections and pools of urllib3 on green sockets."""
 
 import socket
 from datetime import timedelta
@@ -12,7 +12,7 @@
 
 
 class GreenHttpConnection(HTTPConnection):
-    """HTTP connection whose socket yields to other tasks while it waits."""
+    """HTTP connection on a green socket."""
 
     def _new_conn(self) -> socket.socket:
         try:
@@ -38,7 +38,7 @@
     connect_timeout: timedelta = timedelta(seconds=1),
     read_timeout: timedelta = timedelta(seconds=5),
 ) -> GreenHttpPool:
-    """Return a connection pool for ``address`` that never retries by itself."""
+    """Return a connection pool for ``address`` without automatic retries."""
     return GreenHttpPool(
         address.host,
         address.port,
--- a/src/sassafrasdale/green_wsgi.py
+++ b/src/sassafrasdale/green_wsgi.py
@@ -1,4 +1,4 @@
-"""eventlet's WSGI server, apart from the rest: a gateway starts without it."""
+"""WSGI server of eventlet, in a separate module that gateways don't import."""
 
 import eventlet.wsgi
 
--- a/src/sassafrasdale/logs.py
+++ b/src/sassafrasdale/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines.
+"""Structured logs as JSON lines.
 
 Usage::
 
@@ -23,7 +23,7 @@
 
 __all__ = ["Logger", "Logs", "request_context", "start_logs"]
 
-MAX_WAITING_LINES = 10_000
+MAX_QUEUED_LINES = 10_000
 CLOSE_TIMEOUT = timedelta(seconds=1)
 
 _request_id: ContextVar[str | None] = ContextVar("request_id", default=None)
@@ -31,7 +31,7 @@
 
 @contextmanager
 def request_context(request_id: str) -> Iterator[None]:
-    """Put ``request_id`` on every line that this task logs within the block."""
+    """Add ``request_id`` to every line that this task logs within the block."""
     token = _request_id.set(request_id)
     try:
         yield
@@ -40,21 +40,20 @@
 
 
 class LineWriter:
-    """Writes lines to a stream from a thread of its own.
+    """Writes lines to a stream from a background thread.
 
-    A reader of the stream that stops reading fills the pipe, and the next write
-    then blocks. In the entry's own thread that would hold up every request; here
-    it holds up this thread only, and lines above the limit are counted and
-    dropped.
+    If the reader of the stream stops reading, the pipe fills up and the next write
+    blocks. That would stall all requests in the main thread; here it stalls only the
+    background thread, and lines beyond the limit are counted and dropped.
 
-    :param stream: where the lines go.
-    :param limit: lines that may wait.
+    :param stream: output stream.
+    :param limit: maximum number of queued lines.
     """
 
-    def __init__(self, stream: TextIO, limit: int = MAX_WAITING_LINES) -> None:
+    def __init__(self, stream: TextIO, limit: int = MAX_QUEUED_LINES) -> None:
         self._stream = stream
         self._limit = limit
-        self._waiting: deque[str] = deque()
+        self._queue: deque[str] = deque()
         self._dropped = 0
         self._closed = False
         self._changed = Condition()
@@ -63,49 +62,49 @@
 
     @property
     def dropped(self) -> int:
-        """Lines dropped since the writer began."""
+        """Number of lines dropped since the start."""
         return self._dropped
 
     def write(self, line: str) -> None:
-        """Queue a line; never waits for the stream."""
+        """Queue a line without blocking on the stream."""
         with self._changed:
-            if len(self._waiting) >= self._limit:
+            if len(self._queue) >= self._limit:
                 self._dropped += 1
                 return
-            self._waiting.append(line)
+            self._queue.append(line)
             self._changed.notify()
 
     def close(self, timeout: timedelta = CLOSE_TIMEOUT) -> None:
-        """Write what waits, for at most ``timeout``."""
+        """Write the queued lines, for at most ``timeout``."""
         with self._changed:
             self._closed = True
             self._changed.notify()
         self._thread.join(timeout.total_seconds())
 
     def _run(self) -> None:
-        while lines := self._take():
+        while lines := self._take_queued():
             try:
                 self._stream.write("".join(f"{line}\n" for line in lines))
                 self._stream.flush()
             except (OSError, ValueError):
-                # The stream is gone; logs must not end the process.
+                # The stream is closed; logging must not end the process.
                 self._dropped += len(lines)
 
-    def _take(self) -> list[str]:
+    def _take_queued(self) -> list[str]:
         with self._changed:
-            while not self._waiting and not self._closed:
+            while not self._queue and not self._closed:
                 self._changed.wait()
-            lines = list(self._waiting)
-            self._waiting.clear()
+            lines = list(self._queue)
+            self._queue.clear()
             return lines
 
 
 class JsonHandler(Handler):
-    """Turns log records into JSON lines.
+    """Log handler that formats records as JSON lines.
 
-    :param writer: where the lines go.
-    :param entry: name of the entry, put on each line.
-    :param level: least level that is logged.
+    :param writer: writer of the lines.
+    :param entry: name of the entry, added to each line.
+    :param level: minimum level of the records.
     """
 
     def __init__(self, writer: LineWriter, entry: str, level: str) -> None:
@@ -114,7 +113,7 @@
         self._entry = entry
 
     def emit(self, record: LogRecord) -> None:
-        """Queue a record as one line."""
+        """Queue a record as a JSON line."""
         line = {
             "time": record.time.replace(tzinfo=UTC).isoformat(timespec="microseconds"),
             "level": record.level_name.lower(),
@@ -133,10 +132,10 @@
 
 
 class Logs:
-    """The running log output of a process.
+    """Log output of a process.
 
-    :param handler: handler of the whole process.
-    :param writer: writer behind it.
+    :param handler: installed handler of the process.
+    :param writer: writer that the handler uses.
     """
 
     def __init__(self, handler: JsonHandler, writer: LineWriter) -> None:
@@ -146,11 +145,11 @@
 
     @property
     def dropped(self) -> int:
-        """Lines dropped since the start."""
+        """Number of lines dropped since the start."""
         return self._writer.dropped
 
     def close(self) -> None:
-        """Write what waits and take the handler away; a second call does nothing."""
+        """Write the queued lines and remove the handler; further calls do nothing."""
         if self._closed:
             return
         self._closed = True
@@ -159,11 +158,11 @@
 
 
 def start_logs(entry: str, level: str, stream: TextIO | None = None) -> Logs:
-    """Send the logs of the whole process, libraries' too, to ``stream``.
+    """Send the logs of the process, including those of libraries, to ``stream``.
 
     :param entry: name of the entry.
-    :param level: least level that is logged, in lower case.
-    :param stream: standard error if absent.
+    :param level: minimum log level, in lower case.
+    :param stream: output stream; standard error by default.
     """
     writer = LineWriter(stream or sys.stderr)
     handler = JsonHandler(writer, entry, level)
--- a/src/sassafrasdale/metrics.py
+++ b/src/sassafrasdale/metrics.py
@@ -1,7 +1,7 @@
-"""The entry's metrics: OpenTelemetry instruments and the page that shows them.
+"""Metrics: OpenTelemetry instruments and the Prometheus scrape page.
 
-The page is handed out by the entry's own HTTP server; the exporter's server
-stays unused.
+The page is served by the HTTP server of the entry or gateway; the exporter's server is
+not used.
 """
 
 from datetime import timedelta
@@ -35,10 +35,10 @@
 
 
 class Series:
-    """Values by labels that the scrape page reads when it is asked for.
+    """Values by labels, read by an observable instrument at each scrape.
 
-    Calling an instrument for each request costs ten times as much as adding to a
-    dictionary here and letting the instrument read it at the scrape.
+    Calling an instrument for each request costs ten times as much as updating this
+    dictionary and letting the instrument read it at the scrape.
     """
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         self._values[tuple(labels.items())] = value
 
     def observe(self, _options: CallbackOptions) -> list[Observation]:
-        """Return all values, as an instrument's callback."""
+        """Return all values; the callback of an observable instrument."""
         return [Observation(value, dict(key)) for key, value in self._values.items()]
 
 
@@ -75,10 +75,10 @@
 
 
 class Metrics:
-    """Instruments of one entry.
+    """Metrics of one entry or gateway.
 
-    Labels are services, zones and outcomes, never customers or request ids: the
-    page must stay small however many call.
+    Labels are services, zones and outcomes, never customers or request ids: the size
+    of the page must not depend on the number of callers.
 
     Usage::
 
@@ -86,8 +86,8 @@
         metrics.request_ended("reports", "answered", timedelta(seconds=2))
         page = metrics.metrics_page()
 
-    :param entry: name of the entry.
-    :param availability_zone: where it runs.
+    :param entry: name of the entry or gateway.
+    :param availability_zone: its availability zone.
     """
 
     content_type = CONTENT_TYPE_LATEST
@@ -137,7 +137,7 @@
         self._in_flight.add(1, service=service)
 
     def request_ended(self, service: str, outcome: str, latency: timedelta) -> None:
-        """Count a request that began earlier and its time."""
+        """Count the end of a request, and record its duration."""
         self._in_flight.add(-1, service=service)
         self._requests.add(1, service=service, outcome=outcome)
         self._latency.record(
@@ -149,15 +149,15 @@
         self._recomputed.add(count, service=service)
 
     def claim_ended(self, service: str, outcome: str) -> None:
-        """Count a claim by what became of it."""
+        """Count a claim by its outcome."""
         self._claims.add(1, service=service, outcome=outcome)
 
     def handover_ended(self, outcome: str) -> None:
-        """Count a hand-over by what became of it."""
+        """Count a hand-over by its outcome."""
         self._handovers.add(1, outcome=outcome)
 
     def request_shed(self, service: str, reason: str) -> None:
-        """Count a request that was refused before it began."""
+        """Count a request that was shed before it started."""
         self._sheds.add(1, service=service, reason=reason)
 
     def request_retried(self, service: str) -> None:
@@ -165,21 +165,21 @@
         self._retries.add(1, service=service)
 
     def set_peers(self, state: str, count: int) -> None:
-        """Show how many peers are in a state."""
+        """Set the number of peers in a state."""
         self._peers.set(count, state=state)
 
     def set_revision(self, revision: int) -> None:
-        """Show the revision in force."""
+        """Set the configuration revision in force."""
         self._revision.set(revision)
 
     def count(self, name: str, **labels: str) -> None:
-        """Count an event of a gateway; the page shows it as a labelled counter."""
+        """Count an event of a gateway by its name and labels."""
         self._events.add(1, event=name, **labels)
 
     def metrics_page(self) -> bytes:
-        """Return the scrape page; its type is :attr:`content_type`."""
+        """Return the scrape page; its content type is :attr:`content_type`."""
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Release the reader."""
+        """Shut the meter provider down."""
         self._provider.shutdown()
--- a/src/sassafrasdale/settings.py
+++ b/src/sassafrasdale/settings.py
@@ -1,7 +1,7 @@
 """Settings of an entry process, from flags and environment variables.
 
-Flags go before variables. Every fault is reported at once, before anything
-starts.
+Flags take precedence over variables. All faults are reported together, before the
+process starts.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -20,10 +20,10 @@
 
 
 class SettingError(SassafrasdaleError):
-    """One setting is missing or wrong, a member of :class:`SettingsError`.
+    """A setting is missing or invalid; a member of :class:`SettingsError`.
 
     :param name: name of the setting, as in :class:`EntrySettings`.
-    :param problem: what is wrong.
+    :param problem: description of the fault.
     """
 
     def __init__(self, name: str, problem: str) -> None:
@@ -32,9 +32,9 @@
 
 
 class SettingsError(ExceptionGroup[SettingError], SassafrasdaleError):
-    """Settings are missing or wrong; the group has one member for each.
+    """Settings are missing or invalid; the group has one member for each.
 
-    :param faults: everything that is wrong.
+    :param faults: all faults.
     """
 
     def __new__(cls, faults: Iterable[SettingError]) -> Self:
@@ -42,13 +42,13 @@
         return super().__new__(cls, "settings are missing or wrong", list(faults))
 
     def __init__(self, faults: Iterable[SettingError]) -> None:
-        # A group's message is read-only, so the root's initializer can't run.
+        # An exception group's message is read-only, so the base initializer can't run.
         self.field = None
         self.retry_after = None
 
     @property
     def faults(self) -> tuple[SettingError, ...]:
-        """Everything that is wrong."""
+        """All faults."""
         return self.exceptions
 
     def derive(self, excs: list[SettingError]) -> "SettingsError":
@@ -60,16 +60,16 @@
 class EntrySettings:
     """Settings of one entry process.
 
-    :param name: the instance's name, as the platform lists it.
-    :param availability_zone: where the process runs.
-    :param address: where it takes HTTP from callers and operators.
-    :param peer_address: where it takes messages of its peers.
+    :param name: name of the instance in the platform's list.
+    :param availability_zone: availability zone of the process.
+    :param address: HTTP address for callers and operators.
+    :param peer_address: address for messages from peers.
     :param store: address of the platform's key-value service.
     :param cloud: address of the platform's cloud API.
-    :param drain_timeout: how long a stop waits for requests in flight.
-    :param max_body_bytes: largest body that a caller may send.
-    :param header_timeout: how long a caller may take to send a request.
-    :param log_level: least level that is logged.
+    :param drain_timeout: maximum time that a shutdown waits for requests in flight.
+    :param max_body_bytes: maximum size of a request body.
+    :param header_timeout: maximum time for a caller to send a request.
+    :param log_level: minimum level of the logs.
     """
 
     name: str
@@ -97,22 +97,22 @@
 def load_settings(
     flags: Mapping[str, str | None], environ: Mapping[str, str]
 ) -> EntrySettings:
-    """Return the settings that flags and variables give.
+    """Return the settings from flags and environment variables.
 
-    :param flags: values by name of the setting; None if the flag is absent.
+    :param flags: values by setting name; None if the flag is absent.
     :param environ: environment variables.
-    :raises SettingsError: if any setting is missing or wrong.
+    :raises SettingsError: if any setting is missing or invalid.
     """
     values: dict[str, Any] = {}
     faults: list[SettingError] = []
     for field in fields(EntrySettings):
-        written = flags.get(field.name)
-        if written is None:
-            written = environ.get(variable_of(field.name))
-        if written is None and field.default is not MISSING:
+        text = flags.get(field.name)
+        if text is None:
+            text = environ.get(variable_of(field.name))
+        if text is None and field.default is not MISSING:
             continue
         try:
-            values[field.name] = _read(field.name, written)
+            values[field.name] = _parse(field.name, text)
         except ValueError as error:
             faults.append(SettingError(field.name, str(error)))
     if faults:
@@ -120,49 +120,49 @@
     return EntrySettings(**values)
 
 
-def _read(name: str, written: str | None) -> Any:
-    if not written:
+def _parse(name: str, text: str | None) -> Any:
+    if not text:
         raise ValueError("is missing")
-    return _READERS[name](written)
+    return _PARSERS[name](text)
 
 
-def _read_name(written: str) -> str:
-    if not all(char.isalnum() or char in "._-" for char in written):
-        raise ValueError(f"{written!r} has characters other than A-Za-z0-9._-")
-    return written
+def _parse_name(text: str) -> str:
+    if not all(char.isalnum() or char in "._-" for char in text):
+        raise ValueError(f"{text!r} has characters other than A-Za-z0-9._-")
+    return text
 
 
-def _read_size(written: str) -> int:
-    if not written.isdecimal():
-        raise ValueError(f"{written!r} is not a number of bytes")
-    size = int(written)
+def _parse_size(text: str) -> int:
+    if not text.isdecimal():
+        raise ValueError(f"{text!r} is not a number of bytes")
+    size = int(text)
     if not MIN_BODY_BYTES <= size <= MAX_BODY_BYTES:
         raise ValueError(f"must be from {MIN_BODY_BYTES} to {MAX_BODY_BYTES}")
     return size
 
 
-def _read_timeout(written: str) -> timedelta:
-    timeout = parse_duration(written)
+def _parse_timeout(text: str) -> timedelta:
+    timeout = parse_duration(text)
     if not timeout:
         raise ValueError("must be above 0")
     return timeout
 
 
-def _read_level(written: str) -> str:
-    if written not in LOG_LEVELS:
-        raise ValueError(f"{written!r} is none of {', '.join(LOG_LEVELS)}")
-    return written
+def _parse_level(text: str) -> str:
+    if text not in LOG_LEVELS:
+        raise ValueError(f"{text!r} is none of {', '.join(LOG_LEVELS)}")
+    return text
 
 
-_READERS: Mapping[str, Callable[[str], Any]] = {
-    "name": _read_name,
-    "availability_zone": _read_name,
+_PARSERS: Mapping[str, Callable[[str], Any]] = {
+    "name": _parse_name,
+    "availability_zone": _parse_name,
     "address": Address.parse,
     "peer_address": Address.parse,
     "store": Address.parse,
     "cloud": Address.parse,
-    "drain_timeout": _read_timeout,
-    "max_body_bytes": _read_size,
-    "header_timeout": _read_timeout,
-    "log_level": _read_level,
+    "drain_timeout": _parse_timeout,
+    "max_body_bytes": _parse_size,
+    "header_timeout": _parse_timeout,
+    "log_level": _parse_level,
 }
--- a/src/sassafrasdale/signals.py
+++ b/src/sassafrasdale/signals.py
@@ -1,25 +1,25 @@
-"""Signals that come before the program that heeds them is loaded.
+"""Signal handling, with signals blocked until the program is loaded.
 
-Until then a signal would end the process at once, with the callers whose connections
-wait. It uses the standard library only, as it is loaded before everything else.
+An earlier signal would terminate the process at once and drop the connections in its
+backlog. This module uses the standard library only, as it is imported first.
 """
 
 import signal
 from collections.abc import Callable, Mapping
 
-HEEDED = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+HANDLED_SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
-def hold_signals() -> None:
-    """Keep signals until they are heeded."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)
+def block_signals() -> None:
+    """Block the handled signals until :func:`handle_signals` is called."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def heed_signals(handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
-    """Call a handler at each signal, also at those that were held."""
+    """Install handlers and unblock the signals, which delivers pending ones."""
     for number, handle in handlers.items():
         signal.signal(number, _handler(handle))
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HEEDED)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
 
 
 def _handler(handle: Callable[[], None]) -> Callable[[int, object], None]:
--- a/src/sassafrasdale/structures.py
+++ b/src/sassafrasdale/structures.py
@@ -1,4 +1,4 @@
-"""Data classes that several layers share."""
+"""Data classes shared by several layers."""
 
 from dataclasses import dataclass
 from datetime import datetime
@@ -6,14 +6,14 @@
 
 
 class Role(StrEnum):
-    """What an instance is for."""
+    """Purpose of an instance."""
 
     ENTRY = "entry"
     ENDPOINT = "endpoint"
 
 
 class InstanceState(StrEnum):
-    """State of an instance as the platform lists it."""
+    """State of an instance in the platform's list."""
 
     RUNNING = "running"
     LEAVING = "leaving"
@@ -30,7 +30,7 @@
     def parse(cls, text: str) -> "Address":
         """Return the address written as ``host:port``.
 
-        :raises ValueError: if ``text`` has another form.
+        :raises ValueError: if ``text`` is malformed.
         """
         host, colon, port = text.rpartition(":")
         if not colon or not host or not port.isdecimal() or int(port) > 65535:
@@ -43,17 +43,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Instance:
-    """An instance as the platform lists it.
+    """An instance in the platform's list.
 
-    :param name: the platform's identifier.
+    :param name: identifier of the instance on the platform.
     :param role: entry or endpoint.
-    :param availability_zone: where it runs.
-    :param address: where it takes HTTP.
-    :param peer_address: where an entry takes messages of its peers.
+    :param availability_zone: availability zone of the instance.
+    :param address: its HTTP address.
+    :param peer_address: address of an entry for messages from its peers.
     :param service: name of the service that an endpoint serves.
-    :param instance_class: the platform's class of machine.
-    :param reclaimable: whether the platform may take it back.
-    :param checks_fencing: whether it refuses orders with an old fencing number.
+    :param instance_class: machine class on the platform.
+    :param reclaimable: whether the platform may reclaim it.
+    :param checks_fencing: whether it rejects orders with an old fencing number.
     :param state: running or leaving.
     """
 
@@ -71,11 +71,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Announcement that an instance is about to be reclaimed.
+    """Notice that an instance will be reclaimed.
 
-    :param sequence: number of the notice; later notices have higher ones.
+    :param sequence: sequence number; later notices have higher ones.
     :param instance: name of the instance.
-    :param leaves_at: when the platform takes it.
+    :param leaves_at: time at which the platform reclaims it.
     """
 
     sequence: int
--- a/src/sassafrasdale/tasks.py
+++ b/src/sassafrasdale/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that must never end."""
+"""Restart of background tasks after errors."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -9,19 +9,19 @@
 
 log = Logger("tasks")
 
-# Pause before a task that failed is started again.
-TASK_PAUSE = timedelta(seconds=1)
+# Delay before a failed task is restarted.
+RESTART_DELAY = timedelta(seconds=1)
 
 
 def run_for_good(task: Callable[[], None]) -> None:
-    """Run a task that must never end, also after an unforeseen error.
+    """Run a task for ever, restarting it after an unexpected error.
 
-    Without this an error would end the task in silence, and its process would go on
-    without, for example, heeding notices.
+    Otherwise an error would silently end the task, and its process would go on without,
+    for example, handling reclaim notices.
     """
     while True:
         try:
             task()
         except Exception:
-            log.exception("task {} failed and is started again", task.__qualname__)
-        sleep(TASK_PAUSE)
+            log.exception("task {} failed and is restarted", task.__qualname__)
+        sleep(RESTART_DELAY)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, arranged as the package is."""
+"""Tests, in the same folders as the package's modules."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared set-up: tests known to fail are passed over and named."""
+"""Shared pytest configuration: deselects and reports known failing tests."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Deselect exactly the tests that KNOWN-RED.txt lists."""
+    """Deselect exactly the tests in KNOWN-RED.txt."""
     listed = known_red_tests()
     red = [item for item in items if item.nodeid in listed]
     if red:
--- a/tests/stalls.py
+++ b/tests/stalls.py
@@ -1,4 +1,4 @@
-"""Processes that stand still: all tasks at once, for longer than they wait."""
+"""Simulated stalls of the whole process for longer than its tasks' time-outs."""
 
 import socket
 import time
@@ -9,7 +9,7 @@
 
 
 def hold_up(pause: timedelta, first: Callable[[], object] = lambda: None) -> None:
-    """Have a task that has just read something keep the process busy."""
+    """Block the whole process from a task that has just received bytes."""
     here, there = green_pair()
 
     def read_and_work() -> None:
@@ -24,6 +24,6 @@
 
 
 def green_pair() -> tuple[socket.socket, socket.socket]:
-    """Return a green socket and the plain one at its other end."""
+    """Return a connected pair of a green and a plain socket."""
     here, there = socket.socketpair()
     return make_green(here), there
--- a/tests/test_green.py
+++ b/tests/test_green.py
@@ -1,4 +1,4 @@
-"""Tests of the green sockets."""
+"""Tests of green sockets and time-outs."""
 
 import socket
 from datetime import timedelta
@@ -19,11 +19,10 @@
 
 
 def test_accepted_connections_send_small_writes_at_once():
-    """Streams ended 40 ms late.
+    """Guards against streams that end 40 ms late.
 
-    A caller saw the last event of every short stream 40 ms after the engine had
-    sent it: the accepted socket held the small write back until the caller's
-    kernel acknowledged the one before.
+    Without TCP_NODELAY, the accepted socket delays the last small write until the
+    caller's kernel has acknowledged the one before.
     """
     listener = listen(Address("127.0.0.1", 0))
     caller = socket.create_connection(listener.getsockname())
@@ -52,8 +51,8 @@
 
 
 @both_waits
-def test_what_came_while_the_process_was_held_up_is_not_late(wait, time_out):
-    """Guards against answers that a busy process gives up though they have come."""
+def test_bytes_that_arrive_during_a_stall_are_received(wait, time_out):
+    """Guards against time-outs of responses that have arrived during a stall."""
     here, there = green_pair()
     task = spawn(wait, here)
     hold_up(STALL, lambda: there.send(b"answer"))
@@ -61,7 +60,7 @@
 
 
 @both_waits
-def test_nothing_that_came_is_a_time_out(wait, time_out):
+def test_a_wait_without_bytes_times_out(wait, time_out):
     here, there = green_pair()
     task = spawn(wait, here)
     hold_up(STALL)
@@ -70,8 +69,8 @@
     there.close()
 
 
-def test_a_time_out_does_not_strike_after_the_work_that_it_limits():
-    """Guards against a time-out that ends what came after the guarded work."""
+def test_a_time_out_is_not_raised_after_its_block():
+    """Guards against a time-out that interrupts the code after its ``with`` block."""
     here, there = green_pair()
 
     def work_and_go_on() -> bytes:
@@ -84,7 +83,7 @@
     assert task.wait() == b"answer"
 
 
-def test_a_connection_that_does_not_open_is_a_time_out():
+def test_connect_times_out():
     with socket.create_server(("127.0.0.1", 0), backlog=0) as listener:
         address = Address(*listener.getsockname())
         fillers = [socket.socket() for _ in range(4)]
@@ -97,7 +96,7 @@
             filler.close()
 
 
-def test_a_refused_connection_is_refused():
+def test_connect_is_refused():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = Address(*listener.getsockname())
     with pytest.raises(ConnectionRefusedError):
--- a/tests/test_late_metrics.py
+++ b/tests/test_late_metrics.py
@@ -1,14 +1,14 @@
-"""Metrics that are gathered before the library for them is loaded."""
+"""Metrics that are recorded before the metrics library is imported."""
 
 from datetime import timedelta
 
-from sassafrasdale.late_metrics import KEPT_TIMES, LateMetrics
+from sassafrasdale.late_metrics import MAX_BUFFERED_DURATIONS, LateMetrics
 from sassafrasdale.metrics import Metrics
 
 SECOND = timedelta(seconds=1)
 
 
-def gather(metrics):
+def record_requests(metrics):
     metrics.request_began("models")
     metrics.request_began("models")
     metrics.request_ended("models", "answered", SECOND)
@@ -16,25 +16,26 @@
     metrics.count("request", outcome="answered", status="200")
 
 
-def test_the_page_is_the_one_of_metrics_that_were_there_from_the_start():
-    late = LateMetrics("front-a-1", "a")
-    early = Metrics("front-a-1", "a")
-    gather(late)
-    gather(early)
-    assert late.metrics_page() == early.metrics_page()
-    gather(late)
-    gather(early)
-    assert late.metrics_page() == early.metrics_page()
-    assert late.content_type == early.content_type
-
-
-def test_what_waits_for_the_first_page_is_bounded():
-    """A gateway that is never asked would grow until it is killed."""
-    late = LateMetrics("front-a-1", "a")
-    for _ in range(KEPT_TIMES + 500):
-        late.request_began("models")
-        late.request_ended("models", "answered", SECOND)
-    assert len(late._ended) == KEPT_TIMES
-    assert f'_count{{outcome="answered",service="models"}} {KEPT_TIMES}' in (
-        late.metrics_page().decode()
+def test_the_page_equals_that_of_directly_recorded_metrics():
+    lazy = LateMetrics("front-a-1", "a")
+    direct = Metrics("front-a-1", "a")
+    record_requests(lazy)
+    record_requests(direct)
+    assert lazy.metrics_page() == direct.metrics_page()
+    record_requests(lazy)
+    record_requests(direct)
+    assert lazy.metrics_page() == direct.metrics_page()
+    assert lazy.content_type == direct.content_type
+
+
+def test_the_buffer_before_the_first_scrape_is_bounded():
+    """Guards against unbounded memory growth of a gateway without scrapes."""
+    lazy = LateMetrics("front-a-1", "a")
+    for _ in range(MAX_BUFFERED_DURATIONS + 500):
+        lazy.request_began("models")
+        lazy.request_ended("models", "answered", SECOND)
+    assert len(lazy._ended) == MAX_BUFFERED_DURATIONS
+    assert (
+        f'_count{{outcome="answered",service="models"}} {MAX_BUFFERED_DURATIONS}'
+        in (lazy.metrics_page().decode())
     )
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -35,7 +35,7 @@
     return [json.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_a_line_has_the_entry_the_request_and_the_named_values(logs, stream):
+def test_a_line_has_the_entry_the_request_and_the_extra_fields(logs, stream):
     with request_context("r-1"):
         LOG.info("request ended", service="reports", status=200)
     LOG.debug("below the level")
@@ -54,7 +54,7 @@
     }
 
 
-def test_named_values_cannot_pass_for_the_line_s_own(logs, stream):
+def test_extra_fields_do_not_overwrite_standard_fields(logs, stream):
     LOG.info("text\nwith a line end", extra={"entry": "entry-9", "message": "forged"})
 
     (line,) = lines_of(logs, stream)
@@ -81,7 +81,7 @@
     assert "request_id" not in outside
 
 
-def test_errors_and_library_logs_become_lines(logs, stream):
+def test_exceptions_and_library_logs_become_lines(logs, stream):
     try:
         raise ValueError("broken")
     except ValueError:
@@ -94,12 +94,11 @@
     assert (library["logger"], library["message"]) == ("urllib3", "pool is full")
 
 
-def test_reader_that_stopped_reading_does_not_hold_up_the_caller():
-    """Log into a pipe that nobody reads.
+def test_a_stalled_reader_does_not_block_the_caller():
+    """Guards against a stall of all streams while the log collector hangs.
 
-    The collector of the logs hangs; the pipe fills after 64 KiB and the next
-    write blocks. Were it the entry's own thread, every stream would stand still.
-    Lines above the limit are dropped and counted instead.
+    The pipe fills after 64 KiB, and the next write blocks. Lines beyond the limit must
+    be dropped and counted instead.
     """
     reading, writing = os.pipe()
     writer = LineWriter(os.fdopen(writing, "w"), limit=100)
@@ -118,7 +117,7 @@
     writer.close()
 
 
-def test_stream_that_is_gone_does_not_end_the_writer():
+def test_a_closed_stream_does_not_end_the_writer():
     reading, writing = os.pipe()
     os.close(reading)
     writer = LineWriter(os.fdopen(writing, "w", buffering=1))
--- a/tests/test_main.py
+++ b/tests/test_main.py
@@ -1,4 +1,4 @@
-"""The short way from the process's arguments to a gateway."""
+"""Direct start of a gateway without the command line."""
 
 import os
 import subprocess
@@ -6,7 +6,7 @@
 
 import pytest
 
-PLAIN = ["gateway", "--metrics-port", "9464"]
+DIRECT_ARGUMENTS = ["gateway", "--metrics-port", "9464"]
 
 
 def run(arguments):
@@ -27,25 +27,25 @@
 
 @pytest.mark.parametrize(
     "arguments",
-    [PLAIN, ["gateway"], [*PLAIN, "--log-level", "debug"]],
+    [DIRECT_ARGUMENTS, ["gateway"], [*DIRECT_ARGUMENTS, "--log-level", "debug"]],
     ids=["plain", "no port", "log level"],
 )
-def test_missing_settings_end_a_gateway_on_either_way(arguments):
-    """A gateway without settings would run on with nothing to serve."""
-    ended = run(arguments)
-    assert ended.returncode == 2
-    assert "sassafrasdale gateway: " in ended.stderr
-    assert "SASSAFRASDALE_BOOT is not set" in ended.stderr
+def test_missing_settings_end_a_gateway(arguments):
+    """Guards against a gateway that runs without settings."""
+    result = run(arguments)
+    assert result.returncode == 2
+    assert "sassafrasdale gateway: " in result.stderr
+    assert "SASSAFRASDALE_BOOT is not set" in result.stderr
 
 
-def test_a_port_that_is_no_number_is_left_to_the_command_line():
-    ended = run(["gateway", "--metrics-port", "many"])
-    assert ended.returncode != 0
-    assert "metrics-port" in ended.stdout + ended.stderr
+def test_an_invalid_port_is_reported_by_the_command_line():
+    result = run(["gateway", "--metrics-port", "many"])
+    assert result.returncode != 0
+    assert "metrics-port" in result.stdout + result.stderr
 
 
-def test_the_plain_way_loads_nothing_that_a_gateway_starts_without():
-    """Guards against callers that wait longer for a gateway that was killed."""
+def test_the_direct_start_skips_slow_imports():
+    """Guards against a slower restart of a killed gateway, while callers wait."""
     code = (
         "import sys; import sassafrasdale.gateway.launch;"
         "print([name for name in sys.modules"
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics page."""
+"""Tests of the scrape page."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
     metrics.close()
 
 
-def test_page_names_every_instrument(metrics):
+def test_page_contains_every_instrument(metrics):
     metrics.request_began("reports")
     metrics.request_ended("reports", "answered", timedelta(milliseconds=30))
     metrics.request_began("reports")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -26,7 +26,7 @@
 }
 
 
-def test_variables_suffice_and_the_rest_has_defaults():
+def test_required_variables_suffice():
     assert load_settings({}, COMPLETE) == EntrySettings(
         name="entry-1",
         availability_zone="cairo-a",
@@ -37,7 +37,7 @@
     )
 
 
-def test_flags_go_before_variables():
+def test_flags_take_precedence_over_variables():
     environ = {**COMPLETE, "SASSAFRASDALE_DRAIN_TIMEOUT": "5s"}
 
     settings = load_settings({"name": "entry-2", "drain_timeout": "1m"}, environ)
@@ -46,7 +46,7 @@
     assert settings.drain_timeout == timedelta(minutes=1)
 
 
-def test_every_fault_comes_at_once():
+def test_all_faults_are_reported_together():
     environ = {
         **COMPLETE,
         "SASSAFRASDALE_STORE": "store",
@@ -76,12 +76,16 @@
     page = (Path(__file__).parents[1] / "docs" / "OPERATORS.md").read_text()
 
     for setting in fields(EntrySettings):
-        default = "required" if setting.default is MISSING else written(setting.default)
+        default = (
+            "required"
+            if setting.default is MISSING
+            else format_default(setting.default)
+        )
         row = f"| `{flag_of(setting.name)}` | `{variable_of(setting.name)}` | {default}"
         assert row in page
 
 
-def written(default: object) -> str:
+def format_default(default: object) -> str:
     match default:
         case timedelta():
             return format_duration(default)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that must never end."""
+"""Restart of background tasks."""
 
 from datetime import timedelta
 
@@ -7,9 +7,9 @@
 from sassafrasdale.tasks import run_for_good
 
 
-def test_a_task_that_fails_is_started_again(monkeypatch):
-    """A duty would stand still until the process is restarted by hand."""
-    monkeypatch.setattr(tasks, "TASK_PAUSE", timedelta(milliseconds=1))
+def test_a_failed_task_is_restarted(monkeypatch):
+    """Guards against a duty that stops until the process is restarted manually."""
+    monkeypatch.setattr(tasks, "RESTART_DELAY", timedelta(milliseconds=1))
     starts = Queue()
 
     def fail():
