--- a/src/sassafrasdale/deployment.py
+++ b/src/sassafrasdale/deployment.py
@@ -205,7 +205,7 @@
     lease: timedelta
     usage_window: timedelta
     usage_delay: timedelta
-    shortest_lease: timedelta = timedelta(seconds=1)
+    min_lease: timedelta = timedelta(seconds=1)
     configuration_delay: timedelta = timedelta(seconds=2)
     checks_fencing: bool = True
     trial_share: float = 0.1
--- a/src/sassafrasdale/gateway/duties.py
+++ b/src/sassafrasdale/gateway/duties.py
@@ -76,7 +76,7 @@
             settings.name,
             clock,
             rng,
-            max(bounds.lease * LEASE_TTL_FRACTION, bounds.shortest_lease),
+            max(bounds.lease * LEASE_TTL_FRACTION, bounds.min_lease),
             self._should_defer,
             rest=bounds.lease,
         )
--- a/src/sassafrasdale/platform/settings.py
+++ b/src/sassafrasdale/platform/settings.py
@@ -151,7 +151,7 @@
         lease=timedelta(milliseconds=bounds.lease_ms),
         usage_window=timedelta(seconds=bounds.usage_window_s),
         usage_delay=timedelta(seconds=bounds.usage_late_s),
-        shortest_lease=timedelta(milliseconds=store.ttl_min_ms),
+        min_lease=timedelta(milliseconds=store.ttl_min_ms),
         configuration_delay=timedelta(milliseconds=bounds.config_apply_ms),
         checks_fencing=bounds.require_fence,
         trial_share=bounds.canary_share,
