--- a/src/sassafrasdale/deployment.py
+++ b/src/sassafrasdale/deployment.py
@@ -162,8 +162,8 @@
     """An endpoint as the platform lists it.
 
     :param reclaimable: whether the platform may reclaim it at short notice.
-    :param started_ms: start time, which distinguishes restarts under one name; None if
-        it is unknown.
+    :param born: start time, which distinguishes restarts under one name; None if it is
+        unknown.
     :param version: version of its software.
     """
 
--- a/src/sassafrasdale/gateway/rollout.py
+++ b/src/sassafrasdale/gateway/rollout.py
@@ -50,10 +50,10 @@
         self.since = since
         self.status_revision = 0
         self.ended_at = timedelta()
-        self.filled_at: timedelta | None = None
+        self.full_load_at: timedelta | None = None
         self.is_suspect = False
         self.is_suspected_elsewhere = False
-        self.is_full = False
+        self.has_full_load = False
         self.is_sampled = False
         self.table: OutcomeTable = {}
         self.trial = Trial(RULE)
@@ -117,5 +117,5 @@
             rows_of(self.table),
             self.is_condemned,
             self.is_suspect,
-            self.filled_at is not None,
+            self.full_load_at is not None,
         )
--- a/src/sassafrasdale/gateway/rollout_duty.py
+++ b/src/sassafrasdale/gateway/rollout_duty.py
@@ -106,7 +106,7 @@
             case Step.WAIT:
                 return
             case Step.FILL:
-                self._rollouts.fill(rollout)
+                self._rollouts.start_full_load(rollout)
             case Step.START:
                 self._write_status(rollout, RolloutState.RUNNING)
             case Step.COMPLETE:
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -171,9 +171,9 @@
         if not targets:
             return ()
         rollout.is_sampled = True
-        if not rollout.allowance.may_try(route, full=rollout.is_full):
+        if not rollout.allowance.may_try(route, full=rollout.has_full_load):
             return ()
-        if rollout.is_full:
+        if rollout.has_full_load:
             return targets
         others = len(records) - len(targets)
         count = max(1, round(others * self._share * SAMPLED_PART))
@@ -231,7 +231,7 @@
                 if report.service == rollout.order.service
                 and report.order == rollout.revision
             ]
-            rollout.is_full = rollout.filled_at is not None or any(
+            rollout.has_full_load = rollout.full_load_at is not None or any(
                 report.full for report in reports
             )
             self._evaluate(rollout, reports)
@@ -281,10 +281,10 @@
             **reason,
         )
 
-    def fill(self, rollout: Rollout) -> None:
+    def start_full_load(self, rollout: Rollout) -> None:
         """Start the full load on the canary, as the leader."""
-        rollout.filled_at = self._clock.elapsed()
-        rollout.is_full = True
+        rollout.full_load_at = self._clock.elapsed()
+        rollout.has_full_load = True
         self._log_state(rollout, reason="at full load")
 
     def view(self, rollout: Rollout) -> RolloutView:
@@ -292,8 +292,8 @@
         listed = self._listed(rollout.order.service)
         targets = len(rollout.targets(listed))
         filled_for = None
-        if rollout.filled_at is not None:
-            filled_for = self._clock.elapsed() - rollout.filled_at
+        if rollout.full_load_at is not None:
+            filled_for = self._clock.elapsed() - rollout.full_load_at
         return RolloutView(
             duration=rollout.order.duration,
             is_started=rollout.state != "ordered",
--- a/src/sassafrasdale/gateway/scaling.py
+++ b/src/sassafrasdale/gateway/scaling.py
@@ -25,7 +25,7 @@
 from sassafrasdale.platform.exceptions import (
     DutyCallFailed,
     DutyCallRefused,
-    NoneAvailable,
+    NoEndpointAvailable,
 )
 
 log = Logger("scaling")
@@ -298,7 +298,7 @@
                 permit.fencing_number,
                 reclaimable=key.reclaimable,
             )
-        except NoneAvailable:
+        except NoEndpointAvailable:
             self._unavailable.add(key)
             outcome = "none available"
         except DutyCallFailed as error:
--- a/src/sassafrasdale/http/connections.py
+++ b/src/sassafrasdale/http/connections.py
@@ -167,8 +167,8 @@
             response with another value is skipped: a server may send a late second
             response to an earlier request.
         :raises ConnectionLost: if the server closes first.
-        :raises AnswerTimeout: if the deadline passes.
-        :raises MalformedAnswer: if the server sends no valid response.
+        :raises ResponseTimeout: if the deadline passes.
+        :raises MalformedResponse: if the server sends no valid response.
         """
         for _ in range(MAX_STRAY_RESPONSES):
             head = self._next_head(deadline)
@@ -182,8 +182,8 @@
         """Return the next part of the body, or no bytes at its end.
 
         :raises ConnectionLost: if the server closes before the end.
-        :raises AnswerTimeout: if the deadline passes.
-        :raises MalformedAnswer: if the server sends no valid body.
+        :raises ResponseTimeout: if the deadline passes.
+        :raises MalformedResponse: if the server sends no valid body.
         """
         event = self._next_event(deadline)
         match event:
--- a/src/sassafrasdale/http/server.py
+++ b/src/sassafrasdale/http/server.py
@@ -111,7 +111,7 @@
     def answer(self, status: int, headers: Iterable = (), body: bytes = b"") -> None:
         """Send a complete response.
 
-        :raises CallerGone: if the caller has disconnected.
+        :raises CallerDisconnected: if the caller has disconnected.
         """
         self.begin(status, [*headers, ("content-length", str(len(body)))])
         if body:
@@ -123,7 +123,7 @@
 
         Without a Content-Length, the body is sent in chunks.
 
-        :raises CallerGone: if the caller has disconnected.
+        :raises CallerDisconnected: if the caller has disconnected.
         """
         headers = list(headers)
         if self._server.is_draining():
@@ -139,7 +139,7 @@
     def write(self, data: bytes) -> None:
         """Send a part of the body.
 
-        :raises CallerGone: if the caller has disconnected.
+        :raises CallerDisconnected: if the caller has disconnected.
         """
         self._flush(self._codec.send(h11.Data(data=data)) or b"")
 
@@ -150,7 +150,7 @@
     def end(self) -> None:
         """Complete the response.
 
-        :raises CallerGone: if the caller has disconnected.
+        :raises CallerDisconnected: if the caller has disconnected.
         """
         self._flush(self._codec.send(h11.EndOfMessage()) or b"")
 
--- a/src/sassafrasdale/platform/duties.py
+++ b/src/sassafrasdale/platform/duties.py
@@ -11,7 +11,7 @@
 from sassafrasdale.platform.exceptions import (
     DutyCallFailed,
     DutyCallRefused,
-    NoneAvailable,
+    NoEndpointAvailable,
 )
 from sassafrasdale.structures import Address
 
@@ -58,7 +58,7 @@
     ) -> None:
         """Set the number of endpoints of a kind that a service has in a zone.
 
-        :raises NoneAvailable: if the platform has none of the kind left.
+        :raises NoEndpointAvailable: if the platform has none of the kind left.
         :raises DutyCallRefused: if a newer leader has ordered.
         :raises DutyCallFailed: if the outcome is unknown.
         """
@@ -69,7 +69,9 @@
         if response.status != _CONFLICT:
             return
         if reclaimable and b"fence" not in response.body.lower():
-            raise NoneAvailable(f"no reclaimable endpoints in {availability_zone}")
+            raise NoEndpointAvailable(
+                f"no reclaimable endpoints in {availability_zone}"
+            )
         raise DutyCallRefused("orders: a newer fencing number was seen")
 
     def _post(self, target: str, document: dict, fencing_number: int) -> Answer:
--- a/src/sassafrasdale/platform/exceptions.py
+++ b/src/sassafrasdale/platform/exceptions.py
@@ -43,5 +43,5 @@
     """The platform has seen a newer fencing number; this leader must step down."""
 
 
-class NoneAvailable(AdapterError):
+class NoEndpointAvailable(AdapterError):
     """The platform has no endpoint of the ordered kind available."""
--- a/tests/gateway/test_scaling.py
+++ b/tests/gateway/test_scaling.py
@@ -10,7 +10,7 @@
 from sassafrasdale.decisions.ordering import OrderKey, PlannedService
 from sassafrasdale.deployment import ScaleBounds
 from sassafrasdale.gateway.scaling import LISTING_TIME, MAX_ORDER_DELAY, Scaler
-from sassafrasdale.platform.exceptions import DutyCallFailed, NoneAvailable
+from sassafrasdale.platform.exceptions import DutyCallFailed, NoEndpointAvailable
 from tests.gateway.duties import SECOND, Lease
 
 BOUNDS = ScaleBounds(1, 8, timedelta(seconds=4), 0.22, {"a": 0.85, "b": 1.2})
@@ -28,7 +28,7 @@
         if self.failing_calls:
             raise DutyCallFailed("no answer")
         if reclaimable and zone in self.unavailable:
-            raise NoneAvailable("none")
+            raise NoEndpointAvailable("none")
         self.orders.append((zone, reclaimable, count, number))
 
     def wanted(self):
