--- a/src/sassafrasdale/deployment.py
+++ b/src/sassafrasdale/deployment.py
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """An endpoint as the platform lists it.
+    """An endpoint in the platform's list.
 
     :param reclaimable: whether the platform may reclaim it at short notice.
     :param born: start time, which distinguishes restarts under one name; None if it is
--- a/src/sassafrasdale/exceptions.py
+++ b/src/sassafrasdale/exceptions.py
@@ -10,7 +10,7 @@
 class SassafrasdaleError(Exception):
     """Base class of all exceptions that the package raises.
 
-    :param message: what went wrong, for an operator.
+    :param message: description of the error, for operators.
     :param field: name of the invalid input field, if there is one.
     :param retry_after: time after which to retry, if it is known.
     """
--- a/src/sassafrasdale/gateway/dependencies.py
+++ b/src/sassafrasdale/gateway/dependencies.py
@@ -38,19 +38,19 @@
 
     @property
     def since_failure(self) -> timedelta | None:
-        """Time since the last failed call; None if none ever failed."""
+        """Time since the last failed call; None if no call has failed."""
         if self._failed_at is None:
             return None
         return self._clock.elapsed() - self._failed_at
 
-    def failed(self, error: Exception, asked_at: timedelta) -> None:
+    def failed(self, error: Exception, sent_at: timedelta) -> None:
         """Record a call that got no answer.
 
-        :param asked_at: elapsed time at which it was sent.
+        :param sent_at: elapsed time at which it was sent.
         """
         if (
             self._last_success_sent_at is not None
-            and asked_at < self._last_success_sent_at
+            and sent_at < self._last_success_sent_at
         ):
             return
         self._failed_at = self._clock.elapsed()
@@ -64,16 +64,14 @@
             why=str(error),
         )
 
-    def succeeded(self, asked_at: timedelta) -> None:
+    def succeeded(self, sent_at: timedelta) -> None:
         """Record a call that was answered.
 
-        :param asked_at: elapsed time at which it was sent.
+        :param sent_at: elapsed time at which it was sent.
         """
         if self._last_success_sent_at is None:
             log.info("dependency reached", dependency=self._name)
-        self._last_success_sent_at = max(
-            asked_at, self._last_success_sent_at or asked_at
-        )
+        self._last_success_sent_at = max(sent_at, self._last_success_sent_at or sent_at)
         if self._lost_at is None:
             return
         outage = self._clock.elapsed() - self._lost_at
--- a/src/sassafrasdale/gateway/registration.py
+++ b/src/sassafrasdale/gateway/registration.py
@@ -61,15 +61,15 @@
         """Keep this gateway registered until the task is killed."""
         while True:
             pause = ENTRY_TTL / RENEWALS_PER_TTL
-            asked_at = self._clock.elapsed()
+            sent_at = self._clock.elapsed()
             try:
                 self._step()
-                self._dependency.succeeded(asked_at)
+                self._dependency.succeeded(sent_at)
             except LeaseNotFound:
                 self._lease = None
                 pause = timedelta()
             except StoreError as error:
-                self._dependency.failed(error, asked_at)
+                self._dependency.failed(error, sent_at)
                 pause = RETRY_DELAY
             sleep(pause * self._rng.uniform(0.8, 1.0))
 
--- a/src/sassafrasdale/gateway/scaling.py
+++ b/src/sassafrasdale/gateway/scaling.py
@@ -31,7 +31,7 @@
 log = Logger("scaling")
 
 ORDERS_RECORD = "sassafrasdale/orders"
-# Service, availability zone, whether reclaimable, and how many.
+# Service, availability zone, whether reclaimable, and count of endpoints.
 _Orders = list[tuple[str, str, bool, int]]
 ORDERS_FORM = TypeAdapter(_Orders)
 
--- a/src/sassafrasdale/green.py
+++ b/src/sassafrasdale/green.py
@@ -14,7 +14,7 @@
 from sassafrasdale.structures import Address
 
 # eventlet warns on import that it is in maintenance mode; docs/DEVIATIONS.md
-# says why it is used all the same.
+# explains why it is used anyway.
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
 
 # The package resolves no host names, and eventlet's DNS resolver takes longer to import
--- a/src/sassafrasdale/metrics.py
+++ b/src/sassafrasdale/metrics.py
@@ -145,7 +145,7 @@
         )
 
     def tokens_recomputed(self, service: str, count: int) -> None:
-        """Count tokens that an endpoint computed a second time."""
+        """Count tokens that an endpoint recomputed."""
         self._recomputed.add(count, service=service)
 
     def claim_ended(self, service: str, outcome: str) -> None:
--- a/src/sassafrasdale/platform/store.py
+++ b/src/sassafrasdale/platform/store.py
@@ -209,19 +209,19 @@
         self._transaction({"ifRev": [], "writes": [], "delete": [key]})
 
     def grant_lease(self, ttl: timedelta) -> Lease:
-        """Return a new lease that lasts ``ttl`` unless it is kept alive."""
+        """Return a new lease that expires after ``ttl`` unless it is renewed."""
         wanted = {"ttlMs": milliseconds(ttl)}
         document = _document(self._call("POST", "/v1/kv-lease", wanted))
         return Lease(document["lease"], timedelta(milliseconds=document["ttlMs"]))
 
     def keep_alive(self, lease: Lease) -> None:
-        """Extend ``lease`` to its whole time to live from now."""
+        """Renew ``lease`` for its full TTL."""
         response = self._call("POST", f"/v1/kv-keep/{lease.id}")
         if response.status == 404:
             raise LeaseNotFound(f"lease {lease.id} has ended")
 
     def revoke(self, lease: Lease) -> None:
-        """End ``lease`` and delete the keys attached to it."""
+        """Revoke ``lease``, which deletes the keys attached to it."""
         self._call("DELETE", f"/v1/kv-lease-end/{lease.id}")
 
     def watch(self, key: str, after: int, limit: timedelta) -> StoredValue | None:
