--- a/src/sassafrasdale/http/server.py
+++ b/src/sassafrasdale/http/server.py
@@ -348,9 +348,9 @@
             return
         with suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
-        until = self._server.clock.elapsed() + LINGER
-        while not self._disconnected and self._server.clock.elapsed() < until:
-            if not self._wait_for_bytes(until - self._server.clock.elapsed()):
+        deadline = self._server.clock.elapsed() + LINGER
+        while not self._disconnected and self._server.clock.elapsed() < deadline:
+            if not self._wait_for_bytes(deadline - self._server.clock.elapsed()):
                 return
 
 
