--- a/tests/guarantees/__init__.py
+++ b/tests/guarantees/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what must always hold, on real processes with faults."""
+"""End-to-end tests of the guarantees, on real processes with injected faults."""
--- a/tests/guarantees/certificates.py
+++ b/tests/guarantees/certificates.py
@@ -1,4 +1,4 @@
-"""A deployment with one plain service, whose calls may not be repeated."""
+"""A deployment with one plain service, whose requests are not idempotent."""
 
 from collections.abc import Iterator
 from concurrent.futures import Future, ThreadPoolExecutor
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """What a caller was told."""
+    """The reply to a caller's request for a certificate."""
 
     status: int
     outcome: str
@@ -31,8 +31,8 @@
     body: bytes
 
     @classmethod
-    def of(cls, response: Response) -> "Told":
-        """Return what ``response`` says."""
+    def from_response(cls, response: Response) -> "Told":
+        """Return the reply in an HTTP response."""
         headers = response.headers
         return cls(
             response.status,
@@ -44,7 +44,7 @@
 
 @dataclass
 class Deployment:
-    """Platform, service and entries, and callers in threads of their own."""
+    """Platform, service and entries, and a thread pool for callers."""
 
     platform: PlatformProcess
     service: ServiceProcess
@@ -58,7 +58,7 @@
         timeout: timedelta = TIMEOUT,
         request_id: str | None = None,
     ) -> Told:
-        """Ask for a certificate under ``key`` and return what is told."""
+        """Request a certificate with idempotency key ``key``; return the reply."""
         headers = {
             "X-Customer": "cube-labs",
             "X-Request-Id": request_id or uuid4().hex,
@@ -66,33 +66,35 @@
             "X-Timeout-Ms": str(int(timeout.total_seconds() * 1000)),
         }
         path = "/v1/services/records/certificates"
-        return Told.of(entry.client.call("POST", path, {"batch": key}, headers))
+        return Told.from_response(
+            entry.client.call("POST", path, {"batch": key}, headers)
+        )
 
     def issue_later(
         self, entry: EntryProcess, key: str, timeout: timedelta = TIMEOUT
     ) -> "Future[Told]":
-        """Ask for a certificate in a thread."""
+        """Request a certificate in a background thread."""
         return self.threads.submit(self.issue, entry, key, timeout)
 
     def executions(self, key: str) -> int:
-        """Return how often the service ran ``key``."""
+        """Return how often the service executed a request with ``key``."""
         counts = self.service.counts()
         return counts["by_idempotency_key"].get(key, 0)
 
     def wait_for_call(self, key: str) -> None:
-        """Wait until the service has run ``key``."""
+        """Wait until the service has executed a request with ``key``."""
         wait_until(lambda: self.executions(key), TIMEOUT)
 
     def store_writes(self) -> int:
-        """Return how many writes the store was asked for."""
+        """Return how many writes the store has received."""
         return self.platform.counts()["store"].get("writes", 0)
 
     def wait_for_write(self, before: int) -> None:
-        """Wait until the store was asked for a write."""
+        """Wait until the store has received more than ``before`` writes."""
         wait_until(lambda: self.store_writes() > before, TIMEOUT)
 
-    def heal(self) -> None:
-        """End all faults."""
+    def clear_faults(self) -> None:
+        """Clear all injected faults."""
         self.platform.set_faults(
             store={"outage": None, "delay_ms": 0, "drop_writes": 0}
         )
@@ -100,7 +102,7 @@
 
     @contextmanager
     def spare_entry(self) -> Iterator[EntryProcess]:
-        """Start an entry that a test may kill."""
+        """Start an extra entry that a test may kill."""
         entry = start_entry(
             f"spare-{uuid4().hex[:8]}",
             "zone-c",
@@ -109,12 +111,12 @@
         )
         try:
             self.platform.register(entry)
-            for known in (*self.entries, entry):
+            for member in (*self.entries, entry):
                 wait_until(
-                    lambda known=known: alive_peers(known) >= len(self.entries),
+                    lambda member=member: alive_peers(member) >= len(self.entries),
                     START_LIMIT,
                 )
-            # The first claim of a process also asks for a lease.
+            # The first claim of a process also has to be granted a lease.
             assert self.issue(entry, uuid4().hex).outcome == "answered"
             yield entry
         finally:
@@ -123,14 +125,14 @@
 
 
 def alive_peers(entry: EntryProcess) -> int:
-    """Return how many other entries ``entry`` holds for alive."""
+    """Return how many peers ``entry`` considers alive."""
     peers = entry.client.call("GET", "/admin/v1/status").json()["peers"]
     return sum(peer["state"] == "alive" for peer in peers)
 
 
 @contextmanager
 def deployment() -> Iterator[Deployment]:
-    """Start platform, service and two entries."""
+    """Start the platform, the service and two entries."""
     with ExitStack() as stack:
         platform = stack.enter_context(PlatformProcess())
         service = stack.enter_context(ServiceProcess("records-1", "zone-a"))
@@ -148,11 +150,11 @@
         for entry in entries:
             entry.wait_until_ready()
             wait_until(lambda entry=entry: alive_peers(entry), START_LIMIT)
-        made = Deployment(platform, service, entries)
-        stack.callback(made.threads.shutdown, wait=False)
+        started = Deployment(platform, service, entries)
+        stack.callback(started.threads.shutdown, wait=False)
         for entry in entries:
             wait_until(
-                lambda entry=entry: made.issue(entry, uuid4().hex).status == 201,
+                lambda entry=entry: started.issue(entry, uuid4().hex).status == 201,
                 TIMEOUT * 3,
             )
-        yield made
+        yield started
--- a/tests/guarantees/deployments.py
+++ b/tests/guarantees/deployments.py
@@ -1,4 +1,4 @@
-"""Texts of small deployments for the tests."""
+"""Configuration texts of small deployments for the tests."""
 
 from collections.abc import Iterable
 
@@ -6,25 +6,25 @@
 
 
 def deployment(name: str, services: Iterable[str], zones: Iterable[str] = ZONES) -> str:
-    """Return the text of a deployment with one customer.
+    """Return the configuration text of a deployment with one customer.
 
-    :param services: parts of the text, from :func:`model` and :func:`plain`.
+    :param services: sections of the text, from :func:`model` and :func:`plain`.
     """
-    places = "".join(
+    zone_lines = "".join(
         f"  {zone}: {{region: north, one_way_delay: 1ms, client_delay: 1ms}}\n"
         for zone in zones
     )
     return (
         f"deployment: {name}\n"
         "instance_classes: [cpu-small]\n"
-        f"availability_zones:\n{places}"
+        f"availability_zones:\n{zone_lines}"
         f"services:\n{''.join(services)}"
         "customers:\n  cube-labs: {weight: 4}\n"
     )
 
 
 def model(name: str, *, checks_fencing: bool = False) -> str:
-    """Return the text of a model service with one engine."""
+    """Return the section of a model service with one engine."""
     fencing = "        checks_fencing: true\n" if checks_fencing else ""
     return f"""\
   {name}:
@@ -45,7 +45,7 @@
 def plain(
     name: str, *, count: int = 1, timeout: str = "2s", idempotent_gets: bool = False
 ) -> str:
-    """Return the text of a plain service."""
+    """Return the section of a plain service."""
     rules = "    rules:\n      - {method: GET, path: /*, idempotent: true}\n"
     return f"""\
   {name}:
--- a/tests/guarantees/operators.py
+++ b/tests/guarantees/operators.py
@@ -1,4 +1,4 @@
-"""Operators and entries for the tests of configuration."""
+"""Helpers that act as operators and read entries' configuration revisions."""
 
 import threading
 import time
@@ -18,17 +18,17 @@
 
 
 def example(name: str) -> str:
-    """Return the text of one of the two users."""
+    """Return the configuration text of one of the two example deployments."""
     return Path(ROOT, "examples", f"{name}.yaml").read_text(encoding="utf-8")
 
 
 def edited(weight: float, text: str = TEXT) -> str:
-    """Return the text with another weight of its first customer."""
+    """Return the text with the weight of its first customer changed."""
     return text.replace("cube-labs: {weight: 4", f"cube-labs: {{weight: {weight}")
 
 
 def revision_of(entry: EntryProcess) -> int:
-    """Return the revision in force on an entry, 0 if there is none."""
+    """Return the revision that an entry applies, 0 if it has none."""
     return entry.client.call("GET", "/admin/v1/status").json()["revision"]
 
 
@@ -40,7 +40,7 @@
     edit_id: str | None = None,
     author: str = "ana",
 ) -> Response:
-    """Put ``text`` in place of revision ``expected`` through one entry."""
+    """Replace revision ``expected`` by ``text`` through one entry."""
     headers = {
         "If-Match": f'"{expected}"',
         "X-Edit-Id": edit_id or uuid4().hex,
@@ -50,7 +50,7 @@
 
 
 def at_once(calls: Iterable[Callable[[], Any]]) -> list[Any]:
-    """Make all calls at the same moment and return their results in order."""
+    """Run all calls concurrently and return their results in order."""
     calls = list(calls)
     results: list[Any] = [None] * len(calls)
     barrier = threading.Barrier(len(calls))
@@ -68,9 +68,9 @@
 
 
 def wait_until(condition: Callable[[], Any], limit: timedelta) -> Any:
-    """Wait until ``condition`` gives something true, and return that.
+    """Poll ``condition`` until its result is true, and return that result.
 
-    :raises TimeoutError: if it doesn't within ``limit``.
+    :raises TimeoutError: if none is true within ``limit``.
     """
     deadline = time.monotonic() + limit.total_seconds()
     while time.monotonic() < deadline:
@@ -78,4 +78,4 @@
         if result:
             return result
         time.sleep(POLL.total_seconds())
-    raise TimeoutError(f"not within {limit}")
+    raise TimeoutError(f"condition not met within {limit}")
--- a/tests/guarantees/test_at_most_once.py
+++ b/tests/guarantees/test_at_most_once.py
@@ -1,7 +1,7 @@
-"""Non-idempotent requests on real processes: at most one run, a true "not run".
+"""Non-idempotent requests run at most once, and "not-run" is always true.
 
-The service answers each execution with a new number, so that a second execution
-shows both in its count and in the answer.
+The service returns a new number for each execution, so a second execution shows
+both in the service's counts and in the response.
 """
 
 import time
@@ -22,15 +22,15 @@
 
 @pytest.fixture(scope="module")
 def started() -> Iterator[Deployment]:
-    with deployment() as made:
-        yield made
+    with deployment() as running:
+        yield running
 
 
 @pytest.fixture
 def system(started: Deployment) -> Iterator[Deployment]:
     yield started
-    started.heal()
-    # The breakers in front of the store close with the first call that works.
+    started.clear_faults()
+    # The store's circuit breakers close with the first call that succeeds.
     for entry in started.entries:
         wait_until(
             lambda entry=entry: started.issue(entry, uuid4().hex).status == 201, LONG
@@ -43,10 +43,10 @@
 
 
 def freeze_after_claim(system, entry, key, timeout):
-    """Freeze ``entry`` while the store works on its claim; return the call."""
+    """Freeze ``entry`` while the store processes its claim; return the call."""
     system.platform.set_faults(store={"delay_ms": SLOW_MS})
     before = system.store_writes()
-    # Other tasks of the entries write nothing, so the next write is the claim.
+    # The entries write nothing else meanwhile, so the next write is the claim.
     call = system.issue_later(entry, key, timeout)
     time.sleep(SLOW_MS / 2000)
     entry.freeze()
@@ -55,26 +55,30 @@
     return call
 
 
-def test_retries_through_all_entries_get_the_first_answer(system, key):
-    told = [system.issue(entry, key) for entry in system.entries * 3]
-    assert {item.outcome for item in told} == {"answered"}
-    assert len({item.body for item in told}) == 1
+def test_retries_through_all_entries_get_the_first_response(system, key):
+    """A retry through another entry would issue a second certificate."""
+    replies = [system.issue(entry, key) for entry in system.entries * 3]
+    assert {reply.outcome for reply in replies} == {"answered"}
+    assert len({reply.body for reply in replies}) == 1
     assert system.executions(key) == 1
 
 
-def test_racing_calls_run_once(system, key):
-    """A caller's client sends the same request through all entries at once."""
+def test_concurrent_calls_run_once(system, key):
+    """A client sends the same request through all entries at the same time.
+
+    Without a shared claim, each entry would have the certificate issued.
+    """
     calls = [system.issue_later(entry, key) for entry in system.entries * 4]
-    told = [call.result() for call in calls]
-    assert len({item.body for item in told if item.outcome == "answered"}) == 1
+    replies = [call.result() for call in calls]
+    assert len({reply.body for reply in replies if reply.outcome == "answered"}) == 1
     assert system.executions(key) == 1
 
 
 def test_entry_killed_between_claim_and_send(system, key):
-    """An entry claims a certificate in the store and is killed before it sends.
+    """An entry stores its claim and is killed before it sends the request.
 
-    The caller's retry through another entry finds the claim of a dead holder. It
-    cannot know that nothing was sent, so it says "unknown" and runs nothing.
+    The caller's retry through another entry finds the claim of a dead entry. That
+    entry can't know that nothing was sent, so it reports "unknown" and runs nothing.
     """
     with system.spare_entry() as spare:
         call = freeze_after_claim(system, spare, key, LONG)
@@ -88,7 +92,7 @@
 def test_entry_killed_after_send(system, key):
     """An entry is killed while the service issues the certificate.
 
-    The retry must not issue a second one: it is told "unknown".
+    The retry must not issue a second certificate; its outcome is "unknown".
     """
     system.service.set_faults(slow_factor=SLOW_MS)
     with system.spare_entry() as spare:
@@ -101,11 +105,11 @@
         assert system.executions(key) == 1
 
 
-def test_frozen_entry_goes_on_after_others_were_asked(system, key):
+def test_frozen_entry_resumes_after_a_retry_elsewhere(system, key):
     """An entry freezes between claim and send; the caller retries elsewhere.
 
-    Seconds later, when others hold it for dead, it thaws and sends. Had the retry
-    run the request meanwhile, the certificate would be issued twice.
+    Seconds later, when its peers consider it dead, it thaws and sends. If the retry
+    had run the request meanwhile, the certificate would be issued twice.
     """
     with system.spare_entry() as spare:
         call = freeze_after_claim(system, spare, key, LONG)
@@ -121,9 +125,9 @@
 
 
 def test_frozen_entry_whose_caller_gave_up_sends_nothing(system, key):
-    """An entry thaws after the caller's deadline, between claim and send.
+    """An entry freezes between claim and send and thaws after the caller's deadline.
 
-    It says "not run" and gives the claim up; a later retry then runs it, once.
+    It reports "not-run" and releases its claim; a later retry runs the request once.
     """
     with system.spare_entry() as spare:
         call = freeze_after_claim(system, spare, key, SHORT)
@@ -138,40 +142,40 @@
 
 
 @pytest.mark.parametrize("lost", [1, 2, 6])
-def test_store_answer_to_the_claim_is_lost(system, key, lost):
-    """The store takes a claim and its answer is lost, once or several times.
+def test_store_response_to_the_claim_is_lost(system, key, lost):
+    """The store writes a claim and its response is lost, once or several times.
 
-    The entry finds its own claim, or gives it up and says "not run". Either way
-    the certificate is issued once, and a claim given up does not block its key.
+    The entry finds its own claim, or releases it and reports "not-run". Either way
+    the certificate is issued once, and a released claim does not block its key.
     """
     system.platform.set_faults(
         store={"drop_writes": lost, "drop_key_prefix": CLAIMS_PREFIX}
     )
-    told = [system.issue(system.entries[0], key)]
-    while told[-1].outcome != "answered" and len(told) < 50:
-        assert told[-1].outcome == "not-run" or told[-1].status == 504
-        if told[-1].outcome == "not-run":
-            assert told[-1].retry_after is not None
+    replies = [system.issue(system.entries[0], key)]
+    while replies[-1].outcome != "answered" and len(replies) < 50:
+        assert replies[-1].outcome == "not-run" or replies[-1].status == 504
+        if replies[-1].outcome == "not-run":
+            assert replies[-1].retry_after is not None
         time.sleep(0.2)
-        told.append(system.issue(system.entries[len(told) % 2], key))
-    assert told[-1].outcome == "answered"
+        replies.append(system.issue(system.entries[len(replies) % 2], key))
+    assert replies[-1].outcome == "answered"
     assert system.executions(key) == 1
 
 
 @pytest.mark.parametrize("outage", ["refuse", "close", "silent"])
 def test_store_outage(system, outage):
-    """The store is out. Nothing can be claimed, so nothing may run.
+    """The store is unavailable. Nothing can be claimed, so nothing may run.
 
-    Each caller is told "not run" and when to come back, long before its deadline.
-    With the store back, the same keys run once each.
+    Each caller gets "not-run" with ``Retry-After``, long before its deadline. After
+    the outage, the same keys run once each.
     """
     keys = [uuid4().hex for _ in range(12)]
     system.platform.set_faults(store={"outage": outage})
     began = time.monotonic()
-    told = [system.issue(system.entries[0], key, LONG) for key in keys]
+    replies = [system.issue(system.entries[0], key, LONG) for key in keys]
     assert time.monotonic() - began < LONG.total_seconds()
-    assert {item.outcome for item in told} == {"not-run"}
-    assert all(float(item.retry_after) > 0 for item in told)
+    assert {reply.outcome for reply in replies} == {"not-run"}
+    assert all(float(reply.retry_after) > 0 for reply in replies)
     assert [system.executions(key) for key in keys] == [0] * len(keys)
     system.platform.set_faults(store={"outage": None})
     for key in keys:
@@ -182,17 +186,17 @@
     assert [system.executions(key) for key in keys] == [1] * len(keys)
 
 
-def test_store_slower_than_the_limit(system):
-    """The store takes longer than an entry waits; claims land after "not run".
+def test_store_slower_than_the_claim_timeout(system):
+    """The store responds after the entry's timeout; claims are written after "not-run".
 
-    What was told "not run" has not run and never does by itself. The claims that
-    landed late are withdrawn, so that retries run once each.
+    Requests reported as "not-run" have not run and must not run later by themselves.
+    The late claims are withdrawn, so that each retry runs once.
     """
     keys = [uuid4().hex for _ in range(4)]
     system.platform.set_faults(store={"delay_ms": 1500})
     calls = [system.issue_later(system.entries[0], key, LONG) for key in keys]
-    told = [call.result() for call in calls]
-    assert {item.outcome for item in told} == {"not-run"}
+    replies = [call.result() for call in calls]
+    assert {reply.outcome for reply in replies} == {"not-run"}
     system.platform.set_faults(store={"delay_ms": 0})
     time.sleep(2)
     assert [system.executions(key) for key in keys] == [0] * len(keys)
@@ -205,18 +209,21 @@
 
 
 def test_store_connections_go_silent(system, key):
-    """All connections to the store fall silent while new ones work."""
+    """Open connections to the store stop responding while new ones work.
+
+    The claim must be retried on a new connection rather than fail the request.
+    """
     system.platform.set_faults(store={"silence_connections": True})
     assert system.issue(system.entries[0], key, LONG).outcome == "answered"
     assert system.executions(key) == 1
 
 
 @pytest.mark.parametrize("fault", ["silent", "dropped"])
-def test_endpoint_lost_after_it_ran(system, key, fault):
-    """The service issues a certificate and its connection breaks or goes silent.
+def test_endpoint_connection_lost_after_execution(system, key, fault):
+    """The service issues a certificate and its connection breaks or stops responding.
 
-    The caller is told "unknown", and so is every retry: another execution would
-    issue a second certificate.
+    The caller and every retry get "unknown": another execution would issue a second
+    certificate.
     """
     began = time.monotonic()
     if fault == "dropped":
@@ -235,31 +242,34 @@
     assert system.executions(key) == 1
 
 
-def test_answer_slower_than_connecting_is_waited_for(system, key):
-    """A service takes longer to answer than a connection may take to open.
+def test_response_slower_than_the_connect_timeout_is_awaited(system, key):
+    """A service takes longer to respond than the connect timeout.
 
-    The caller has time left, so it must get the answer rather than "unknown".
+    The caller's deadline has not passed, so it must get the response, not "unknown".
     """
     system.service.set_faults(slow_factor=1500)
     assert system.issue(system.entries[0], key).outcome == "answered"
 
 
 def test_service_refuses_before_it_runs(system, key):
-    """The service says that it has not started; the caller is told "not run"."""
+    """The service refuses the request as not started, so the outcome is "not-run".
+
+    A claim that was kept would block the caller's retry.
+    """
     system.service.set_faults(refuse=True)
-    told = system.issue(system.entries[0], key, SHORT)
-    assert told.outcome == "not-run"
-    assert told.retry_after is not None
+    reply = system.issue(system.entries[0], key, SHORT)
+    assert reply.outcome == "not-run"
+    assert reply.retry_after is not None
     system.service.set_faults(refuse=False)
     wait_until(lambda: system.issue(system.entries[1], key).outcome == "answered", LONG)
     assert system.executions(key) == 1
 
 
 def test_store_lost_while_another_attempt_runs(system, key):
-    """A retry waits for the first attempt's answer, and the store goes out.
+    """The store fails while a retry waits for the first attempt's response.
 
-    The service is issuing the certificate. To tell the retry "not run" would make
-    its caller ask for another one under a new key.
+    The service is issuing the certificate. If the retry got "not-run", its caller
+    would request another certificate with a new key.
     """
     system.service.set_faults(slow_factor=2500)
     first = system.issue_later(system.entries[0], key)
--- a/tests/guarantees/test_configuration.py
+++ b/tests/guarantees/test_configuration.py
@@ -1,7 +1,7 @@
-"""What operators accept is in force on nine entries, whatever fails meanwhile.
+"""An accepted configuration edit takes effect on nine entries despite faults.
 
-An observer asks every entry all the time for its revision; no entry may ever
-serve an older one than before.
+An observer polls every entry's revision throughout; an entry must never serve an
+older revision than before.
 """
 
 from datetime import timedelta
@@ -29,16 +29,16 @@
     "drop_key_prefix": "",
     "delay_ms": 0,
 }
-OUTAGE_ENDED = timedelta(seconds=5)
+RECOVERY_LIMIT = timedelta(seconds=5)
 START_LIMIT = timedelta(seconds=15)
-FAULTY_TEXT = TEXT.replace("kind: plain", "kind: queue").replace(
+INVALID_TEXT = TEXT.replace("kind: plain", "kind: queue").replace(
     "weight: 4", "weight: 0"
 )
 
 
 @pytest.fixture(scope="module")
 def deployment():
-    """Nine entries under observation, for all tests of the module."""
+    """Start nine entries and their observer, shared by all tests of the module."""
     with Fleet(TEXT, entries=9) as fleet, RevisionObserver(fleet.entries) as observer:
         observer.wait_for(1, IN_FORCE_LIMIT)
         yield fleet, observer
@@ -46,13 +46,16 @@
 
 @pytest.fixture
 def fleet(deployment):
-    """Give the fleet without faults and settled; check that no entry steps back."""
+    """Return the fleet, without faults and on one revision.
+
+    Afterwards check that no entry went back to an older revision.
+    """
     fleet, observer = deployment
-    _heal(fleet)
+    _clear_faults(fleet)
     newest = max(revision_of(entry) for entry in fleet.entries)
     observer.wait_for(newest, IN_FORCE_LIMIT)
     yield fleet
-    _heal(fleet)
+    _clear_faults(fleet)
     for entry in fleet.entries:
         assert revision_of(entry) >= observer.newest(entry.name)
     assert observer.regressions == []
@@ -60,26 +63,27 @@
 
 @pytest.fixture
 def observer(deployment):
-    """Give the observer of the fleet's entries."""
+    """Return the observer of the fleet's entries."""
     return deployment[1]
 
 
-def _heal(fleet):
+def _clear_faults(fleet):
     fleet.platform.set_faults(store=NO_FAULTS)
     for entry in fleet.entries:
-        wait_until(lambda entry=entry: _reaches_store(entry), OUTAGE_ENDED)
+        wait_until(lambda entry=entry: _reaches_store(entry), RECOVERY_LIMIT)
 
 
 def _reaches_store(entry):
     return entry.client.call("GET", "/admin/v1/text/history").status == 200
 
 
-def test_one_of_nine_racing_operators_wins(fleet, observer):
-    """An operator's edit would vanish under another's, and nobody would say so.
+def test_one_of_nine_concurrent_edits_is_accepted(fleet, observer):
+    """Operators' edits would overwrite each other without notice (lost updates).
 
-    Nine operators read the same revision and put their own text through nine
-    entries at the same moment. Without compare-and-swap the last would win and
-    eight edits be lost. One must win; each loser is told, with the difference.
+    Nine operators read the same revision and submit different texts through nine
+    entries at the same time. Without compare-and-swap the last write would win and
+    eight edits be lost. One edit must be accepted; the others are rejected with the
+    difference to the accepted text.
     """
     base = revision_of(fleet.entries[0])
     weights = [10 + number for number in range(9)]
@@ -91,27 +95,29 @@
     )
     statuses = sorted(answer.status for answer in answers)
     assert statuses == [200] + [412] * 8
-    (won,) = [w for w, a in zip(weights, answers, strict=True) if a.status == 200]
+    (accepted,) = [w for w, a in zip(weights, answers, strict=True) if a.status == 200]
     for weight, answer in zip(weights, answers, strict=True):
-        if weight == won:
+        if weight == accepted:
             continue
-        told = answer.json()
-        assert told["revision"] == base + 1
-        assert told["author"] == f"operator-{won}"
-        assert f"-  cube-labs: {{weight: {won}}}" in told["difference"]
-        assert f"+  cube-labs: {{weight: {weight}}}" in told["difference"]
+        problem = answer.json()
+        assert problem["revision"] == base + 1
+        assert problem["author"] == f"operator-{accepted}"
+        assert f"-  cube-labs: {{weight: {accepted}}}" in problem["difference"]
+        assert f"+  cube-labs: {{weight: {weight}}}" in problem["difference"]
     observer.wait_for(base + 1, IN_FORCE_LIMIT)
     for entry in fleet.entries:
         shown = entry.client.call("GET", "/admin/v1/text")
-        assert shown.data.decode() == edited(won)
+        assert shown.data.decode() == edited(accepted)
 
 
 @pytest.mark.parametrize("lost", [1, 2, 3, 4])
-def test_author_learns_of_acceptance_whose_answers_were_lost(fleet, observer, lost):
-    """An operator is told "conflict" or "unknown" although the edit is in force.
+def test_accepted_edit_is_confirmed_although_store_responses_are_lost(
+    fleet, observer, lost
+):
+    """An operator gets "conflict" or "unknown" although the edit took effect.
 
-    The store takes the edit and its answer is lost, and so are the answers to
-    the next tries. The entry must read back whose edit it is that stands there.
+    The store writes the edit, but its response and those to the next attempts are
+    lost. The entry must read the text back and find that the edit is its own.
     """
     base = revision_of(fleet.entries[0])
     fleet.platform.set_faults(
@@ -123,13 +129,13 @@
     observer.wait_for(base + 1, IN_FORCE_LIMIT)
 
 
-def test_edit_of_unknown_fate_is_recognised_when_it_is_repeated(fleet, observer):
-    """A repeated edit would be refused as a conflict with itself.
+def test_retried_edit_of_unknown_outcome_is_recognised(fleet, observer):
+    """A retried edit would be rejected as a conflict with itself.
 
-    The store takes the edit, its answer is lost, and the store goes out at once.
-    The author is told that the fate is unknown. Others edit on top when the store
-    is back. The author's repeat, with the same id and through another entry, must
-    find the edit in the history, and must not bring it back into force there.
+    The store writes the edit, its response is lost, and the store becomes
+    unavailable at once, so the author gets the outcome "unknown". After the outage
+    another edit is accepted. The author's retry, with the same edit id and through
+    another entry, must find the edit in the history and must not apply it again.
     """
     base = revision_of(fleet.entries[0])
     edit_id = uuid4().hex
@@ -145,7 +151,7 @@
     assert answers[0].status == 503
     assert answers[0].headers["X-Outcome"] == "unknown"
     assert int(answers[0].headers["Retry-After"]) >= 1
-    _heal(fleet)
+    _clear_faults(fleet)
     observer.wait_for(base + 1, IN_FORCE_LIMIT)
     assert put_text(fleet.entries[2], edited(31), base + 1).status == 200
     observer.wait_for(base + 2, IN_FORCE_LIMIT)
@@ -153,7 +159,7 @@
         lambda: _answered(
             put_text(fleet.entries[3], edited(30), base, edit_id=edit_id)
         ),
-        OUTAGE_ENDED,
+        RECOVERY_LIMIT,
     )
     assert repeated.status == 200
     assert repeated.json()["revision"] == base + 1
@@ -161,10 +167,10 @@
 
 
 def _outage_after_write(fleet, revision):
-    """Put the store out as soon as a watch shows that ``revision`` was written."""
+    """Make the store unavailable once an entry's watch delivered ``revision``."""
     wait_until(
         lambda: any(revision_of(entry) >= revision for entry in fleet.entries[2:]),
-        OUTAGE_ENDED,
+        RECOVERY_LIMIT,
     )
     fleet.platform.set_faults(store={"outage": "close"})
 
@@ -174,12 +180,12 @@
 
 
 @pytest.mark.parametrize("outage", ["refuse", "close", "silent"])
-def test_store_out_just_after_acceptance(fleet, observer, outage):
-    """Eight entries would stay on the old text for as long as the store is out.
+def test_store_outage_right_after_an_accepted_edit(fleet, observer, outage):
+    """Eight entries would keep the old text until the end of the store's outage.
 
-    No watch delivers and the store goes out in the moment in which it has taken
-    the edit, so only the entry that wrote it has it. The others must get it from
-    that peer within 5 s.
+    No watch delivers events and the store becomes unavailable right after it wrote
+    the edit, so only the entry that submitted the edit has it. The others must
+    fetch it from that peer within 5 s.
     """
     base = revision_of(fleet.entries[0])
     fleet.platform.set_faults(store={"deaf_watches": True})
@@ -189,14 +195,12 @@
     observer.wait_for(base + 1, IN_FORCE_LIMIT)
 
 
-def test_entry_that_restarts_or_joins_in_an_outage_takes_the_text_of_peers(
-    fleet, observer
-):
-    """A restarted entry would serve without a text, or with an old one.
+def test_entry_started_during_an_outage_fetches_the_text_from_peers(fleet, observer):
+    """An entry would serve without a text, or with an old one.
 
-    The store goes out just after an edit. One entry is killed and starts again
-    under its name, another joins. Neither can read the store. Both must be
-    unready until they have what their peers have.
+    The store becomes unavailable right after an edit. One entry is killed and
+    restarted under the same name, another joins. Neither can read the store. Both
+    must report not ready until they have the same revision as their peers.
     """
     base = revision_of(fleet.entries[0])
     assert put_text(fleet.entries[0], edited(50), base).status == 200
@@ -217,23 +221,23 @@
 
 
 def _first_ready(entry):
-    """Return the revision of an entry once it is ready; it must have one by then."""
+    """Return the revision of an entry if it is ready, None otherwise."""
     ready = entry.client.call("GET", "/health/ready").status == 200
     return revision_of(entry) if ready else None
 
 
 def _drop(fleet, observer, entry):
-    """Take out an entry that a test has added."""
+    """Remove an entry that a test has added."""
     observer.forget(entry.name)
     fleet.take(entry.name)
     fleet.entries.remove(entry)
 
 
-def test_entry_without_store_and_peers_stays_unready(deployment):
-    """An entry alone in an outage would serve callers without any text.
+def test_entry_without_store_and_peers_is_not_ready(deployment):
+    """An entry would serve callers without any configuration.
 
-    It starts while the store is out, beside no peer. It must not become ready
-    until the store is back.
+    It starts without peers while the store is unavailable. It must not become ready
+    before the store is reachable.
     """
     with PlatformProcess() as platform:
         platform.set_faults(store={"outage": "silent"})
@@ -249,7 +253,7 @@
                 )
             platform.set_faults(store=NO_FAULTS)
             answer = wait_until(
-                lambda: _answered(put_text(entry, TEXT, 0)), OUTAGE_ENDED
+                lambda: _answered(put_text(entry, TEXT, 0)), RECOVERY_LIMIT
             )
             assert answer.status == 200
             entry.wait_until_ready()
@@ -257,11 +261,11 @@
             entry.close()
 
 
-def test_deaf_watches_do_not_hold_an_edit_back(fleet, observer):
-    """An edit would never reach entries whose watches have gone silent.
+def test_stalled_watches_do_not_delay_an_edit(fleet, observer):
+    """An edit would never reach entries whose watches have stalled.
 
-    Every watch stays open and delivers nothing. Peers tell each other, and each
-    watch is armed anew and the text read within a bound.
+    Every watch stays open and delivers no events. Entries learn of the edit from
+    peers, and each one reopens its watch and reads the text again within a bound.
     """
     fleet.platform.set_faults(store={"deaf_watches": True})
     for number in range(3):
@@ -270,11 +274,10 @@
         observer.wait_for(base + 1, IN_FORCE_LIMIT)
 
 
-def test_first_text_with_deaf_watches_makes_an_entry_ready():
-    """The first text of a deployment would leave its entry unready for good.
+def test_first_text_makes_an_entry_with_a_stalled_watch_ready():
+    """The entry that accepts a deployment's first text would never become ready.
 
-    Watches are deaf, so the entry that takes the operator's first text knows of
-    it from the put alone, not from its watch.
+    Its watch delivers no events, so it knows of the text from its own write alone.
     """
     with PlatformProcess() as platform:
         platform.set_faults(store={"deaf_watches": True})
@@ -284,7 +287,7 @@
             platform.register(entry)
             entry.wait_until_live()
             wait_until(
-                lambda: platform.counts()["store"].get("open_watches"), OUTAGE_ENDED
+                lambda: platform.counts()["store"].get("open_watches"), RECOVERY_LIMIT
             )
             assert put_text(entry, TEXT, 0).status == 200
             entry.wait_until_ready()
@@ -292,16 +295,16 @@
             entry.close()
 
 
-def test_faulty_text_changes_nothing_and_all_faults_are_told(fleet, observer):
-    """One faulty line would stop entries, or be told one fault at a time.
+def test_invalid_text_changes_nothing_and_all_faults_are_reported(fleet, observer):
+    """An invalid text would stop entries, or its faults be reported one at a time.
 
-    A text with two faults is put through every entry. Nothing may change on any
-    of them nor in the history.
+    A text with two faults is submitted through every entry. Neither the revision of
+    any entry nor the history may change.
     """
     base = revision_of(fleet.entries[0])
     history = fleet.entries[0].client.call("GET", "/admin/v1/text/history").data
     for entry in fleet.entries:
-        answer = put_text(entry, FAULTY_TEXT, base)
+        answer = put_text(entry, INVALID_TEXT, base)
         assert answer.status == 422
         fields = {fault["field"] for fault in answer.json()["faults"]}
         assert fields == {"services.records.kind", "customers.cube-labs.weight"}
