--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -6,7 +6,7 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.green import Empty, Queue
-from standins.web import Answer, Request, Route
+from standins.web import Request, Response, Route
 
 RETRY_AFTER_SECONDS = "2"
 INSTANCE_DEFAULTS: dict[str, Any] = {
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class CloudFaults:
-    """What is wrong with the cloud API at present."""
+    """Faults that are injected into the cloud API at present."""
 
     list_lag: timedelta = timedelta()
     refuse_starts: bool = False
@@ -34,7 +34,7 @@
 class Cloud:
     """Instances, notices and prices.
 
-    :param clock: decides what the lagging list shows.
+    :param clock: determines what the lagging list shows.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -43,10 +43,10 @@
         self._snapshots: list[tuple[timedelta, list[dict[str, Any]]]] = []
         self._horizon = timedelta()
         self._notices: list[dict[str, Any]] = []
-        self._waiting: set[Queue] = set()
+        self._waiters: set[Queue] = set()
         self._prices: list[dict[str, Any]] = []
         self._starts: dict[str, dict[str, Any]] = {}
-        self._given_back: list[str] = []
+        self._released: list[str] = []
         self.faults = CloudFaults()
 
     def routes(self) -> tuple[Route, ...]:
@@ -54,10 +54,10 @@
         return (
             Route("GET", "/cloud/v1/instances", self._list),
             Route("POST", "/cloud/v1/instances", self._start),
-            Route("DELETE", "/cloud/v1/instances/{name}", self._give_back),
+            Route("DELETE", "/cloud/v1/instances/{name}", self._release),
             Route("GET", "/cloud/v1/notices", self._wait_for_notices),
             Route("GET", "/cloud/v1/prices", self._list_prices),
-            Route("GET", "/standin/instances", self._list_at_once),
+            Route("GET", "/standin/instances", self._list_without_lag),
             Route("POST", "/standin/instances", self._register),
             Route("DELETE", "/standin/instances/{name}", self._remove),
             Route("POST", "/standin/notices", self._give_notice),
@@ -66,8 +66,8 @@
             Route("GET", "/standin/starts", self._list_starts),
         )
 
-    def _list(self, _request: Request) -> Answer:
-        # A lag that has grown holds the list back; it doesn't undo what was shown.
+    def _list(self, _request: Request) -> Response:
+        # A longer lag delays later changes; changes that were shown stay visible.
         horizon = self._clock.elapsed() - self.faults.list_lag
         self._horizon = max(self._horizon, horizon)
         while len(self._snapshots) > 1 and self._snapshots[1][0] <= self._horizon:
@@ -75,53 +75,53 @@
         shown: list[dict[str, Any]] = []
         if self._snapshots and self._snapshots[0][0] <= self._horizon:
             shown = self._snapshots[0][1]
-        return Answer({"instances": shown})
+        return Response({"instances": shown})
 
-    def _list_at_once(self, _request: Request) -> Answer:
-        return Answer({"instances": list(self._instances.values())})
+    def _list_without_lag(self, _request: Request) -> Response:
+        return Response({"instances": list(self._instances.values())})
 
-    def _register(self, request: Request) -> Answer:
+    def _register(self, request: Request) -> Response:
         body = request.json()
         for instance in body.get("instances", [body]):
             full = {**INSTANCE_DEFAULTS, **instance}
             self._instances[full["name"]] = full
-        self._changed()
-        return Answer({}, status=201)
+        self._record_snapshot()
+        return Response({}, status=201)
 
-    def _remove(self, _request: Request, name: str) -> Answer:
+    def _remove(self, _request: Request, name: str) -> Response:
         self._instances.pop(name, None)
-        self._changed()
-        return Answer({})
+        self._record_snapshot()
+        return Response({})
 
-    def _give_back(self, _request: Request, name: str) -> Answer:
+    def _release(self, _request: Request, name: str) -> Response:
         if name not in self._instances:
-            return Answer({"error": f"no instance {name}"}, status=404)
+            return Response({"error": f"no instance {name}"}, status=404)
         self._instances.pop(name)
-        self._given_back.append(name)
-        self._changed()
-        return Answer({})
+        self._released.append(name)
+        self._record_snapshot()
+        return Response({})
 
-    def _start(self, request: Request) -> Answer:
+    def _start(self, request: Request) -> Response:
         body = request.json()
         request_id = body["request_id"]
         if request_id in self._starts:
-            return Answer(self._starts[request_id], status=201)
+            return Response(self._starts[request_id], status=201)
         zone = body.get("availability_zone", "")
         if self.faults.refuse_starts or zone in self.faults.reclaimed_zones:
-            return Answer(
+            return Response(
                 {"error": "no capacity"},
                 status=409,
                 headers=(("Retry-After", RETRY_AFTER_SECONDS),),
             )
         started = {"name": f"i-{len(self._starts) + 1}", **body}
         self._starts[request_id] = started
-        return Answer(started, status=201)
+        return Response(started, status=201)
 
-    def _list_starts(self, _request: Request) -> Answer:
+    def _list_starts(self, _request: Request) -> Response:
         starts = list(self._starts.values())
-        return Answer({"starts": starts, "given_back": self._given_back})
+        return Response({"starts": starts, "given_back": self._released})
 
-    def _wait_for_notices(self, request: Request) -> Answer:
+    def _wait_for_notices(self, request: Request) -> Response:
         after = int(request.query.get("after", 0))
         limit = timedelta(milliseconds=int(request.query.get("wait_ms", 0)))
         deadline = self._clock.elapsed() + limit
@@ -130,7 +130,7 @@
                 break
         found = self._notices_after(after)
         last = found[-1]["sequence"] if found else after
-        return Answer({"notices": found, "next": last})
+        return Response({"notices": found, "next": last})
 
     def _notices_after(self, after: int) -> list[dict[str, Any]]:
         return [notice for notice in self._notices if notice["sequence"] > after]
@@ -139,16 +139,16 @@
         if limit <= timedelta():
             return False
         inbox: Queue = Queue()
-        self._waiting.add(inbox)
+        self._waiters.add(inbox)
         try:
             inbox.get(timeout=limit.total_seconds())
         except Empty:
             return False
         finally:
-            self._waiting.discard(inbox)
+            self._waiters.discard(inbox)
         return True
 
-    def _give_notice(self, request: Request) -> Answer:
+    def _give_notice(self, request: Request) -> Response:
         body = request.json()
         seconds = timedelta(seconds=float(body.get("seconds", 30)))
         names = [body["instance"]] if "instance" in body else []
@@ -157,7 +157,7 @@
         given = []
         for _ in range(int(body.get("times", 1))):
             given.extend(self._notify(names, seconds))
-        return Answer({"notices": given}, status=201)
+        return Response({"notices": given}, status=201)
 
     def _reclaimable_in(self, zone: str) -> list[str]:
         return [
@@ -179,33 +179,33 @@
             given.append(notice)
             if name in self._instances:
                 self._instances[name] = {**self._instances[name], "state": "leaving"}
-        self._changed()
-        for inbox in list(self._waiting):
+        self._record_snapshot()
+        for inbox in list(self._waiters):
             inbox.put(None)
         return given
 
-    def _change_zone(self, request: Request, zone: str) -> Answer:
+    def _change_zone(self, request: Request, zone: str) -> Response:
         body = request.json()
         match body["state"]:
             case "reclaimed":
                 self.faults.reclaimed_zones.add(zone)
                 seconds = timedelta(seconds=float(body.get("seconds", 30)))
-                return Answer(
+                return Response(
                     {"notices": self._notify(self._reclaimable_in(zone), seconds)}
                 )
             case "given_back":
                 self.faults.reclaimed_zones.discard(zone)
-                return Answer({"notices": []})
+                return Response({"notices": []})
             case other:
-                raise ValueError(f"zone state {other!r}")
+                raise ValueError(f"unknown zone state {other!r}")
 
-    def _set_prices(self, request: Request) -> Answer:
+    def _set_prices(self, request: Request) -> Response:
         self._prices = request.json()["prices"]
-        return Answer({})
+        return Response({})
 
-    def _list_prices(self, _request: Request) -> Answer:
-        return Answer({"prices": self._prices})
+    def _list_prices(self, _request: Request) -> Response:
+        return Response({"prices": self._prices})
 
-    def _changed(self) -> None:
+    def _record_snapshot(self) -> None:
         now = self._clock.elapsed()
         self._snapshots.append((now, list(self._instances.values())))
--- a/standins/command.py
+++ b/standins/command.py
@@ -1,4 +1,4 @@
-"""Command line that the stand-ins share."""
+"""Command-line options that the stand-ins share."""
 
 import argparse
 import json
@@ -8,9 +8,9 @@
 
 
 def argument_parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser with the options that every stand-in takes.
+    """Return a parser with the options that all stand-ins have.
 
-    :param description: docstring of the module; its first line is shown.
+    :param description: docstring of the module; its first line is the description.
     """
     parser = argparse.ArgumentParser(description=description.splitlines()[0])
     parser.add_argument(
@@ -22,12 +22,12 @@
 
 
 def announce(arguments: argparse.Namespace, **addresses: str) -> None:
-    """Print the bound addresses as one JSON line, for whoever started us."""
+    """Print the bound addresses as one JSON line, for the parent process."""
     print(json.dumps(addresses), flush=True)
     if arguments.until_stdin_closes:
-        threading.Thread(target=_end_with_stdin, daemon=True).start()
+        threading.Thread(target=_exit_when_stdin_closes, daemon=True).start()
 
 
-def _end_with_stdin() -> None:
+def _exit_when_stdin_closes() -> None:
     sys.stdin.buffer.read()
     os._exit(0)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -4,7 +4,7 @@
 
     python -m standins.engine --address 127.0.0.1:0 --name engine-1
 
-It prints ``{"address": "host:port"}`` and speaks the API for model engines in
+It prints ``{"address": "host:port"}`` and implements the API for model engines in
 docs/PROTOCOLS.md. Controls: ``POST /standin/faults`` (see
 :class:`standins.faults.Faults`), ``GET /standin/log``, ``GET /standin/counts``.
 """
@@ -32,16 +32,16 @@
 from standins.streams import CANCELLED, EXPORTED, FINISHED, Stream, chunk_object
 from standins.transfers import Transfers
 from standins.web import (
-    Answer,
     Application,
     Request,
+    Response,
     Route,
     bound_address,
     serve,
 )
 
-KEPT_AFTER_END = timedelta(seconds=30)
-"""How long at least an ended stream can be read again."""
+RETENTION = timedelta(seconds=30)
+"""Shortest time for which an ended stream can be read again."""
 
 COMPLETIONS = "/v1/chat/completions"
 EVENT_POLL = timedelta(milliseconds=50)
@@ -51,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """A call that the engine took on."""
+    """A call that the engine accepted."""
 
     stream: Stream
     idempotency_key: str
     at: datetime
 
     def json(self) -> dict[str, Any]:
-        """Return the execution as the log shows it."""
+        """Return the execution as shown by ``GET /standin/log``."""
         return {
             "request_id": self.stream.stream_id,
             "idempotency_key": self.idempotency_key,
@@ -76,11 +76,11 @@
 
     :param clock: source of time.
     :param name: shown by the health check.
-    :param speed: how fast it works.
-    :param cache: its prefix cache.
-    :param checks_fencing: whether it refuses orders with an old fencing number.
-    :param load_lag: age that a load report reaches.
-    :param reconnect_window: how long a stream goes on with nobody reading it.
+    :param speed: durations and limits of the batch.
+    :param cache: prefix cache.
+    :param checks_fencing: whether orders with an old fencing number are refused.
+    :param load_lag: time between two measurements of the reported load.
+    :param reconnect_window: time after which a stream without a reader is cancelled.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self._faults = Faults(clock, _is_work)
         self._batch = Batch(clock, speed, cache, self._faults, self._is_abandoned)
         self._streams: dict[str, Stream] = {}
-        self._ended: set[str] = set()
+        self._expiring: set[str] = set()
         self._transfers = Transfers(speed.kv_per_token, self._faults)
         self._log: list[Execution] = []
         self._orders = Orders(checks_fencing)
@@ -132,14 +132,16 @@
         )
 
     @property
-    def around(self) -> Callable[[Request, Callable[[Request], Answer]], Answer]:
-        """What puts the present faults around a request."""
-        return self._faults.around
+    def middleware(
+        self,
+    ) -> Callable[[Request, Callable[[Request], Response]], Response]:
+        """Middleware that applies the present faults."""
+        return self._faults.apply
 
-    def _complete(self, request: Request) -> Answer:
+    def _complete(self, request: Request) -> Response:
         body = request.json()
         if self._batch.full:
-            return Answer({"error": "queue is full"}, status=429, headers=REFUSED)
+            return Response({"error": "queue is full"}, status=429, headers=REFUSED)
         stream = self._open_stream(request, body)
         self._streams[stream.stream_id] = stream
         if stream.position >= stream.max_tokens:
@@ -147,8 +149,8 @@
         else:
             self._batch.add(stream)
         if body.get("stream"):
-            return self._stream_answer(request, stream, stream.first)
-        return self._whole_answer(stream)
+            return self._stream_response(request, stream, stream.first)
+        return self._whole_response(stream)
 
     def _open_stream(self, request: Request, body: dict[str, Any]) -> Stream:
         transfer = body.get("kv_transfer_params")
@@ -175,21 +177,23 @@
             return False
         return self._clock.elapsed() - stream.lost_at > self._reconnect_window
 
-    def _stream_answer(self, request: Request, stream: Stream, after: int) -> Answer:
+    def _stream_response(
+        self, request: Request, stream: Stream, after: int
+    ) -> Response:
         stream.lost_at = self._clock.elapsed()
-        return Answer(
+        return Response(
             chunks=self._events(request, stream, after),
             content_type="text/event-stream",
         )
 
     def _events(self, request: Request, stream: Stream, after: int) -> Iterator[bytes]:
-        """Yield what happened since the last look, joined into one write.
+        """Yield the events since the last iteration, joined into one write.
 
-        A stream that was cancelled or exported just stops, with no last chunk, so
-        that it can't be taken for a finished one.
+        A stream that was cancelled or exported ends without a last chunk, so that
+        it can't be mistaken for a finished one.
         """
         end = stream.max_tokens
-        truncated = self._faults.takes_truncation()
+        truncated = self._faults.consume_truncation()
         if truncated:
             end = (after + stream.max_tokens) // 2
         stream.readers += 1
@@ -210,7 +214,7 @@
             stream.readers -= 1
             stream.lost_at = self._clock.elapsed()
 
-    def _whole_answer(self, stream: Stream) -> Answer:
+    def _whole_response(self, stream: Stream) -> Response:
         stream.readers += 1
         try:
             while not stream.ended:
@@ -219,14 +223,14 @@
             stream.readers -= 1
             stream.lost_at = self._clock.elapsed()
         if stream.state != FINISHED:
-            return Answer({"error": stream.state}, status=409)
+            return Response({"error": stream.state}, status=409)
         text = "".join(stream.source.tokens(stream.first + 1, stream.position))
         choice = {
             "index": 0,
             "message": {"role": "assistant", "content": text},
             "finish_reason": stream.state,
         }
-        return Answer(
+        return Response(
             {
                 "id": stream.stream_id,
                 "object": "chat.completion",
@@ -236,27 +240,27 @@
             }
         )
 
-    def _resume(self, request: Request, stream_id: str) -> Answer:
+    def _resume(self, request: Request, stream_id: str) -> Response:
         stream = self._streams.get(stream_id)
         if stream is None or stream.state in (CANCELLED, EXPORTED):
             return _unknown_stream(stream_id)
         after = int(request.query.get("after", stream.first))
-        return self._stream_answer(request, stream, max(after, stream.first))
+        return self._stream_response(request, stream, max(after, stream.first))
 
-    def _cancel(self, _request: Request, stream_id: str) -> Answer:
+    def _cancel(self, _request: Request, stream_id: str) -> Response:
         stream = self._streams.get(stream_id)
         if stream is None:
             return _unknown_stream(stream_id)
         stream.end(CANCELLED)
-        return Answer({"tokens": stream.position})
+        return Response({"tokens": stream.position})
 
-    def _export(self, _request: Request, stream_id: str) -> Answer:
+    def _export(self, _request: Request, stream_id: str) -> Response:
         stream = self._streams.get(stream_id)
         if stream is None or stream.state == CANCELLED:
             return _unknown_stream(stream_id)
         stream.end(EXPORTED)
         handle = self._transfers.export(stream)
-        return Answer({"kv_handle": handle, "tokens": stream.position})
+        return Response({"kv_handle": handle, "tokens": stream.position})
 
     def _report_load(self) -> None:
         while True:
@@ -264,16 +268,16 @@
             sleep(max(self._load_lag, EVENT_POLL))
 
     def _forget_ended(self) -> None:
-        """Forget streams that had ended when this last looked."""
+        """Forget streams that had already ended at the previous check."""
         while True:
-            for stream_id in self._ended:
+            for stream_id in self._expiring:
                 self._streams.pop(stream_id, None)
-            self._ended = {
+            self._expiring = {
                 stream_id
                 for stream_id, stream in self._streams.items()
                 if stream.ended and not stream.readers
             }
-            sleep(KEPT_AFTER_END)
+            sleep(RETENTION)
 
     def _measure_load(self) -> dict[str, Any]:
         return {
@@ -284,10 +288,10 @@
             "measured_at": self._clock.now().isoformat(),
         }
 
-    def _show_load(self, _request: Request) -> Answer:
-        return Answer(self._load)
+    def _show_load(self, _request: Request) -> Response:
+        return Response(self._load)
 
-    def _cache_events(self, request: Request) -> Answer:
+    def _cache_events(self, request: Request) -> Response:
         after = int(request.query.get("after", 0))
         limit = timedelta(milliseconds=int(request.query.get("wait_ms", 0)))
         deadline = self._clock.elapsed() + limit
@@ -299,19 +303,19 @@
             {"sequence": event.sequence, "kind": event.kind, "prefix": event.prefix}
             for event in found
         ]
-        return Answer(
+        return Response(
             {"events": events, "next": events[-1]["sequence"] if events else after}
         )
 
-    def _health(self, _request: Request) -> Answer:
-        return Answer({"status": "ok", "name": self._name})
+    def _health(self, _request: Request) -> Response:
+        return Response({"status": "ok", "name": self._name})
 
-    def _list_log(self, _request: Request) -> Answer:
-        return Answer({"executions": [item.json() for item in self._log]})
+    def _list_log(self, _request: Request) -> Response:
+        return Response({"executions": [item.json() for item in self._log]})
 
-    def _count(self, _request: Request) -> Answer:
+    def _count(self, _request: Request) -> Response:
         streams = [item.stream for item in self._log]
-        return Answer(
+        return Response(
             {
                 "executions": len(streams),
                 "by_request_id": Counter(stream.stream_id for stream in streams),
@@ -327,8 +331,8 @@
     return request.method == "POST" and request.path == COMPLETIONS
 
 
-def _unknown_stream(stream_id: str) -> Answer:
-    return Answer({"error": f"no stream {stream_id}"}, status=404)
+def _unknown_stream(stream_id: str) -> Response:
+    return Response({"error": f"no stream {stream_id}"}, status=404)
 
 
 def _usage(stream: Stream) -> dict[str, Any]:
@@ -380,7 +384,7 @@
 
 
 def main() -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is terminated."""
     arguments = _parse()
     clock = SystemClock()
     cache = PrefixCache(
@@ -402,7 +406,7 @@
     listener = listen(arguments.address)
     engine.start()
     announce(arguments, address=bound_address(listener))
-    serve(listener, Application(engine.routes(), engine.around))
+    serve(listener, Application(engine.routes(), engine.middleware))
 
 
 if __name__ == "__main__":
--- a/standins/gateway.py
+++ b/standins/etcd_gateway.py
@@ -1,4 +1,4 @@
-"""JSON of the etcd v3 gateway in front of the store's state."""
+"""The etcd v3 JSON gateway, on the store's state."""
 
 import json
 from base64 import b64decode, b64encode
@@ -20,7 +20,7 @@
     ValueTooLargeError,
     Watch,
 )
-from standins.web import Answer, Request, Route
+from standins.web import Request, Response, Route
 
 WATCH_POLL = timedelta(seconds=0.5)
 MAX_OPERATIONS = 128
@@ -32,15 +32,15 @@
 
 
 class TooManyOperationsError(ValueError):
-    """A transaction has more operations than the store takes."""
+    """A transaction has more operations than the store allows."""
 
 
 class WatchState(Enum):
-    """What becomes of an open watch."""
+    """Whether an open watch delivers events, delivers none, or is closed."""
 
-    DELIVERS = auto()
-    DEAF = auto()
-    CUT = auto()
+    DELIVERING = auto()
+    STALLED = auto()
+    CLOSED = auto()
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,12 +54,12 @@
     opened_at: timedelta
 
 
-class Gateway:
+class EtcdGateway:
     """Handlers of ``/v3/...``.
 
-    :param store: the state.
-    :param clock: tells when a watch was opened.
-    :param watch_state: tells what is to become of an open watch.
+    :param store: state that the calls read and change.
+    :param clock: source of the time at which a watch was opened.
+    :param watch_state: returns the state of an open watch.
     """
 
     def __init__(
@@ -87,18 +87,18 @@
         )
 
     def _guarded(self, handler: Callable[[dict[str, Any]], Any]) -> Callable:
-        def handle(request: Request) -> Answer:
+        def handle(request: Request) -> Response:
             try:
-                return Answer(handler(request.json()))
+                return Response(handler(request.json()))
             except (
                 ValueTooLargeError,
                 DuplicateKeyError,
                 TooManyOperationsError,
             ) as error:
-                return error_answer(400, INVALID_ARGUMENT, f"etcdserver: {error}")
+                return error_response(400, INVALID_ARGUMENT, f"etcdserver: {error}")
             except LeaseNotFoundError:
                 message = "etcdserver: requested lease not found"
-                return error_answer(404, NOT_FOUND, message)
+                return error_response(404, NOT_FOUND, message)
 
         return handle
 
@@ -156,7 +156,7 @@
             case "LESS":
                 return actual < wanted
             case other:
-                raise ValueError(f"compare result {other!r}")
+                raise ValueError(f"unknown compare result {other!r}")
 
     def _grant(self, body: dict[str, Any]) -> dict[str, Any]:
         ttl = timedelta(seconds=int(body["TTL"]))
@@ -181,13 +181,13 @@
         self._store.revoke(int(body["ID"]))
         return {"header": self._header()}
 
-    def _watch(self, request: Request) -> Answer:
+    def _watch(self, request: Request) -> Response:
         body = request.json()
         wanted = body.get("create_request") or body["createRequest"]
         start = int(_field(wanted, "start_revision", "0"))
         watch = self._store.watch(_key_range(wanted), start)
         opened = OpenWatch(request, self._clock.elapsed())
-        return Answer(chunks=self._watch_lines(watch, opened))
+        return Response(chunks=self._watch_lines(watch, opened))
 
     def _watch_lines(self, watch: Watch, opened: OpenWatch) -> Iterator[bytes]:
         connection = opened.request.connection
@@ -196,10 +196,10 @@
             while not connection.is_closed():
                 batch = _next_batch(watch)
                 match self._watch_state(opened):
-                    case WatchState.CUT:
+                    case WatchState.CLOSED:
                         connection.cut()
                         return
-                    case WatchState.DELIVERS if batch:
+                    case WatchState.DELIVERING if batch:
                         events = [_event(change) for change in batch]
                         yield self._line({"events": events})
         finally:
@@ -217,9 +217,9 @@
         return None
 
 
-def error_answer(status: int, code: int, message: str) -> Answer:
-    """Return an error as the gateway writes it."""
-    return Answer({"error": message, "code": code, "message": message}, status)
+def error_response(status: int, code: int, message: str) -> Response:
+    """Return an error response in the format of the etcd gateway."""
+    return Response({"error": message, "code": code, "message": message}, status)
 
 
 def is_write(path: str, body: Mapping[str, Any]) -> bool:
@@ -249,7 +249,7 @@
 
 
 def _field(body: Mapping[str, Any], name: str, default: Any = None) -> Any:
-    """Return a field by its proto name or its JSON name, as the gateway takes both."""
+    """Return a field by its proto or JSON name; the etcd gateway accepts both."""
     if name in body:
         return body[name]
     first, *rest = name.split("_")
@@ -315,7 +315,7 @@
         case "VALUE":
             return stored.value, _bytes(compare, "value")
         case other:
-            raise ValueError(f"compare target {other!r}")
+            raise ValueError(f"unknown compare target {other!r}")
 
 
 _OPERATIONS = {
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of connections that every stand-in can be given."""
+"""Faults of requests and connections that can be injected into every stand-in."""
 
 from collections.abc import Callable, Mapping
 from datetime import timedelta
@@ -7,10 +7,10 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.green import sleep
 from standins.web import (
-    Answer,
-    AnswerDroppedError,
     Connection,
     Request,
+    Response,
+    ResponseDroppedError,
     Route,
     truncated,
 )
@@ -20,27 +20,28 @@
 
 
 class Faults:
-    """Faults, set by ``POST /standin/faults`` and applied around each request.
+    """Faults, set by ``POST /standin/faults`` and applied to each request.
 
-    Fields of the call, all optional; what is not named stays as it is:
+    Fields of the call, all optional; faults that are not named stay as they are:
 
-    - ``freeze_ms``: no request moves for so long (0 thaws).
-    - ``delay_ms``: pause before each request runs.
-    - ``slow_factor``: the work itself takes so many times as long.
+    - ``freeze_ms``: all requests pause for this long (0 ends the pause).
+    - ``delay_ms``: delay before each request runs.
+    - ``slow_factor``: factor of the time that a request's execution takes.
     - ``drop_answers``: the next N requests run, then their connection is closed
-      with no answer. ``drop_prefix`` limits it to paths with that prefix;
+      without a response. ``drop_prefix`` limits it to paths with that prefix;
       ``drop_silently`` keeps the connection open instead.
-    - ``truncate_answers``: the next N answers end half-way. A whole answer breaks off
-      before its announced length; a stream ends as HTTP has it, but early.
-    - ``silence_connections``: true makes every connection that is open now
-      silent for good, while new ones work.
-    - ``cut_connections``: true closes every connection that is open now.
-    - ``refuse``: true answers new work 503 with ``X-Refused: not-started``.
-    - ``outage``: ``"refuse"`` answers 503 without that header, ``"close"`` closes
-      the connection, ``"silent"`` keeps it open and never answers, null ends it.
-
-    :param clock: measures freezes.
-    :param is_work: whether a request is work that ``refuse`` refuses.
+    - ``truncate_answers``: the next N responses end half-way. A whole response ends
+      before its ``Content-Length``; a stream ends early, but as valid HTTP.
+    - ``silence_connections``: true makes all connections that are open now stop
+      responding for good, while new ones work.
+    - ``cut_connections``: true closes all connections that are open now.
+    - ``refuse``: new work gets 503 with ``X-Refused: not-started`` while true.
+    - ``outage``: ``"refuse"`` responds 503 without that header, ``"close"`` closes
+      the connection, ``"silent"`` keeps it open and never responds, null ends the
+      outage.
+
+    :param clock: measures pauses.
+    :param is_work: whether ``refuse`` applies to a request.
     """
 
     def __init__(
@@ -61,99 +62,101 @@
 
     @property
     def outage(self) -> str | None:
-        """Kind of the outage, or None."""
+        """Kind of the present outage, or None."""
         return self._outage
 
     @property
     def frozen(self) -> bool:
-        """Whether nothing is to move at present."""
+        """Whether all requests are paused at present."""
         return self._clock.elapsed() < self._frozen_until
 
     def routes(self) -> tuple[Route, ...]:
-        """Return the control's routes."""
+        """Return the route that sets faults."""
         return (Route("POST", "/standin/faults", self._set),)
 
-    def around(self, request: Request, answer: Callable[[Request], Answer]) -> Answer:
-        """Answer one request with the present faults.
+    def apply(
+        self, request: Request, handler: Callable[[Request], Response]
+    ) -> Response:
+        """Handle one request with the present faults.
 
-        Controls and the log go on working whatever the faults.
+        Control calls under ``/standin/`` are not affected.
         """
         if request.path.startswith("/standin/"):
-            return answer(request)
+            return handler(request)
         self.wait_while_frozen()
         self.hold_if_silent(request)
         if self._outage is not None:
             return self._fail(request)
         if self._refuse and self._is_work(request):
-            return Answer({"error": "refused"}, status=503, headers=REFUSED)
+            return Response({"error": "refused"}, status=503, headers=REFUSED)
         if self._delay:
             sleep(self._delay)
-        result = answer(request)
+        response = handler(request)
         self.wait_while_frozen()
         self.hold_if_silent(request)
-        if self._takes_drop(request):
+        if self._consume_drop(request):
             self.drop(request)
-        if result.chunks is None and self.takes_truncation():
-            return truncated(result, request.connection)
-        return result
+        if response.chunks is None and self.consume_truncation():
+            return truncated(response, request.connection)
+        return response
 
-    def takes_truncation(self) -> bool:
-        """Return whether the present answer is to end half-way."""
+    def consume_truncation(self) -> bool:
+        """Return whether to truncate the present response, and count it."""
         if not self._truncate_answers:
             return False
         self._truncate_answers -= 1
         return True
 
     def drop(self, request: Request) -> NoReturn:
-        """Lose the answer to a request that has taken effect.
+        """Drop the response to a request that has taken effect.
 
-        :raises AnswerDroppedError: always.
+        :raises ResponseDroppedError: always.
         """
         if self._drop_silently:
             request.connection.hold()
-        raise AnswerDroppedError
+        raise ResponseDroppedError
 
     def is_silent(self, request: Request) -> bool:
-        """Return whether nothing may leave on the request's connection."""
+        """Return whether nothing may be sent on the request's connection."""
         if self._outage == "silent":
             return True
         return request.connection.opened_at <= self._silent_before
 
     def wait_while_frozen(self) -> None:
-        """Wait for the end of a freeze."""
+        """Wait until requests are no longer paused."""
         while self.frozen:
             sleep(FREEZE_POLL)
 
     def hold_if_silent(self, request: Request) -> None:
-        """Hold a silent connection until the other end closes it.
+        """Hold a connection that must not respond until the peer closes it.
 
-        :raises AnswerDroppedError: when it has.
+        :raises ResponseDroppedError: when the peer has closed it.
         """
         if self.is_silent(request):
             request.connection.hold()
 
-    def _fail(self, request: Request) -> Answer:
+    def _fail(self, request: Request) -> Response:
         match self._outage:
             case "close":
-                raise AnswerDroppedError
+                raise ResponseDroppedError
             case _:
-                return Answer({"error": "unavailable", "code": 14}, status=503)
+                return Response({"error": "unavailable", "code": 14}, status=503)
 
-    def _takes_drop(self, request: Request) -> bool:
+    def _consume_drop(self, request: Request) -> bool:
         if not self._drop_answers or not request.path.startswith(self._drop_prefix):
             return False
         self._drop_answers -= 1
         return True
 
-    def _set(self, request: Request) -> Answer:
+    def _set(self, request: Request) -> Response:
         wanted = request.json()
         if wanted.pop("cut_connections", False):
             Connection.cut_all(kept=request.connection)
         self.set(wanted)
-        return Answer({})
+        return Response({})
 
     def set(self, wanted: Mapping[str, Any]) -> None:
-        """Take over the faults named in ``wanted``.
+        """Set the faults named in ``wanted``.
 
         :raises ValueError: for an unknown name.
         """
@@ -185,4 +188,4 @@
             case "outage":
                 self._outage = value
             case other:
-                raise ValueError(f"fault {other!r}")
+                raise ValueError(f"unknown fault {other!r}")
--- a/standins/service.py
+++ b/standins/service.py
@@ -6,8 +6,8 @@
 
 It prints ``{"address": "host:port"}``. ``GET /lookups/{id}`` looks up, ``POST
 /certificates`` and ``POST /holds`` answer with a new random number for each
-execution, so that a second execution shows. Any other method or path is executed
-and echoed. Controls: ``POST /standin/faults`` (see :class:`standins.faults.Faults`),
+execution, so that a second execution is visible. Any other request is executed and
+echoed. Controls: ``POST /standin/faults`` (see :class:`standins.faults.Faults`),
 ``GET /standin/log``, ``GET /standin/counts``.
 """
 
@@ -23,9 +23,9 @@
 from standins.command import announce, argument_parser
 from standins.faults import Faults
 from standins.web import (
-    Answer,
     Application,
     Request,
+    Response,
     Route,
     bound_address,
     serve,
@@ -33,10 +33,10 @@
 
 
 class PlainService:
-    """Executes requests and remembers that it did.
+    """Executes requests and keeps a log of them.
 
-    :param name: put into answers, to tell which endpoint ran the request.
-    :param delay: how long an execution takes.
+    :param name: returned in responses, to identify the endpoint.
+    :param delay: duration of an execution.
     """
 
     def __init__(self, clock: Clock, name: str, delay: timedelta) -> None:
@@ -47,7 +47,7 @@
         self._faults = Faults(clock, _is_work)
 
     def routes(self) -> tuple[Route, ...]:
-        """Return the service's own routes and the controls."""
+        """Return the routes of the health check and of the controls."""
         return (
             Route("GET", "/health", self._health),
             Route("GET", "/standin/log", self._list_log),
@@ -55,12 +55,14 @@
             *self._faults.routes(),
         )
 
-    def around(self, request: Request, answer: Callable[[Request], Answer]) -> Answer:
-        """Answer one request with the present faults."""
-        handler = self._execute if _is_work(request) else answer
-        return self._faults.around(request, handler)
+    def middleware(
+        self, request: Request, control: Callable[[Request], Response]
+    ) -> Response:
+        """Handle one request with the present faults."""
+        handler = self._execute if _is_work(request) else control
+        return self._faults.apply(request, handler)
 
-    def _execute(self, request: Request) -> Answer:
+    def _execute(self, request: Request) -> Response:
         sleep(self._delay * self._faults.slow_factor)
         self._faults.wait_while_frozen()
         number = uuid.uuid4().hex
@@ -75,7 +77,7 @@
             }
         )
         status = 201 if request.method == "POST" else 200
-        return Answer(self._result(request, number), status=status)
+        return Response(self._result(request, number), status=status)
 
     def _result(self, request: Request, number: str) -> dict[str, Any]:
         result = {"endpoint": self._name, "method": request.method}
@@ -90,16 +92,16 @@
                 result["body"] = request.body.decode("utf-8", "replace")
         return result
 
-    def _health(self, _request: Request) -> Answer:
-        return Answer({"status": "ok"})
+    def _health(self, _request: Request) -> Response:
+        return Response({"status": "ok"})
 
-    def _list_log(self, _request: Request) -> Answer:
-        return Answer({"executions": self._log})
+    def _list_log(self, _request: Request) -> Response:
+        return Response({"executions": self._log})
 
-    def _count(self, _request: Request) -> Answer:
+    def _count(self, _request: Request) -> Response:
         keys = Counter(item["idempotency_key"] for item in self._log)
         requests = Counter(item["request_id"] for item in self._log)
-        return Answer(
+        return Response(
             {
                 "executions": len(self._log),
                 "by_idempotency_key": keys,
@@ -113,7 +115,7 @@
 
 
 def main() -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is terminated."""
     parser = argument_parser(__doc__)
     parser.add_argument("--address", type=Address.parse, default="127.0.0.1:0")
     parser.add_argument("--name", default="service")
@@ -123,7 +125,7 @@
     service = PlainService(SystemClock(), arguments.name, delay)
     listener = listen(arguments.address)
     announce(arguments, address=bound_address(listener))
-    serve(listener, Application(service.routes(), service.around))
+    serve(listener, Application(service.routes(), service.middleware))
 
 
 if __name__ == "__main__":
--- a/standins/store_service.py
+++ b/standins/store_service.py
@@ -1,4 +1,4 @@
-"""The store's HTTP side: limits, faults and counts around the gateway."""
+"""The store's HTTP service: rate limits, faults and counts for the gateway."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -8,17 +8,17 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.green import sleep
 from standins.buckets import TokenBucket
-from standins.faults import Faults
-from standins.gateway import (
-    Gateway,
+from standins.etcd_gateway import (
+    EtcdGateway,
     OpenWatch,
     WatchState,
-    error_answer,
+    error_response,
     is_write,
     written_keys,
 )
+from standins.faults import Faults
 from standins.store import Store
-from standins.web import Answer, Request
+from standins.web import Request, Response
 
 LEASE_POLL = timedelta(milliseconds=50)
 RESOURCE_EXHAUSTED = 8
@@ -27,9 +27,9 @@
 
 
 class StoreService:
-    """The store as callers see it.
+    """The store with its HTTP API, rate limits and faults.
 
-    :param clock: measures rates, leases and freezes.
+    :param clock: measures rates, leases and pauses.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -38,19 +38,21 @@
         self._calls = TokenBucket(clock, CALLS_PER_SECOND)
         self._faults = Faults(clock)
         self._clock = clock
-        self._deaf = False
-        self._deaf_until = timedelta(seconds=-1)
+        self._stalled = False
+        self._stalled_until = timedelta(seconds=-1)
         self._drop_writes = 0
         self._drop_key_prefix = b""
         self._counts: Counter[str] = Counter()
-        self.gateway = Gateway(self._store, clock, self._watch_state)
+        self.gateway = EtcdGateway(self._store, clock, self._watch_state)
 
-    def around(self, request: Request, answer: Callable[[Request], Answer]) -> Answer:
-        """Answer one call of the store."""
-        return self._faults.around(request, lambda call: self._limited(call, answer))
+    def middleware(
+        self, request: Request, handler: Callable[[Request], Response]
+    ) -> Response:
+        """Handle one call of the store."""
+        return self._faults.apply(request, lambda call: self._limited(call, handler))
 
     def set_faults(self, wanted: Mapping[str, Any]) -> None:
-        """Take over the faults named in ``wanted``."""
+        """Set the faults named in ``wanted``."""
         for name, value in wanted.items():
             match name:
                 case "drop_writes":
@@ -58,8 +60,8 @@
                 case "drop_key_prefix":
                     self._drop_key_prefix = value.encode()
                 case "deaf_watches":
-                    self._deaf = bool(value)
-                    self._deaf_until = self._clock.elapsed()
+                    self._stalled = bool(value)
+                    self._stalled_until = self._clock.elapsed()
                 case "writes_per_second":
                     self._writes.rate = float(value)
                 case "calls_per_second":
@@ -68,27 +70,29 @@
                     self._faults.set({name: value})
 
     def counts(self) -> dict[str, int]:
-        """Return calls by kind, and the watches that wait."""
+        """Return the number of calls by kind, and of open watches."""
         return {**self._counts, "open_watches": self._store.watchers}
 
     def expire_leases(self) -> None:
-        """Expire leases for as long as the process runs."""
+        """Expire leases until the process ends."""
         while True:
             self._store.expire_leases()
             sleep(LEASE_POLL)
 
     def _watch_state(self, watch: OpenWatch) -> WatchState:
         if self._faults.outage in ("refuse", "close"):
-            return WatchState.CUT
+            return WatchState.CLOSED
         if self._faults.is_silent(watch.request):
-            return WatchState.DEAF
-        if self._deaf or watch.opened_at <= self._deaf_until:
-            return WatchState.DEAF
-        return WatchState.DELIVERS
+            return WatchState.STALLED
+        if self._stalled or watch.opened_at <= self._stalled_until:
+            return WatchState.STALLED
+        return WatchState.DELIVERING
 
-    def _limited(self, request: Request, answer: Callable[[Request], Answer]) -> Answer:
+    def _limited(
+        self, request: Request, handler: Callable[[Request], Response]
+    ) -> Response:
         if not request.path.startswith("/v3/"):
-            return answer(request)
+            return handler(request)
         kind = request.path.removeprefix("/v3/")
         body = request.json()
         write = is_write(request.path, body)
@@ -98,13 +102,13 @@
         if not self._calls.take() or (write and not self._writes.take()):
             self._counts["refused"] += 1
             message = "etcdserver: too many requests"
-            return error_answer(429, RESOURCE_EXHAUSTED, message)
-        result = answer(request)
-        if write and self._takes_drop(written_keys(request.path, body)):
+            return error_response(429, RESOURCE_EXHAUSTED, message)
+        response = handler(request)
+        if write and self._consume_drop(written_keys(request.path, body)):
             self._faults.drop(request)
-        return result
+        return response
 
-    def _takes_drop(self, keys: list[bytes]) -> bool:
+    def _consume_drop(self, keys: list[bytes]) -> bool:
         if not self._drop_writes:
             return False
         prefix = self._drop_key_prefix
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing that the stand-ins share: routes, answers and injected faults."""
+"""HTTP server that the stand-ins share: routes, responses and connections."""
 
 import json
 import socket
@@ -17,34 +17,34 @@
 
 
 HOLD_POLL = timedelta(seconds=0.25)
-"""Pause between looks at whether a held connection was closed."""
+"""Pause between checks whether a held connection was closed."""
 
 
-class AnswerDroppedError(Exception):
-    """The connection is to be closed without any answer."""
+class ResponseDroppedError(Exception):
+    """The connection is to be closed without a response."""
 
 
 class Connection(WsgiProtocol):
-    """Protocol of one connection, which handlers reach through the request."""
+    """One client connection; handlers have it as :attr:`Request.connection`."""
 
     clock: Clock = SystemClock()
     minimum_chunk_size = 1
     _open: ClassVar[set["Connection"]] = set()
 
     def setup(self) -> None:
-        """Note when the connection was opened."""
+        """Record when the connection was opened."""
         super().setup()
         self.opened_at = self.clock.elapsed()
         self._open.add(self)
 
     def finish(self) -> None:
-        """Forget the connection."""
+        """Remove the connection from the open ones."""
         self._open.discard(self)
         super().finish()
 
     @classmethod
     def cut_all(cls, kept: "Connection") -> None:
-        """Cut every open connection but ``kept``."""
+        """Close every open connection but ``kept``, without further output."""
         for connection in cls._open - {kept}:
             connection.cut()
 
@@ -55,20 +55,20 @@
         return environ
 
     def hold(self) -> None:
-        """Wait, answering nothing, until the other end closes.
+        """Send nothing until the peer closes the connection.
 
-        :raises AnswerDroppedError: when it has closed.
+        :raises ResponseDroppedError: when the peer has closed it.
         """
         self.wait_until_closed()
-        raise AnswerDroppedError
+        raise ResponseDroppedError
 
     def wait_until_closed(self) -> None:
-        """Wait until the other end closes."""
+        """Wait until the peer closes the connection."""
         while not self.is_closed():
             sleep(HOLD_POLL)
 
     def is_closed(self) -> bool:
-        """Return whether the other end has closed."""
+        """Return whether the peer has closed the connection."""
         raw = getattr(self.connection, "fd", self.connection)
         try:
             return raw.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
@@ -78,7 +78,7 @@
             return True
 
     def cut(self) -> None:
-        """Close the socket below the server, so that no answer leaves it."""
+        """Shut the socket down, so that the server can send no response."""
         self.close_connection = True
         try:
             self.connection.shutdown(socket.SHUT_RDWR)
@@ -102,13 +102,13 @@
         return json.loads(self.body) if self.body else {}
 
     def header(self, name: str) -> str:
-        """Return the header ``name``, empty if it was not sent."""
+        """Return the value of header ``name``, or "" if it was not sent."""
         return self.headers.get("HTTP_" + name.upper().replace("-", "_"), "")
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """One HTTP answer; ``chunks`` instead of ``body`` makes it a stream."""
+class Response:
+    """One HTTP response; with ``chunks`` instead of ``body`` it is streamed."""
 
     body: Any = None
     status: int = 200
@@ -117,7 +117,7 @@
     content_type: str = "application/json"
 
 
-Handler = Callable[..., Answer]
+Handler = Callable[..., Response]
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +133,7 @@
         object.__setattr__(self, "parts", tuple(self.pattern.split("/")))
 
     def match(self, method: str, parts: list[str]) -> list[str] | None:
-        """Return the path's variable parts, or None if the route differs."""
+        """Return the values of the path's variables, or None if nothing matches."""
         if method != self.method or len(parts) != len(self.parts):
             return None
         values = []
@@ -146,48 +146,49 @@
 
 
 class Application:
-    """WSGI application made of routes.
+    """WSGI application that dispatches requests to routes.
 
     :param routes: tried in order.
-    :param around: called with each request and the function that answers it; it
-        may wait, give another answer or raise ``AnswerDroppedError``, before or after
-        the effect.
+    :param middleware: called with each request and the function that handles it; it
+        may wait, return another response or raise ``ResponseDroppedError``, before or
+        after the request takes effect.
     """
 
     def __init__(
         self,
         routes: Iterable[Route],
-        around: Callable[[Request, Callable[[Request], Answer]], Answer] | None = None,
+        middleware: Callable[[Request, Callable[[Request], Response]], Response]
+        | None = None,
     ) -> None:
         self._routes = tuple(routes)
-        self._around = around
+        self._middleware = middleware
 
     def __call__(
         self, environ: dict[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         request = _read(environ)
         try:
-            answer = self._answer(request)
-        except AnswerDroppedError:
+            response = self._handle(request)
+        except ResponseDroppedError:
             request.connection.cut()
-            answer = Answer(status=503)
+            response = Response(status=503)
         except (KeyError, ValueError) as error:
-            answer = Answer({"error": repr(error)}, status=400)
-        return _write(answer, start_response)
+            response = Response({"error": repr(error)}, status=400)
+        return _write(response, start_response)
 
-    def _answer(self, request: Request) -> Answer:
-        if self._around is None:
+    def _handle(self, request: Request) -> Response:
+        if self._middleware is None:
             return self._route(request)
-        return self._around(request, self._route)
+        return self._middleware(request, self._route)
 
-    def _route(self, request: Request) -> Answer:
+    def _route(self, request: Request) -> Response:
         parts = request.path.split("/")
         for route in self._routes:
             values = route.match(request.method, parts)
             if values is not None:
                 return route.handler(request, *values)
-        return Answer({"error": f"no {request.method} {request.path}"}, status=404)
+        return Response({"error": f"no {request.method} {request.path}"}, status=404)
 
 
 def _read(environ: dict[str, Any]) -> Request:
@@ -201,12 +202,12 @@
     )
 
 
-def _write(answer: Answer, start_response: Callable[..., Any]) -> Iterable[bytes]:
-    headers = [("Content-Type", answer.content_type), *answer.headers]
-    start_response(f"{answer.status} -", headers)
-    if answer.chunks is not None:
-        return answer.chunks
-    return [_encode(answer.body)]
+def _write(response: Response, start_response: Callable[..., Any]) -> Iterable[bytes]:
+    headers = [("Content-Type", response.content_type), *response.headers]
+    start_response(f"{response.status} -", headers)
+    if response.chunks is not None:
+        return response.chunks
+    return [_encode(response.body)]
 
 
 def _encode(body: Any) -> bytes:
@@ -219,16 +220,16 @@
             return json.dumps(body).encode()
 
 
-def truncated(answer: Answer, connection: Connection) -> Answer:
-    """Return ``answer`` so that its connection closes half-way through the body."""
-    body = _encode(answer.body)
+def truncated(response: Response, connection: Connection) -> Response:
+    """Return a copy whose connection closes after the first half of the body."""
+    body = _encode(response.body)
 
     def half() -> Iterator[bytes]:
         yield body[: len(body) // 2]
         connection.cut()
 
     length = ("Content-Length", str(len(body)))
-    return replace(answer, headers=(*answer.headers, length), chunks=half())
+    return replace(response, headers=(*response.headers, length), chunks=half())
 
 
 def serve(listener: socket.socket, application: Application) -> None:
