--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, each one process, for tests and trials."""
+"""Stand-ins for external systems and callers, for tests and benchmarks."""
--- a/standins/batch.py
+++ b/standins/batch.py
@@ -1,4 +1,4 @@
-"""Continuous batching: one loop that gives every running stream a token a step."""
+"""Continuous batching: each step of one loop gives every running stream a token."""
 
 import heapq
 from collections.abc import Callable
@@ -16,12 +16,12 @@
 class Speed:
     """How fast an engine is.
 
-    :param step: time of a step with one stream.
-    :param step_per_stream: what each further stream adds to a step.
-    :param prefill_per_token: time for one uncached token of a prompt.
-    :param kv_per_token: time to bring one token's KV cache from another engine.
-    :param max_batch: streams that run at once.
-    :param max_waiting: streams that wait before new ones are refused.
+    :param step: duration of a step, without the time per stream.
+    :param step_per_stream: time that each running stream adds to a step.
+    :param prefill_per_token: time to prefill one uncached token of a prompt.
+    :param kv_per_token: time to transfer one token's KV cache from another engine.
+    :param max_batch: limit of running streams.
+    :param max_waiting: limit of queued streams, above which new ones are refused.
     """
 
     step: timedelta = timedelta(milliseconds=10)
@@ -33,7 +33,14 @@
 
 
 class Batch:
-    """The running and waiting streams of one engine."""
+    """The running and queued streams of one engine.
+
+    :param clock: source of elapsed time.
+    :param speed: durations and limits.
+    :param cache: prefix cache of the engine.
+    :param faults: source of pauses and of the slow-down factor.
+    :param abandoned: whether a stream has been without a reader for too long.
+    """
 
     def __init__(
         self,
@@ -51,27 +58,27 @@
         self._waiting: list[tuple[int, int, Stream]] = []
         self._running: list[Stream] = []
         self._arrivals = 0
-        self._awake = Event()
+        self._wake_up = Event()
         self._step_due = timedelta()
 
     @property
     def running(self) -> int:
-        """Streams in the batch."""
+        """Number of streams in the batch."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Streams that wait."""
+        """Number of queued streams."""
         return sum(not stream.ended for _, _, stream in self._waiting)
 
     @property
     def running_tokens(self) -> int:
-        """Tokens of the running streams' contexts."""
+        """Tokens in the contexts of the running streams."""
         return sum(stream.context_tokens for stream in self._running)
 
     @property
     def full(self) -> bool:
-        """Whether a further stream is to be refused."""
+        """Whether another stream has to be refused."""
         if len(self._running) < self._speed.max_batch:
             return False
         return self.waiting >= self._speed.max_waiting
@@ -80,25 +87,25 @@
         """Queue a stream; a lower priority number goes first."""
         self._arrivals += 1
         heapq.heappush(self._waiting, (stream.priority, self._arrivals, stream))
-        if not self._awake.ready():
-            self._awake.send(None)
+        if not self._wake_up.ready():
+            self._wake_up.send(None)
 
     def run(self) -> None:
-        """Step for as long as the process runs."""
+        """Run steps until the process ends."""
         while True:
             if not self._running and not self._waiting:
-                self._awake = Event()
-                self._awake.wait()
+                self._wake_up = Event()
+                self._wake_up.wait()
                 self._step_due = self._clock.elapsed()
             self._faults.wait_while_frozen()
-            self._pause(self._admit() + self._step_time())
+            self._wait_for_step(self._admit() + self._step_time())
             self._faults.wait_while_frozen()
             self._step()
 
-    def _pause(self, length: timedelta) -> None:
-        """Wait until the next step is due, not counting the last one's own work."""
+    def _wait_for_step(self, duration: timedelta) -> None:
+        """Wait until the next step is due; the loop's own computing adds no delay."""
         now = self._clock.elapsed()
-        self._step_due = max(self._step_due + length * self._faults.slow_factor, now)
+        self._step_due = max(self._step_due + duration * self._faults.slow_factor, now)
         sleep(self._step_due - now)
 
     def _admit(self) -> timedelta:
--- a/standins/buckets.py
+++ b/standins/buckets.py
@@ -1,10 +1,13 @@
-"""Rate limit of the stand-ins."""
+"""Rate limiter of the stand-ins."""
 
 from sassafrasdale.clock import Clock
 
 
 class TokenBucket:
-    """Rate limit that allows a burst of one second's worth."""
+    """Rate limiter that allows a burst of one second's tokens.
+
+    :param rate: tokens per second.
+    """
 
     def __init__(self, clock: Clock, rate: float) -> None:
         self._clock = clock
@@ -13,10 +16,10 @@
         self.rate = rate
 
     def take(self) -> bool:
-        """Take a token and return whether there was one."""
+        """Take a token, if there is one, and return whether there was."""
         now = self._clock.elapsed()
-        gained = (now - self._filled_at).total_seconds() * self.rate
-        self._tokens = min(self.rate, self._tokens + gained)
+        refill = (now - self._filled_at).total_seconds() * self.rate
+        self._tokens = min(self.rate, self._tokens + refill)
         self._filled_at = now
         if self._tokens < 1:
             return False
--- a/standins/cache.py
+++ b/standins/cache.py
@@ -1,4 +1,4 @@
-"""Prefix cache of limited size, and the events that tell of it."""
+"""Prefix cache of limited size, with events of its changes."""
 
 import random
 from collections import OrderedDict
@@ -22,10 +22,11 @@
 class PrefixCache:
     """Least-recently-used cache of prompt blocks.
 
-    :param capacity: tokens that it holds.
-    :param elapsed: time since an arbitrary start.
-    :param event_lag: how late an event shows.
-    :param event_loss: share of the events that never show.
+    :param capacity: limit in tokens.
+    :param elapsed: returns the time since an arbitrary start.
+    :param rng: source of randomness for lost events.
+    :param event_lag: delay until an event is visible.
+    :param event_loss: fraction of the events that are lost.
     """
 
     def __init__(
@@ -48,16 +49,16 @@
 
     @property
     def capacity(self) -> int:
-        """Tokens that it can hold."""
+        """Limit in tokens."""
         return self._capacity
 
     @property
     def tokens(self) -> int:
-        """Tokens held."""
+        """Number of cached tokens."""
         return len(self._blocks) * BLOCK_TOKENS
 
     def lookup(self, blocks: Sequence[str]) -> int:
-        """Return how many leading tokens are cached, and mark them used.
+        """Return how many leading tokens are cached, and mark them as used.
 
         :param blocks: chained hashes of a prompt's blocks.
         """
@@ -70,25 +71,25 @@
         return cached
 
     def store(self, blocks: Sequence[str]) -> None:
-        """Hold the prompt's blocks, dropping the least recently used."""
+        """Cache the prompt's blocks and evict the least recently used ones."""
         for block in blocks:
             known = block in self._blocks
             self._blocks[block] = None
             self._blocks.move_to_end(block)
             if not known:
-                self._note("stored", block)
+                self._record_event("stored", block)
         while len(self._blocks) > self._max_blocks:
             block, _ = self._blocks.popitem(last=False)
-            self._note("removed", block)
+            self._record_event("removed", block)
 
     def clear(self) -> None:
-        """Drop every block."""
+        """Evict all blocks."""
         while self._blocks:
             block, _ = self._blocks.popitem(last=False)
-            self._note("removed", block)
+            self._record_event("removed", block)
 
     def events_after(self, sequence: int) -> list[CacheEvent]:
-        """Return the events above ``sequence`` that show by now."""
+        """Return the events above ``sequence`` that are visible by now."""
         now = self._elapsed()
         return [
             event
@@ -96,7 +97,7 @@
             if event.sequence > sequence and event.visible_at <= now
         ]
 
-    def _note(self, kind: str, block: str) -> None:
+    def _record_event(self, kind: str, block: str) -> None:
         self._sequence += 1
         if self._rng.random() < self.event_loss:
             return
--- a/standins/clients.py
+++ b/standins/clients.py
@@ -1,4 +1,4 @@
-"""Plain HTTP client for tests and benchmarks."""
+"""HTTP client for tests and benchmarks."""
 
 import json
 from collections.abc import Mapping
@@ -11,19 +11,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Answer to a call."""
+    """An HTTP response with its whole body."""
 
     status: int
     headers: Mapping[str, str]
     data: bytes
 
     def json(self) -> Any:
-        """Return the JSON in the body."""
+        """Return the parsed JSON body."""
         return json.loads(self.data)
 
 
 class Client:
-    """Plain HTTP client of one address that never retries."""
+    """HTTP client for one address, with a connection pool and without retries.
+
+    :param limit: timeout of connecting and of each read.
+    """
 
     def __init__(self, address: str, limit: timedelta = timedelta(seconds=30)) -> None:
         self._address = address
@@ -38,9 +41,9 @@
         body: Any = None,
         headers: Mapping[str, str] | None = None,
     ) -> Response:
-        """Make a call and return its whole answer.
+        """Send a request and return the whole response.
 
-        :param body: sent as JSON, or as it is if it is bytes.
+        :param body: sent as JSON; bytes are sent unchanged.
         """
         response = self._pool.request(
             method,
@@ -57,7 +60,7 @@
         body: Any = None,
         headers: Mapping[str, str] | None = None,
     ) -> urllib3.BaseHTTPResponse:
-        """Make a call and return the answer with its body still to be read."""
+        """Send a request and return the response before its body is read."""
         return self._pool.request(
             method,
             f"http://{self._address}{path}",
--- a/standins/generation.py
+++ b/standins/generation.py
@@ -1,4 +1,4 @@
-"""Deterministic text: any engine continues what another one began."""
+"""Deterministic generated text, so that any engine can continue another's stream."""
 
 from collections.abc import Iterator, Sequence
 from hashlib import blake2b
@@ -18,9 +18,9 @@
 
 
 class TokenSource:
-    """The tokens that a model answers to a prompt.
+    """The tokens that a model generates for a prompt.
 
-    Token i depends on the model, the prompt and i alone.
+    Token i depends only on the model, the prompt and i.
     """
 
     def __init__(self, model: str, messages: Sequence[dict[str, Any]]) -> None:
@@ -29,18 +29,18 @@
         self._seed = int.from_bytes(digest, "big")
 
     def token(self, position: int) -> str:
-        """Return the token at ``position``, counted from 1, with its space."""
+        """Return the token at ``position``, counted from 1, with a trailing space."""
         mixed = (self._seed + position * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
         mixed = (mixed ^ (mixed >> 31)) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
         return f"{WORDS[(mixed >> 40) % len(WORDS)]}{position} "
 
     def tokens(self, first: int, last: int) -> Iterator[str]:
-        """Yield the tokens from ``first`` to ``last``, both included."""
+        """Yield the tokens from ``first`` to ``last``, inclusive."""
         return (self.token(position) for position in range(first, last + 1))
 
 
 def reference_text(
     model: str, messages: Sequence[dict[str, Any]], max_tokens: int
 ) -> str:
-    """Return the whole answer that every engine gives to a prompt."""
+    """Return the whole response that every engine generates for a prompt."""
     return "".join(TokenSource(model, messages).tokens(1, max_tokens))
--- a/standins/prompts.py
+++ b/standins/prompts.py
@@ -1,4 +1,4 @@
-"""Prompts as tokens and as blocks of a prefix cache."""
+"""Split prompts into tokens and into blocks of a prefix cache."""
 
 from collections.abc import Iterator, Sequence
 from hashlib import blake2b
@@ -11,7 +11,7 @@
 
 
 class Prompt:
-    """What an engine keeps of a prompt: its length and its blocks' hashes."""
+    """The length of a prompt and the hashes of its blocks."""
 
     __slots__ = ("tokens", "blocks")
 
@@ -21,7 +21,7 @@
         self.blocks = tuple(block_hashes(words))
 
     def forget_blocks(self) -> None:
-        """Free the hashes, which a finished stream needs no more."""
+        """Free the hashes, which a stream doesn't need once it is running."""
         self.blocks = ()
 
 
@@ -36,8 +36,8 @@
 
 def block_hashes(tokens: Sequence[str]) -> Iterator[str]:
     """Yield the chained hash of each whole block of the prompt."""
-    before = b""
+    previous = b""
     for end in range(BLOCK_TOKENS, len(tokens) + 1, BLOCK_TOKENS):
         block = " ".join(tokens[end - BLOCK_TOKENS : end]).encode()
-        before = blake2b(before + block, digest_size=HASH_BYTES).digest()
-        yield before.hex()
+        previous = blake2b(previous + block, digest_size=HASH_BYTES).digest()
+        yield previous.hex()
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""Revisioned key-value state with leases and watches, as etcd v3 keeps it."""
+"""Revisioned key-value state with leases and watches, modelled on etcd v3."""
 
 from bisect import bisect_left, insort
 from collections.abc import Callable, Iterator
@@ -10,24 +10,24 @@
 
 MAX_VALUE_BYTES = 1024 * 1024
 FROM_KEY = b"\0"
-"""End of a range that has no end."""
+"""``end`` of a range without an upper bound."""
 
 
 class ValueTooLargeError(ValueError):
-    """A value is larger than the store holds."""
+    """A value exceeds the store's size limit."""
 
 
 class DuplicateKeyError(ValueError):
-    """A transaction writes one key twice."""
+    """A transaction writes the same key twice."""
 
 
 class LeaseNotFoundError(KeyError):
-    """The lease has lapsed or was never granted."""
+    """The lease has expired or was never granted."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredKey:
-    """One key at one revision; ``version`` 0 says that it was deleted."""
+    """One key at one revision; ``version`` 0 marks a deletion."""
 
     key: bytes
     value: bytes
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """Keys from ``start`` up to but without ``end``; empty ``end`` for one key."""
+    """Keys from ``start`` to ``end``, exclusive; just ``start`` if ``end`` is empty."""
 
     start: bytes
     end: bytes = b""
@@ -62,9 +62,9 @@
 
 
 class Store:
-    """The whole state of the stand-in's store.
+    """The state of the stand-in's store.
 
-    :param clock: decides when leases expire.
+    :param clock: determines when leases expire.
     :param max_value_bytes: size limit of a value.
     """
 
@@ -87,7 +87,7 @@
 
     @property
     def watchers(self) -> int:
-        """Number of watches that wait."""
+        """Number of open watches."""
         return len(self._watchers)
 
     def range(self, keys: KeyRange) -> list[StoredKey]:
@@ -102,13 +102,17 @@
         return [self._keys[key] for key in self._order[first:last]]
 
     def transact(self, change: Callable[["Transaction"], None]) -> None:
-        """Run ``change``; all that it writes gets one new revision."""
+        """Run ``change`` as a transaction; all its writes get one new revision."""
         transaction = Transaction(self, self._revision + 1)
         change(transaction)
         self._commit(transaction.changes)
 
     def grant(self, ttl: timedelta, lease_id: int = 0) -> Lease:
-        """Grant a lease."""
+        """Grant a lease.
+
+        :param lease_id: 0 for a new id.
+        :raises ValueError: if there is a lease with the id.
+        """
         if not lease_id:
             lease_id = self._next_lease
             self._next_lease += 1
@@ -119,18 +123,18 @@
         return lease
 
     def keep_alive(self, lease_id: int) -> Lease:
-        """Extend a lease by its TTL.
+        """Renew a lease for its TTL.
 
-        :raises LeaseNotFoundError: if it has lapsed.
+        :raises LeaseNotFoundError: if it has expired.
         """
         lease = self.lease(lease_id)
         lease.expires_at = self._clock.elapsed() + lease.ttl
         return lease
 
     def lease(self, lease_id: int) -> Lease:
-        """Return a live lease.
+        """Return a lease that has not expired.
 
-        :raises LeaseNotFoundError: if it has lapsed.
+        :raises LeaseNotFoundError: if it has expired.
         """
         self.expire_leases()
         if lease_id not in self._leases:
@@ -138,9 +142,9 @@
         return self._leases[lease_id]
 
     def revoke(self, lease_id: int) -> None:
-        """End a lease and delete its keys.
+        """Revoke a lease and delete its keys.
 
-        :raises LeaseNotFoundError: if it has lapsed.
+        :raises LeaseNotFoundError: if it has expired.
         """
         if lease_id not in self._leases:
             raise LeaseNotFoundError(lease_id)
@@ -148,16 +152,16 @@
         self.transact(lambda txn: _delete_all(txn, sorted(lease.keys)))
 
     def expire_leases(self) -> None:
-        """Revoke every lease whose time has passed."""
+        """Revoke all leases that have expired."""
         now = self._clock.elapsed()
         for lease in list(self._leases.values()):
             if lease.expires_at <= now:
                 self.revoke(lease.lease_id)
 
     def watch(self, keys: KeyRange, start_revision: int) -> "Watch":
-        """Return a watch that first replays history from ``start_revision``.
+        """Open a watch that first replays the history from ``start_revision``.
 
-        :param start_revision: 0 for changes from now on.
+        :param start_revision: 0 for later changes only.
         """
         inbox: Queue = Queue()
         if start_revision:
@@ -204,10 +208,10 @@
 
 
 class Watch:
-    """Batches of changes for one watcher.
+    """An open watch.
 
-    :param inbox: brings them.
-    :param close: ends the watch.
+    :param inbox: queue of batches of changes, one batch for each revision.
+    :param close: closes the watch.
     """
 
     def __init__(self, inbox: Queue, close: Callable[[], None]) -> None:
@@ -216,7 +220,10 @@
 
 
 class Transaction:
-    """Reads and writes that take effect together."""
+    """Reads and writes that take effect at once.
+
+    :param revision: revision of the writes.
+    """
 
     def __init__(self, store: Store, revision: int) -> None:
         self._store = store
@@ -224,7 +231,7 @@
         self.changes: list[StoredKey] = []
 
     def range(self, keys: KeyRange) -> list[StoredKey]:
-        """Return the keys in the range with this transaction's own writes."""
+        """Return the keys in the range, including this transaction's own writes."""
         found = {stored.key: stored for stored in self._store.range(keys)}
         for change in self.changes:
             if change.key in keys:
@@ -232,7 +239,12 @@
         return [found[key] for key in sorted(found) if found[key].version]
 
     def put(self, key: bytes, value: bytes, lease: int = 0) -> StoredKey | None:
-        """Write a key and return what it held before."""
+        """Write a key and return its previous state, None if there was none.
+
+        :raises ValueTooLargeError: if the value exceeds the limit.
+        :raises LeaseNotFoundError: if the lease has expired.
+        :raises DuplicateKeyError: if the transaction already writes the key.
+        """
         if len(value) > self._store._max_value_bytes:
             raise ValueTooLargeError("request is too large")
         if lease:
