--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""A whole deployment on one machine: platform, endpoints and entries.
+"""A complete deployment on one machine: platform, endpoints and entries.
 
 Usage::
 
@@ -30,13 +30,13 @@
 FIRST_REVISION = "0"
 FOLLOW_POLL = timedelta(milliseconds=100)
 ON_DEMAND_FACTOR = 3.0
-"""Price of an on-demand instance over that of a reclaimable one."""
+"""Price of an on-demand instance, relative to a reclaimable one."""
 
 
 class Fleet:
-    """Processes for one operators' text.
+    """Processes of a deployment as described by a configuration text.
 
-    :param text: the text in YAML. Each pool's count is spread over its zones.
+    :param text: the text in YAML. Each pool's endpoints are spread over its zones.
     :param entries: number of entries, spread over all zones.
     :param engine_options: options of every :class:`EngineProcess`.
     :param service_options: options of every :class:`ServiceProcess`.
@@ -65,7 +65,7 @@
         self.entries: list[EntryProcess] = []
 
     def __enter__(self) -> Self:
-        """Start everything and put the text in force."""
+        """Start all processes and submit the text."""
         with ExitStack() as stack:
             stack.callback(self._cancel_timers)
             stack.enter_context(self.platform)
@@ -80,12 +80,12 @@
         return self
 
     def __exit__(self, *_exception: object) -> None:
-        """End every process."""
+        """Kill all processes."""
         self._stack.close()
 
     @property
     def text(self) -> Text:
-        """The text that the fleet was started with."""
+        """The parsed text that the fleet was started with."""
         return self._text
 
     def of_service(self, service: str) -> list[EndpointProcess]:
@@ -93,7 +93,7 @@
         return [item for item in self.endpoints if item.service == service]
 
     def executions(self, service: str) -> list[dict[str, Any]]:
-        """Return what the service's live endpoints executed."""
+        """Return the requests that the service's running endpoints executed."""
         return [
             item
             for endpoint in self.of_service(service)
@@ -104,7 +104,7 @@
     def process(self, name: str) -> ManagedProcess:
         """Return the process of an instance.
 
-        :raises KeyError: if there is none of that name.
+        :raises KeyError: if there is no instance with that name.
         """
         for process in (*self.endpoints, *self.entries):
             if process.name == name:
@@ -112,42 +112,42 @@
         raise KeyError(name)
 
     def reclaim(self, instance: str, seconds: float, times: int = 1) -> None:
-        """Give notice of one instance and kill it when its time is up."""
+        """Send the notice of an instance's reclaim, and kill it after ``seconds``."""
         self.platform.give_notice(instance, seconds, times)
-        self._take_later([instance], seconds)
+        self._kill_later([instance], seconds)
 
     def reclaim_zone(self, zone: str, seconds: float) -> list[str]:
-        """Give notice of a zone and kill its instances when the time is up."""
+        """Send the notices of a zone's reclaim, and kill its instances later."""
         names = sorted(set(self.platform.reclaim_zone(zone, seconds)))
-        self._take_later(names, seconds)
+        self._kill_later(names, seconds)
         return names
 
     def take(self, instance: str) -> None:
-        """Kill an instance and take it out of the list, with no notice."""
+        """Kill an instance without notice, and remove it from the instance list."""
         process = self.process(instance)
         if process.return_code is None:
             process.kill()
         self.platform.remove(instance)
 
     def add_endpoint(self, endpoint: EndpointProcess) -> None:
-        """Start a further endpoint and list it."""
+        """Start another endpoint and register it."""
         self._stack.enter_context(endpoint)
         self.platform.register(endpoint)
         self.endpoints.append(endpoint)
 
-    def follow_starts(self, delay: timedelta = timedelta()) -> None:
-        """Start and end endpoints as the cloud API is told to, in a thread.
+    def follow_orders(self, delay: timedelta = timedelta()) -> None:
+        """Start and kill endpoints as ordered through the cloud API, in a thread.
 
-        :param delay: time from the order until the instance is listed.
+        :param delay: time from an order until the endpoint is started.
         """
-        follower = StartFollower(self, delay)
+        follower = OrderFollower(self, delay)
         self._stack.callback(follower.stop)
         follower.start()
 
     def new_endpoint(
         self, name: str, service: str, zone: str, instance_class: str
     ) -> EndpointProcess:
-        """Return an endpoint of a service's pool that is not started yet.
+        """Return an endpoint for a service's pool that is not started yet.
 
         :raises StopIteration: if the service has no pool of that class.
         """
@@ -156,7 +156,7 @@
         return self._endpoint(found, pool, name, zone)
 
     def add_entry(self, name: str, zone: str, **options: Any) -> EntryProcess:
-        """Start a further entry and list it; it need not be ready yet."""
+        """Start another entry and register it; it may not be ready yet."""
         entry = self._entry(name, zone, options)
         self._launch(entry)
         self.platform.register(entry)
@@ -212,7 +212,7 @@
         return EngineProcess(name, zone, service.name, **options)
 
     def _set_prices(self) -> None:
-        """Give each zone a price of its own, the first the lowest."""
+        """Set a different price for each zone, lowest in the first."""
         prices = [
             {
                 "availability_zone": zone,
@@ -250,13 +250,13 @@
         if response.status != 200:
             raise ProcessError(f"text: {response.status} {response.data!r}")
 
-    def _take_later(self, names: list[str], seconds: float) -> None:
-        timer = threading.Timer(seconds, self._take_all, [names])
+    def _kill_later(self, names: list[str], seconds: float) -> None:
+        timer = threading.Timer(seconds, self._kill_all, [names])
         timer.daemon = True
         self._timers.append(timer)
         timer.start()
 
-    def _take_all(self, names: list[str]) -> None:
+    def _kill_all(self, names: list[str]) -> None:
         for name in names:
             self.take(name)
 
@@ -267,11 +267,11 @@
             timer.join(START_LIMIT / timedelta(seconds=1))
 
 
-class StartFollower:
-    """Does what was ordered of the cloud API.
+class OrderFollower:
+    """Carries out the starts and releases ordered through the cloud API.
 
-    :param fleet: where endpoints are started and ended.
-    :param delay: time from the order until the instance is listed.
+    :param fleet: fleet in which endpoints are started and killed.
+    :param delay: time from an order until the endpoint is started.
     """
 
     def __init__(self, fleet: Fleet, delay: timedelta) -> None:
@@ -283,7 +283,7 @@
         self._thread = threading.Thread(target=self._follow, daemon=True)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the thread."""
         self._thread.start()
 
     def _follow(self) -> None:
@@ -295,7 +295,7 @@
                 self._end(name)
 
     def stop(self) -> None:
-        """Stop and wait for the thread's end."""
+        """Stop the thread and wait for its end."""
         self._stopped.set()
         self._thread.join()
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes that tests and benchmarks start, and end by their own pid.
+"""Processes that tests and benchmarks start and signal by pid.
 
 Usage::
 
@@ -34,21 +34,22 @@
 STDERR_LINES = 2000
 LOOPBACK = "127.0.0.1"
 PORTS = range(12_000, 32_000)
-"""Ports below those that the kernel gives to outgoing connections."""
+"""Ports below the kernel's range for outgoing connections."""
 
-# A datagram socket at each port that was given, so that other processes see it.
-_given_ports: dict[int, socket.socket] = {}
+# A datagram socket bound to each reserved port, so that other test processes see the
+# reservation.
+_reserved_ports: dict[int, socket.socket] = {}
 
 
 class ProcessError(Exception):
-    """A process did not start, or did not answer as it should."""
+    """A process did not start, or did not respond as expected."""
 
 
 class ManagedProcess:
-    """A process of this repository.
+    """A process that runs a module of this repository.
 
-    :param arguments: what follows ``python -m``.
-    :param environment: variables besides those of this process.
+    :param arguments: module and arguments after ``python -m``.
+    :param environment: variables in addition to those of this process.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         self._stderr: deque[bytes] = deque(maxlen=STDERR_LINES)
 
     def __enter__(self) -> Self:
-        """Start the process and wait until it serves."""
+        """Start the process and wait until it is ready."""
         self.launch()
         try:
             self.wait_until_ready()
@@ -73,22 +74,22 @@
         return self
 
     def __exit__(self, *_exception: object) -> None:
-        """End the process."""
+        """Kill the process."""
         self.close()
 
     @property
     def pid(self) -> int:
-        """The process's own identifier."""
+        """Process id."""
         return self._running().pid
 
     @property
     def stderr(self) -> str:
-        """The last lines of what the process wrote to standard error."""
+        """The last lines that the process wrote to standard error."""
         return b"".join(list(self._stderr)).decode("utf-8", "replace")
 
     @property
     def return_code(self) -> int | None:
-        """How the process ended, or None while it runs."""
+        """Return code of the process, or None while it runs."""
         return self._running().poll()
 
     def launch(self) -> None:
@@ -105,12 +106,12 @@
         _drain(self._process.stderr, self._stderr.append)
 
     def wait_until_ready(self) -> None:
-        """Wait until the process serves; here there is nothing to wait for."""
+        """Wait until the process is ready; by default do nothing."""
 
     def read_line(self, limit: timedelta = START_LIMIT) -> bytes:
         """Return the next line of standard output.
 
-        :raises ProcessError: if none comes in time.
+        :raises ProcessError: if there is none in time.
         """
         deadline = time.monotonic() + limit.total_seconds()
         while time.monotonic() < deadline:
@@ -122,24 +123,24 @@
         raise ProcessError(f"{self._arguments}: no line of output\n{self.stderr}")
 
     def kill(self) -> None:
-        """End the process at once, without a chance to clean up."""
+        """Send SIGKILL and wait for the process to end."""
         self._running().kill()
         self._running().wait(END_LIMIT.total_seconds())
 
     def terminate(self, limit: timedelta = END_LIMIT) -> int:
-        """Ask the process to stop and return its return code.
+        """Send SIGTERM and return the return code.
 
-        :raises subprocess.TimeoutExpired: if it goes on past ``limit``.
+        :raises subprocess.TimeoutExpired: if the process still runs after ``limit``.
         """
         self._running().terminate()
         return self._running().wait(limit.total_seconds())
 
     def freeze(self) -> None:
-        """Pause the process as a whole; its sockets stay open."""
+        """Send SIGSTOP; the process's sockets stay open."""
         self._running().send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Send SIGCONT to a frozen process."""
         self._running().send_signal(signal.SIGCONT)
 
     def close(self) -> None:
@@ -159,21 +160,25 @@
 
 
 class StandInProcess(ManagedProcess):
-    """A stand-in, which announces its addresses and takes faults."""
+    """A stand-in, which prints its addresses and accepts faults.
+
+    :param module: module in ``standins``.
+    :param flags: command-line options.
+    """
 
     def __init__(self, module: str, **flags: Any) -> None:
         super().__init__([f"standins.{module}", "--until-stdin-closes", *_flags(flags)])
         self.addresses: dict[str, str] = {}
 
     def wait_until_ready(self) -> None:
-        """Wait for the bound addresses."""
+        """Wait until the process has printed its bound addresses."""
         self.addresses = json.loads(self.read_line())
         self.client = Client(next(iter(self.addresses.values())))
 
     def control(self, method: str, path: str, body: Any = None) -> Any:
-        """Make a control call and return its JSON.
+        """Make a control call and return the JSON of the response.
 
-        :raises ProcessError: if the stand-in refuses it.
+        :raises ProcessError: if the stand-in responds with an error.
         """
         response = self.client.call(method, f"/standin/{path}", body)
         if response.status >= 300:
@@ -185,7 +190,7 @@
         self.control("POST", "faults", faults)
 
     def counts(self) -> dict[str, Any]:
-        """Return what the stand-in has counted."""
+        """Return the counts of the stand-in."""
         return self.control("GET", "counts")
 
 
@@ -206,15 +211,15 @@
         return self.addresses["cloud"]
 
     def register(self, process: "EndpointProcess | EntryProcess") -> None:
-        """Put a process into the instance list."""
+        """Add a process to the instance list."""
         self.control("POST", "instances", process.instance())
 
     def remove(self, name: str) -> None:
-        """Take an instance out of the list."""
+        """Remove an instance from the instance list."""
         self.control("DELETE", f"instances/{name}")
 
     def give_notice(self, instance: str, seconds: float, times: int = 1) -> None:
-        """Announce that an instance leaves in ``seconds``."""
+        """Send the notice that an instance is reclaimed in ``seconds``."""
         self.control(
             "POST",
             "notices",
@@ -222,7 +227,7 @@
         )
 
     def reclaim_zone(self, zone: str, seconds: float) -> list[str]:
-        """Announce that a zone leaves; return the names of its instances."""
+        """Send notices for the instances of a zone; return their names."""
         body = {"state": "reclaimed", "seconds": seconds}
         notices = self.control("POST", f"zones/{zone}", body)["notices"]
         return [notice["instance"] for notice in notices]
@@ -235,7 +240,8 @@
 class EndpointProcess(StandInProcess):
     """An endpoint: a model engine or a plain service.
 
-    :param instance_class: the platform's class of machine.
+    :param instance_class: class of the instance at the platform.
+    :param reclaimable: whether the platform may reclaim the instance.
     """
 
     def __init__(
@@ -260,11 +266,11 @@
 
     @property
     def address(self) -> str:
-        """Address where the endpoint serves."""
+        """Address of the endpoint's API."""
         return self.addresses["address"]
 
     def instance(self) -> dict[str, Any]:
-        """Return the endpoint as the instance list shows it."""
+        """Return the endpoint's item in the instance list."""
         return {
             "name": self.name,
             "role": "endpoint",
@@ -277,7 +283,7 @@
         }
 
     def executions(self) -> list[dict[str, Any]]:
-        """Return what the endpoint executed, in order."""
+        """Return the requests that the endpoint executed, in order."""
         return self.control("GET", "log")["executions"]
 
 
@@ -327,7 +333,7 @@
         super().__init__(["sassafrasdale", "entry", *_flags(options)])
 
     def instance(self) -> dict[str, Any]:
-        """Return the entry as the instance list shows it."""
+        """Return the entry's item in the instance list."""
         return {
             "name": self.name,
             "role": "entry",
@@ -337,21 +343,21 @@
         }
 
     def wait_until_ready(self) -> None:
-        """Wait until the entry says that it is ready.
+        """Wait until the entry reports that it is ready.
 
         :raises ProcessError: if it doesn't in time.
         """
         self.wait_for("/health/ready")
 
     def wait_until_live(self) -> None:
-        """Wait until the entry serves at all, ready or not.
+        """Wait until the entry serves its health check, ready or not.
 
         :raises ProcessError: if it doesn't in time.
         """
         self.wait_for("/health/live")
 
     def wait_for(self, path: str, limit: timedelta = START_LIMIT) -> None:
-        """Wait until ``path`` answers 200.
+        """Wait until ``path`` returns 200.
 
         :raises ProcessError: if it doesn't in time.
         """
@@ -363,7 +369,7 @@
             except HTTPError:
                 pass
             time.sleep(READY_POLL.total_seconds())
-        raise ProcessError(f"{self.name}: {path} not answered\n{self.stderr}")
+        raise ProcessError(f"{self.name}: {path} did not return 200\n{self.stderr}")
 
 
 def start_entry(
@@ -376,7 +382,7 @@
 
 
 def free_port() -> int:
-    """Return a port that nothing listens on, and that no process was given before."""
+    """Reserve a port that nothing listens on and no other process has reserved."""
     while True:
         port = random.choice(PORTS)
         reserved = _bound(port, socket.SOCK_DGRAM)
@@ -387,7 +393,7 @@
             reserved.close()
             continue
         probe.close()
-        _given_ports[port] = reserved
+        _reserved_ports[port] = reserved
         return port
 
 
--- a/tests/standins/conftest.py
+++ b/tests/standins/conftest.py
@@ -1,4 +1,4 @@
-"""Stand-ins that one module's tests share."""
+"""Fixtures: stand-ins that the tests of a module share, or one for each test."""
 
 from collections.abc import Iterator
 
--- a/tests/standins/etcd.py
+++ b/tests/standins/etcd.py
@@ -1,4 +1,4 @@
-"""Calls of the store's JSON gateway, for tests."""
+"""Helpers that call the store through the etcd JSON gateway."""
 
 from base64 import b64decode, b64encode
 from typing import Any
--- a/tests/standins/test_cache.py
+++ b/tests/standins/test_cache.py
@@ -30,7 +30,7 @@
     assert cache.lookup(tokens(2, before="other")) == 0
 
 
-def test_the_least_recently_used_blocks_go():
+def test_the_least_recently_used_blocks_are_evicted():
     cache = make_cache(2, ManualClock())
     cache.store(tokens(1, "a"))
     cache.store(tokens(1, "b"))
@@ -40,8 +40,11 @@
     assert not cache.lookup(tokens(1, "b"))
 
 
-def test_events_come_late_and_with_gaps():
-    """A reader of cache events misses some and sees the rest too late."""
+def test_events_are_delayed_and_partly_lost():
+    """A reader of cache events gets all of them at once, unlike with a real engine.
+
+    With a lag of 2 s and a loss of 50 %, some events come late and the others never.
+    """
     clock = ManualClock()
     cache = make_cache(100, clock, lag=2, loss=0.5)
     cache.store(tokens(40))
--- a/tests/standins/test_cloud.py
+++ b/tests/standins/test_cloud.py
@@ -1,4 +1,4 @@
-"""Tests of the cloud API over HTTP, and of each fault that it can have."""
+"""Tests of the cloud API over HTTP, and of each of its faults."""
 
 import threading
 import time
@@ -32,9 +32,10 @@
 
 
 def test_the_list_lags(platform, cloud):
-    """An instance that is gone stays in the list for a while.
+    """The list would show changes at once, unlike that of a real cloud.
 
-    The list is read with a lag of its own, so a reader sees the past.
+    With a lag of 1 s, a removed instance stays in the list for that long, and a new
+    one appears as late.
     """
     register(cloud, "early")
     time.sleep(1)
@@ -48,8 +49,11 @@
     assert "late" in listed(cloud)
 
 
-def test_a_growing_lag_does_not_undo_the_list(platform, cloud):
-    """Every instance disappears from the list when its lag grows."""
+def test_a_longer_lag_does_not_empty_the_list(platform, cloud):
+    """Every instance disappears from the list when its lag is increased.
+
+    The list as of a time before any instance was registered is empty.
+    """
     register(cloud, "shown")
     before = listed(cloud)
     assert "shown" in before
@@ -58,10 +62,10 @@
     assert listed(cloud) == before
 
 
-def test_a_notice_wakes_a_waiting_reader_and_may_come_twice(platform, cloud):
-    """A reader learns at once that an instance leaves, and hears it again.
+def test_a_notice_wakes_a_waiting_reader_and_may_be_repeated(platform, cloud):
+    """A reader that is waiting gets a notice too late, or only once.
 
-    The reader waits, the notice is given twice, both copies have the same time.
+    While the reader waits, the notice is sent twice, with the same time of reclaim.
     """
     register(cloud, "leaving")
     after = notices(cloud)["next"]
@@ -77,16 +81,16 @@
     assert listed(cloud)["leaving"]["state"] == "leaving"
 
 
-def test_a_wait_for_notices_ends_by_itself(cloud):
+def test_a_wait_for_notices_times_out(cloud):
     last = notices(cloud)["next"]
     assert notices(cloud, last, wait_ms=50) == {"notices": [], "next": last}
 
 
 def test_a_reclaimed_zone_notifies_its_instances_and_refuses_starts(platform, cloud):
-    """A zone's reclaimable instances all leave at once and none can be started.
+    """Instances could be started in a zone that is being reclaimed.
 
-    The zone is reclaimed, starts there are refused with a time to come back, and
-    work again once the zone is given back.
+    The zone's reclaimable instances get notices. Starts there are refused with
+    ``Retry-After`` until the zone is given back.
     """
     register(cloud, "b-1", availability_zone="b")
     register(cloud, "b-2", availability_zone="b", reclaimable=False)
@@ -98,8 +102,12 @@
     assert start(cloud, "r-1", "b").status == 201
 
 
-def test_starts_are_refused_everywhere_or_happen_once(platform, cloud):
-    """Capacity runs out in every zone at once, then comes back."""
+def test_starts_are_refused_without_capacity_and_are_idempotent(platform, cloud):
+    """A repeated start request would start a second instance.
+
+    Capacity runs out in every zone, then is available again, and the same start is
+    requested twice.
+    """
     platform.set_faults(cloud={"refuse_starts": True})
     assert start(cloud, "r-2").status == 409
     platform.set_faults(cloud={"refuse_starts": False})
@@ -109,7 +117,7 @@
     assert [item["request_id"] for item in starts].count("r-2") == 1
 
 
-def test_an_instance_is_given_back_once(cloud):
+def test_an_instance_is_released_once(cloud):
     register(cloud, "spare")
     assert cloud.call("DELETE", f"{LIST}/spare").status == 200
     assert cloud.call("DELETE", f"{LIST}/spare").status == 404
@@ -122,7 +130,7 @@
 
 
 @pytest.mark.parametrize("kind", ["refuse"])
-def test_the_cloud_fails_apart_from_the_store(platform, cloud, kind):
+def test_an_outage_of_the_cloud_does_not_affect_the_store(platform, cloud, kind):
     platform.set_faults(cloud={"outage": kind})
     assert cloud.call("GET", LIST).status == 503
     store = Client(platform.store)
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the model engine, and of each fault that it can have."""
+"""Tests of the model engine, and of each of its faults."""
 
 import json
 import time
@@ -17,7 +17,7 @@
 COMPLETIONS = "/v1/chat/completions"
 LIMIT = timedelta(seconds=5)
 LONG = 240
-"""Tokens of a stream that goes on while a test acts, for more than a second."""
+"""Tokens of a stream that runs for more than a second, while the test acts."""
 
 QUESTION = [{"role": "user", "content": " ".join(f"word{n}" for n in range(64))}]
 
@@ -37,7 +37,7 @@
 
 
 def begin(engine: EngineProcess, name: str, **fields: Any) -> HTTPConnection:
-    """Ask for a stream without waiting for its first token."""
+    """Request a stream without waiting for its first token."""
     connection = HTTPConnection(*engine.address.split(":"), timeout=5)
     message = json.dumps(body(stream=True, **fields))
     connection.request("POST", COMPLETIONS, message, {"X-Request-Id": name})
@@ -63,7 +63,7 @@
 
 
 def text_of(found: list[str]) -> str:
-    """Return the text of events, without the end mark."""
+    """Return the text of events, without ``[DONE]``."""
     chunks = [json.loads(event) for event in found if event != "[DONE]"]
     return "".join(chunk["choices"][0]["delta"].get("content", "") for chunk in chunks)
 
@@ -78,7 +78,7 @@
     return Client(engine.address, LIMIT)
 
 
-def test_whole_and_streamed_answers_are_the_reference(client):
+def test_whole_and_streamed_responses_are_the_reference(client):
     wanted = reference_text("m", QUESTION, 8)
     answer = ask(client).json()
     assert answer["choices"][0]["message"]["content"] == wanted
@@ -97,11 +97,11 @@
     assert usage["prompt_tokens_details"]["cached_tokens"] == 64
 
 
-def test_a_broken_stream_goes_on_and_is_resumed(client):
-    """A reader loses its connection and gets the rest without a gap.
+def test_a_broken_stream_continues_and_is_resumed(client):
+    """A reader that resumes its stream misses tokens or gets some twice.
 
-    It reads some tokens, its connection breaks, the engine goes on; a new
-    connection asks for what comes after the last token received.
+    It reads some tokens and its connection breaks while the engine continues; a new
+    connection requests the tokens after the last one received.
     """
     response = open_stream(client, "broken", max_tokens=LONG)
     found = events(response)
@@ -114,7 +114,10 @@
 
 
 def test_connections_are_cut_in_the_middle(engine, client):
-    """A reader sees its stream end without the end mark, then resumes it."""
+    """A reader can't resume a stream whose connection the engine has closed.
+
+    All connections are closed in the middle of the stream, before ``[DONE]``.
+    """
     response = open_stream(client, "cut", max_tokens=LONG)
     found = events(response)
     before = take(found, 3)
@@ -125,11 +128,11 @@
     assert text_of(before + list(events(rest))) == reference_text("m", QUESTION, LONG)
 
 
-def test_a_silent_stream_is_resumed_on_a_new_connection(engine, client):
-    """A reader hears nothing more although the engine goes on generating.
+def test_an_unresponsive_stream_is_resumed_on_a_new_connection(engine, client):
+    """A reader gets no more tokens although the engine keeps generating.
 
-    The stream runs, something between the ends loses track of the connection;
-    a new connection brings the rest.
+    The stream's connection stays open but carries no more data; a new connection
+    delivers the rest.
     """
     response = open_stream(client, "silent", max_tokens=LONG)
     found = events(response)
@@ -142,8 +145,11 @@
     assert text_of(before + list(events(rest))) == reference_text("m", QUESTION, LONG)
 
 
-def test_a_stream_that_nobody_reads_is_given_up():
-    """A reader comes back too late and its stream is gone."""
+def test_a_stream_without_a_reader_is_cancelled():
+    """Streams without a reader would occupy the engine until their last token.
+
+    The reader closes its connection and does not resume within the reconnect window.
+    """
     with EngineProcess("engine-1", step_ms=5, reconnect_window_ms=100) as engine:
         client = Client(engine.address, LIMIT)
         response = open_stream(client, "lost", max_tokens=1000)
@@ -156,11 +162,11 @@
 
 
 @pytest.mark.parametrize("stream", [False, True])
-def test_a_truncated_answer(engine, client, stream):
-    """A caller holds the first half of an answer that looks like a whole one.
+def test_a_truncated_response(engine, client, stream):
+    """A caller takes the first half of a response for the whole one.
 
-    A whole answer breaks off before its length; a stream ends in good order but
-    without its last chunk and end mark.
+    A whole response ends before its ``Content-Length``; a stream ends as valid HTTP,
+    but without its last chunk and ``[DONE]``.
     """
     engine.set_faults(truncate_answers=1)
     if stream:
@@ -173,7 +179,7 @@
     assert ask(client).status == 200
 
 
-def test_a_cancelled_stream_stops_without_an_end_mark(client):
+def test_a_cancelled_stream_ends_without_done(client):
     found = events(open_stream(client, "cancelled", max_tokens=1000))
     next(found)
     assert client.call("POST", "/v1/streams/cancelled/cancel").status == 200
@@ -182,9 +188,9 @@
 
 
 def test_a_moved_stream_recomputes_nothing(engine, client):
-    """An announced reclaim costs no token when the KV cache is moved.
+    """An announced reclaim has tokens recomputed although the KV cache was moved.
 
-    The first engine exports the stream, the second goes on with its cache.
+    The first engine exports the stream; the second imports its cache and continues.
     """
     found = events(open_stream(client, "moved", max_tokens=LONG))
     next(found)
@@ -199,10 +205,10 @@
 
 
 def test_a_lost_stream_is_recomputed(engine, client):
-    """A killed engine costs the tokens that it had computed.
+    """The tokens recomputed after a crash are not reported.
 
-    The engine dies, so its handle is gone; another one computes the prompt and
-    the first tokens again and says how many that were.
+    The engine is killed, so its cache can't be fetched; another one recomputes the
+    prompt and the first tokens and reports their number.
     """
     with EngineProcess("engine-2", step_ms=5) as other:
         second = Client(other.address, LIMIT)
@@ -212,8 +218,11 @@
         check_continued(second, 20, 1 + 20)
 
 
-def test_a_stream_lost_at_its_end_brings_only_the_end(client):
-    """The engine died between the last token and the end mark."""
+def test_a_stream_continued_after_its_last_token_has_no_more_tokens(client):
+    """A continued stream would repeat tokens or never end.
+
+    The first engine crashed between the last token and ``[DONE]``.
+    """
     response = open_stream(client, "end", continue_from=8, continuation="")
     found = list(events(response))
     assert len(found) == 2
@@ -235,7 +244,7 @@
     assert json.loads(found[-2])["usage"]["recomputed_tokens"] == recomputed
 
 
-def test_priority_decides_who_leaves_the_queue_first():
+def test_streams_leave_the_queue_by_priority():
     with EngineProcess("engine-1", step_ms=5, max_batch=1) as engine:
         begin(engine, "running", max_tokens=LONG)
         wait_until_known(engine, "running")
@@ -247,7 +256,10 @@
 
 
 def test_a_full_queue_refuses():
-    """A caller is turned away before anything ran, and is told so."""
+    """A caller can't tell that its refused request has not started.
+
+    The batch and the queue of the engine are full.
+    """
     with EngineProcess("engine-1", step_ms=5, max_batch=1, max_waiting=1) as engine:
         begin(engine, "running", max_tokens=1000).getresponse().readline()
         begin(engine, "waiting", max_tokens=1000)
@@ -258,8 +270,12 @@
         assert "refused" not in engine.counts()["by_request_id"]
 
 
-def test_an_answer_is_lost_after_the_generation(engine, client):
-    """A caller's connection breaks although its whole answer was generated."""
+def test_a_response_is_dropped_after_the_generation(engine, client):
+    """A dropped response hides that the request was executed.
+
+    The caller's connection is closed after the whole response was generated; the log
+    must show the execution.
+    """
     engine.set_faults(drop_answers=1)
     with pytest.raises(ProtocolError):
         ask(client, "dropped")
@@ -267,8 +283,8 @@
     assert [(item["request_id"], item["tokens"]) for item in found] == [("dropped", 8)]
 
 
-def test_new_work_is_refused_while_old_work_goes_on(engine, client):
-    """A leaving engine finishes its stream but takes no new one."""
+def test_new_streams_are_refused_while_old_ones_continue(engine, client):
+    """A draining engine would cut off its running streams or accept new ones."""
     found = events(open_stream(client, "old", max_tokens=LONG))
     next(found)
     engine.set_faults(refuse=True)
@@ -278,8 +294,11 @@
 
 
 @pytest.mark.parametrize("whole_process", [False, True])
-def test_a_freeze_stops_the_stream_and_ends(engine, client, whole_process):
-    """A reader hears nothing for a while, then the stream goes on."""
+def test_a_frozen_stream_pauses_and_completes(engine, client, whole_process):
+    """A stream would break, or not pause at all, when its engine is frozen.
+
+    The engine is frozen by the fault or by SIGSTOP for 0.5 s.
+    """
     found = events(open_stream(client, "frozen", max_tokens=LONG))
     next(found)
     started = time.monotonic()
@@ -293,15 +312,18 @@
     assert time.monotonic() - started > 0.5
 
 
-def test_a_slow_engine_takes_a_multiple(engine, client):
+def test_the_slow_factor_multiplies_the_duration(engine, client):
     engine.set_faults(slow_factor=10)
     started = time.monotonic()
     ask(client)
     assert time.monotonic() - started > 8 * 0.05
 
 
-def test_load_is_reported_late():
-    """A router sees an engine as idle that has begun to work."""
+def test_load_is_reported_with_a_lag():
+    """The reported load would be up to date, unlike that of a real engine.
+
+    With a lag of 2 s, a running stream is missing from the report at first.
+    """
     with EngineProcess("engine-1", step_ms=5, load_lag_ms=2000) as engine:
         client = Client(engine.address, LIMIT)
         next(events(open_stream(client, "running", max_tokens=1000)))
@@ -324,10 +346,10 @@
 
 @pytest.mark.parametrize(("checks", "status"), [(True, 409), (False, 200)])
 def test_an_old_fencing_number(checks, status):
-    """A holder of a lapsed lease orders an engine about.
+    """A former lease holder's order would be carried out by an engine with fencing.
 
-    The new holder's order came first; the engine refuses the old one only where
-    it checks fencing numbers.
+    The new holder's order arrives first; the engine refuses the old one only if it
+    checks fencing numbers.
     """
     with EngineProcess("engine-1", checks_fencing=checks) as engine:
         client = Client(engine.address, LIMIT)
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of a whole deployment's start."""
+"""Tests of a complete deployment's processes."""
 
 import time
 from collections.abc import Callable
@@ -17,10 +17,13 @@
     assert holds()
 
 
-def test_instances_start_and_end_as_the_cloud_is_told():
-    """An instance that was ordered serves; one that was given back is gone."""
+def test_instances_start_and_end_as_ordered_through_the_cloud():
+    """Orders to the cloud API would have no effect on the endpoints.
+
+    An endpoint is ordered, then released; its process must start and end.
+    """
     with Fleet(AUTHORITY.read_text(encoding="utf-8"), entries=0) as fleet:
-        fleet.follow_starts()
+        fleet.follow_orders()
         cloud = Client(fleet.platform.cloud)
         order = {
             "request_id": "r-1",
@@ -36,8 +39,11 @@
         wait_until(lambda: fleet.process("i-1").return_code is not None)
 
 
-def test_a_fleet_serves_the_text_and_loses_a_zone():
-    """A zone's instances are gone when the time of their notice is up."""
+def test_the_instances_of_a_reclaimed_zone_are_killed():
+    """Instances would outlive their notice, or those of another zone be killed.
+
+    A zone of a fleet that serves its text is reclaimed.
+    """
     with Fleet(AUTHORITY.read_text(encoding="utf-8"), entries=1) as fleet:
         assert len(fleet.of_service("reports")) == 3
         status = fleet.entries[0].client.call("GET", "/admin/v1/status").json()
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's store over HTTP, and of each fault that it can have."""
+"""Tests of the platform's store over HTTP, and of each of its faults."""
 
 import json
 import time
@@ -36,7 +36,7 @@
         ("VALUE", "value", encode("v")),
     ],
 )
-def test_compares(store, target, field, wanted):
+def test_transaction_compares(store, target, field, wanted):
     put(store, f"compare-{target}", "v")
     found = get(store, f"compare-{target}")
     compare = {"key": found["key"], "target": target, field: wanted or found[field]}
@@ -46,7 +46,7 @@
     assert "succeeded" not in store.call("POST", "/v3/kv/txn", body).json()
 
 
-def test_json_names_of_fields_are_taken_too(store):
+def test_json_names_of_fields_are_accepted(store):
     write = {"requestPut": {"key": encode("camel"), "value": encode("v")}}
     compare = {"key": encode("camel"), "target": "CREATE", "createRevision": "0"}
     body = {"compare": [compare], "success": [write]}
@@ -69,7 +69,7 @@
     assert answer.status == status
 
 
-def test_a_lease_takes_its_key_along(store):
+def test_a_key_is_deleted_with_its_lease(store):
     lease = store.call("POST", "/v3/lease/grant", {"TTL": "2"}).json()["ID"]
     put(store, "leased", "v", lease=lease)
     kept = store.call("POST", "/v3/lease/keepalive", {"ID": lease}).json()
@@ -107,11 +107,11 @@
 
 
 @pytest.mark.parametrize("kind", ["refuse", "close", "silent"])
-def test_an_outage_ends_and_left_no_effect(platform, kind):
-    """A user's call of the store fails, or hangs until the caller's own limit.
+def test_a_call_during_an_outage_has_no_effect(platform, kind):
+    """A call that failed during an outage would take effect all the same.
 
-    The store goes away, the call comes, the store comes back. The controls have to
-    answer all the while, or no test could end the outage.
+    The call fails, or hangs until the caller's timeout. Control calls have to work
+    during the outage, or no test could end it.
     """
     client = Client(platform.store, timedelta(seconds=0.3))
     platform.set_faults(store={"outage": kind})
@@ -126,10 +126,11 @@
     assert value(client, f"outage-{kind}") is None
 
 
-def test_an_answer_is_lost_after_the_write_took_effect(platform, store):
-    """A writer sees its connection close and cannot tell what became of its write.
+def test_a_response_is_dropped_after_the_write_took_effect(platform, store):
+    """A write whose response is dropped would have no effect, or others be dropped.
 
-    The write takes effect, then its answer is lost. Only reading back shows it.
+    The connection closes without a response, so only reading the key back shows that
+    the write took effect.
     """
     platform.set_faults(store={"drop_writes": 1, "drop_key_prefix": "lost/"})
     assert put(store, "other", "v").status == 200
@@ -139,10 +140,11 @@
     assert put(store, "lost/key", "w").status == 200
 
 
-def test_an_answer_never_comes_after_the_write_took_effect(platform):
-    """A writer waits until its own limit and cannot tell what became of its write.
+def test_a_response_is_withheld_after_the_write_took_effect(platform):
+    """A write whose response is withheld would have no effect.
 
-    The write takes effect, then the path back is lost while the socket stays open.
+    The connection stays open without a response, so the writer waits until its own
+    timeout.
     """
     client = Client(platform.store, timedelta(seconds=0.3))
     platform.set_faults(
@@ -154,11 +156,11 @@
     assert value(client, "lost/silently") == "v"
 
 
-def test_a_deaf_watch_never_hears_again_but_a_new_one_does(platform, store):
-    """An entry keeps an old text for ever, though its watch looks open.
+def test_a_stalled_watch_stays_stalled_but_a_new_one_delivers(platform, store):
+    """A stalled watch would deliver events again once the fault is cleared.
 
-    The watch is open, something between the ends forgets it, a write comes, and
-    the path heals. A watch opened after that delivers what was missed.
+    This is how an entry keeps an old text forever although its watch is open. A watch
+    that is opened after the fault delivers the missed events.
     """
     answer = watch(store, "deaf")
     lines = iter(answer)
@@ -176,8 +178,8 @@
     assert json.loads(next(lines))["result"]["events"][0]["kv"]["value"] == encode("2")
 
 
-def test_an_outage_cuts_open_watches(platform, store):
-    """A watch ends with a broken connection when the store goes down."""
+def test_an_outage_closes_open_watches(platform, store):
+    """A watch would stay open although the store is down."""
     lines = iter(watch(store, "cut"))
     next(lines)
     platform.set_faults(store={"outage": "close"})
@@ -185,18 +187,19 @@
         next(lines)
 
 
-def test_the_store_can_be_slow(platform, store):
+def test_the_store_can_be_delayed(platform, store):
     platform.set_faults(store={"delay_ms": 200})
     started = time.monotonic()
     assert put(store, "slow", "v").status == 200
     assert time.monotonic() - started >= 0.2
 
 
-def test_open_connections_go_silent_while_new_ones_work(platform: PlatformProcess):
-    """A pooled connection hangs though the store is well.
+def test_open_connections_stop_responding_while_new_ones_work(
+    platform: PlatformProcess,
+):
+    """A pooled connection hangs although the store is available.
 
-    The connection is opened and used, something between the ends loses track of
-    it, and only a fresh connection gets an answer.
+    After the fault, the used connection gets no response, and a new one does.
     """
     old = Client(platform.store, timedelta(seconds=0.3))
     put(old, "silence", "1")
--- a/tests/standins/test_processes.py
+++ b/tests/standins/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests of starting and ending processes."""
+"""Tests of starting and stopping processes."""
 
 import os
 import subprocess
@@ -24,18 +24,18 @@
     return True
 
 
-def test_a_port_is_given_to_one_process_only():
-    """Guards against two runs at once whose processes are to listen at one port."""
+def test_a_port_is_reserved_by_one_process_only():
+    """Guards against concurrent test runs that choose the same port."""
     own, other = free_port(), 11_987
     code = (
         "from standins import processes;"
         f"processes.PORTS = [{own}] * 99 + [{other}];"
         "print(processes.free_port())"
     )
-    told = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     )
-    assert int(told.stdout) == other
+    assert int(result.stdout) == other
 
 
 def test_a_process_ends_with_its_block():
@@ -46,7 +46,7 @@
     assert not is_alive(pid)
 
 
-def test_a_killed_process_answers_nobody():
+def test_a_killed_process_does_not_respond():
     with ServiceProcess("service-1") as service:
         service.kill()
         with pytest.raises(HTTPError):
@@ -65,6 +65,6 @@
         assert service._process.wait(5) == 0
 
 
-def test_a_process_that_says_nothing_is_given_up():
+def test_a_process_that_ends_without_output_is_an_error():
     with ManagedProcess(["keyword"]) as process, pytest.raises(ProcessError):
         process.read_line()
--- a/tests/standins/test_store.py
+++ b/tests/standins/test_store.py
@@ -35,7 +35,7 @@
     assert (found.create_revision, found.mod_revision, found.version) == (2, 3, 2)
 
 
-def test_a_key_that_comes_back_starts_a_new_life(store):
+def test_a_recreated_key_gets_new_revisions_and_versions(store):
     put(store, b"a")
     store.transact(lambda txn: txn.delete(KeyRange(b"a")))
     put(store, b"a")
@@ -47,7 +47,7 @@
     ("end", "found"),
     [(b"", [b"b"]), (b"c", [b"b", b"bb"]), (FROM_KEY, [b"b", b"bb", b"c"])],
 )
-def test_a_range_ends_before_its_end(store, end, found):
+def test_a_range_excludes_its_end(store, end, found):
     for key in (b"c", b"bb", b"b", b"a"):
         put(store, key)
     assert [stored.key for stored in store.range(KeyRange(b"b", end))] == found
@@ -66,7 +66,7 @@
     assert not store.range(KeyRange(b"a"))
 
 
-def test_a_lapsed_lease_deletes_its_keys(store, clock):
+def test_an_expired_lease_deletes_its_keys(store, clock):
     lease = store.grant(timedelta(seconds=5))
     put(store, b"a", lease=lease.lease_id)
     clock.advance(timedelta(seconds=4))
@@ -81,7 +81,7 @@
         store.keep_alive(lease.lease_id)
 
 
-def test_a_key_written_without_its_lease_outlives_it(store):
+def test_a_key_rewritten_without_its_lease_outlives_the_lease(store):
     lease = store.grant(timedelta(seconds=5))
     put(store, b"a", lease=lease.lease_id)
     put(store, b"a")
@@ -89,7 +89,7 @@
     assert store.range(KeyRange(b"a"))
 
 
-def test_a_watch_replays_then_follows(store):
+def test_a_watch_replays_history_then_delivers_changes(store):
     put(store, b"a", b"1")
     put(store, b"b", b"2")
     watch = store.watch(KeyRange(b"a"), start_revision=2)
