--- a/standins/cloud.py
+++ b/standins/cloud.py
@@ -60,7 +60,7 @@
             Route("GET", "/standin/instances", self._list_without_lag),
             Route("POST", "/standin/instances", self._register),
             Route("DELETE", "/standin/instances/{name}", self._remove),
-            Route("POST", "/standin/notices", self._give_notice),
+            Route("POST", "/standin/notices", self._send_notice),
             Route("POST", "/standin/prices", self._set_prices),
             Route("POST", "/standin/zones/{zone}", self._change_zone),
             Route("GET", "/standin/starts", self._list_starts),
@@ -148,16 +148,16 @@
             self._waiters.discard(inbox)
         return True
 
-    def _give_notice(self, request: Request) -> Response:
+    def _send_notice(self, request: Request) -> Response:
         body = request.json()
         seconds = timedelta(seconds=float(body.get("seconds", 30)))
         names = [body["instance"]] if "instance" in body else []
         if "availability_zone" in body:
             names.extend(self._reclaimable_in(body["availability_zone"]))
-        given = []
+        notices = []
         for _ in range(int(body.get("times", 1))):
-            given.extend(self._notify(names, seconds))
-        return Response({"notices": given}, status=201)
+            notices.extend(self._notify(names, seconds))
+        return Response({"notices": notices}, status=201)
 
     def _reclaimable_in(self, zone: str) -> list[str]:
         return [
@@ -168,7 +168,7 @@
 
     def _notify(self, names: list[str], limit: timedelta) -> list[dict[str, Any]]:
         leaves_at = (self._clock.now() + limit).isoformat()
-        given = []
+        notices = []
         for name in names:
             notice = {
                 "sequence": len(self._notices) + 1,
@@ -176,13 +176,13 @@
                 "leaves_at": leaves_at,
             }
             self._notices.append(notice)
-            given.append(notice)
+            notices.append(notice)
             if name in self._instances:
                 self._instances[name] = {**self._instances[name], "state": "leaving"}
         self._record_snapshot()
         for inbox in list(self._waiters):
             inbox.put(None)
-        return given
+        return notices
 
     def _change_zone(self, request: Request, zone: str) -> Response:
         body = request.json()
