--- a/tests/guarantees/test_leases.py
+++ b/tests/guarantees/test_leases.py
@@ -1,7 +1,7 @@
-"""A duty has one holder, and orders of a former one do no lasting harm.
+"""A duty has one holder, and orders of a former holder have no lasting effect.
 
 Two entries, one engine that checks fencing numbers, one that doesn't, and plain
-services. The tests follow each other: who has the capacity duty passes on.
+services. The tests depend on their order: the capacity duty's holder changes.
 """
 
 import time
@@ -24,27 +24,27 @@
     ],
     zones=("zone-a", "zone-b"),
 )
-# A lease of 9 s runs out, is found by another, which waits out as long again.
+# A lease of 9 s expires; the entry that takes it over waits for 9 s more.
 TAKEOVER = timedelta(seconds=30)
 FIRST_HOLDER = timedelta(seconds=20)
-ORDERED = timedelta(seconds=8)
-REPAIRED = timedelta(seconds=6)
-STORE_OUT = timedelta(seconds=2)
-AFTER_THAW = timedelta(seconds=6)
+ORDER_LIMIT = timedelta(seconds=8)
+REPAIR_LIMIT = timedelta(seconds=6)
+OUTAGE = timedelta(seconds=2)
+OBSERVATION = timedelta(seconds=6)
 LOST_KEEP_ALIVES = 2
 POLL = 0.05  # seconds
 
 
 @pytest.fixture(scope="module")
 def fleet():
-    """Start two entries and wait until one of them has the duty."""
+    """Start two entries and wait until one of them holds the duty."""
     with Fleet(TEXT, entries=2) as fleet:
         wait_until(lambda: _holders(fleet), FIRST_HOLDER)
         yield fleet
 
 
 def _duty(entry):
-    """Return the state of an entry's lease, or nothing if it doesn't answer."""
+    """Return the state of an entry's lease, or "" if the entry doesn't respond."""
     try:
         status = entry.client.call("GET", "/admin/v1/status").json()
     except urllib3.exceptions.HTTPError:
@@ -65,7 +65,7 @@
 
 
 def _order(engine, number, value):
-    """Give an order as a former holder would, and return the answer."""
+    """Send an order to an engine as a former holder would; return the response."""
     order = {"fencing_number": number, "kind": "load_model", "value": value}
     return engine.client.call("POST", "/v1/orders", order)
 
@@ -77,24 +77,29 @@
 
 
 def test_one_entry_holds_the_duty_and_orders_models(fleet):
-    """Engines would stay without their model, or two entries would order them."""
+    """Engines would load no model, or get orders from two entries.
+
+    Both entries compete for the lease when they start.
+    """
     fenced, unfenced = _engines(fleet)
-    wait_until(lambda: _orders(fenced)["state"] == {"load_model": "fenced"}, ORDERED)
     wait_until(
-        lambda: _orders(unfenced)["state"] == {"load_model": "unfenced"}, ORDERED
+        lambda: _orders(fenced)["state"] == {"load_model": "fenced"}, ORDER_LIMIT
+    )
+    wait_until(
+        lambda: _orders(unfenced)["state"] == {"load_model": "unfenced"}, ORDER_LIMIT
     )
     assert len(_holders(fleet)) == 1
     assert _starts(fleet) == []
 
 
-def test_holder_paused_past_its_lease_does_not_act_after_it(fleet):
-    """Two entries would start instances for one need, and order engines in turn.
+def test_holder_paused_past_its_lease_does_not_act(fleet):
+    """Two entries would each start an instance for one need, and both order engines.
 
-    The holder is stopped. An endpoint fails meanwhile, so an instance is wanted.
-    The other entry takes over and starts one. The first is let go on and still
-    believes in its lease. The store is silent at that moment, so only the time
-    that has passed can tell it. Never do two entries hold the duty, and one start
-    is ordered.
+    The holder is paused. An endpoint fails meanwhile, so an instance is needed; the
+    other entry takes over and starts one. The paused entry resumes and still believes
+    in its lease. The store does not respond at that moment, so only its clock shows
+    that the lease has expired. At no time may two entries hold the duty, and only one
+    start may be ordered.
     """
     fenced, _ = _engines(fleet)
     before = _orders(fenced)["fencing_number"]
@@ -104,15 +109,15 @@
     try:
         fleet.take("records-2")
         wait_until(lambda: _holders(fleet, [other]), TAKEOVER)
-        wait_until(lambda: _starts(fleet), ORDERED)
+        wait_until(lambda: _starts(fleet), ORDER_LIMIT)
         after = _orders(fenced)["fencing_number"]
         fleet.platform.set_faults(store={"outage": "silent"})
     finally:
         paused.thaw()
-    for _ in _polls(STORE_OUT):
+    for _ in _polls(OUTAGE):
         assert _duty(paused) in ("seeking", "")
     fleet.platform.set_faults(store={"outage": None})
-    for _ in _polls(AFTER_THAW):
+    for _ in _polls(OBSERVATION):
         assert len(_holders(fleet)) <= 1
     assert after > before
     assert _orders(fenced)["fencing_number"] >= after
@@ -128,12 +133,13 @@
         time.sleep(POLL)
 
 
-def test_old_order_is_refused_by_an_engine_that_checks(fleet):
-    """An engine would load what a former holder wanted.
+def test_stale_order_is_refused_by_an_engine_that_checks_fencing(fleet):
+    """An engine would load the model that a former holder ordered.
 
-    An order that a former holder sent before its pause arrives after it. The new
-    holder gave each engine that checks an order of its own number at once, also
-    where the state was right already, so the engine refuses the old number.
+    An order that the former holder sent before its pause arrives after it. The new
+    holder sent every engine that checks fencing an order with its own number right
+    away, even if the engine's state was already correct, so that the engine refuses
+    lower numbers.
     """
     fenced, _ = _engines(fleet)
     number = _orders(fenced)["fencing_number"]
@@ -141,25 +147,25 @@
     assert _orders(fenced)["state"] == {"load_model": "fenced"}
 
 
-def test_old_order_is_repaired_on_an_engine_that_does_not_check(fleet):
-    """An engine would keep what a former holder wanted, for good.
+def test_stale_order_is_repaired_on_an_engine_without_fencing(fleet):
+    """An engine would permanently keep the model that a former holder ordered.
 
-    The engine ignores fencing numbers and takes the late order. The holder reads
-    every engine back in each round and repairs it.
+    The engine ignores fencing numbers and carries out the late order. The holder
+    reads every engine's state in each round and corrects it.
     """
     _, unfenced = _engines(fleet)
     wait_until(lambda: _holders(fleet), TAKEOVER)
     assert _order(unfenced, 1, "old").status == 200
     wait_until(
-        lambda: _orders(unfenced)["state"] == {"load_model": "unfenced"}, REPAIRED
+        lambda: _orders(unfenced)["state"] == {"load_model": "unfenced"}, REPAIR_LIMIT
     )
 
 
-def test_lost_answers_to_keep_alives_do_not_cost_the_duty(fleet):
-    """The duty would move, and nobody would act for as long as a lease lasts.
+def test_lost_keep_alive_responses_do_not_lose_the_duty(fleet):
+    """The duty would change hands, with no holder for the length of a lease.
 
-    The store keeps the lease alive twice and both answers are lost. The holder has
-    to ask again soon, not a third of a lease later each time.
+    The store renews the lease twice and both responses are lost. The holder must
+    retry soon, not after a third of the lease each time.
     """
     (holder,) = wait_until(lambda: _holders(fleet), TAKEOVER)
     fleet.platform.set_faults(
@@ -169,11 +175,11 @@
         assert _duty(holder) == "holding"
 
 
-def test_holder_that_stops_gives_the_duty_to_another_at_once(fleet):
-    """A planned stop of the holder would leave the fleet unplanned for a while.
+def test_holder_that_shuts_down_releases_the_duty_at_once(fleet):
+    """Capacity would not be managed for a while after a planned stop of the holder.
 
-    The holder is told to stop and releases its lease, so that the other finds it
-    free at its next look, well before it would have run out.
+    The holder gets SIGTERM and releases its lease, so that the other entry finds it
+    free at its next attempt, well before the lease would have expired.
     """
     (leaving,) = wait_until(lambda: _holders(fleet), TAKEOVER)
     (other,) = [entry for entry in fleet.entries if entry is not leaving]
--- a/tests/guarantees/test_leaving.py
+++ b/tests/guarantees/test_leaving.py
@@ -1,4 +1,4 @@
-"""Endpoints that are about to leave get no new work."""
+"""Endpoints under notice of reclaim get no new requests."""
 
 from datetime import timedelta
 
@@ -10,11 +10,12 @@
 
 
 def test_no_entry_sends_to_endpoints_after_their_notice():
-    """A caller waits for an endpoint that is gone a moment later.
+    """A caller's request would be sent to an endpoint that is about to disappear.
 
-    Nine entries send lookups and prompts as fast as they can. The platform's list
-    shows changes 10 s late and the store is out, so only the notices tell. One
-    engine and one service leave, then a second of each.
+    Nine entries send lookups and prompts as fast as they can. The platform's instance
+    list lags by 10 s and the store is unavailable, so entries learn of the reclaim
+    from the notices only. One engine and one service are reclaimed, then a second of
+    each.
     """
     times, failed = run_round(BETWEEN_SECONDS)
     assert failed == []
--- a/tests/guarantees/test_membership.py
+++ b/tests/guarantees/test_membership.py
@@ -1,7 +1,7 @@
-"""Entries know which entries live, and none comes back with an old text.
+"""Entries detect dead peers, and a returning entry brings back no old text.
 
-Four entries under observation; one of them is killed, stopped, or cut off in one
-direction by a stand-in peer that sends and does not answer.
+Four observed entries; one of them is killed or paused, or a stand-in peer simulates a
+network that is cut in one direction.
 """
 
 import time
@@ -23,15 +23,15 @@
 from tests.peers.processes import PeerProcess
 
 DETECTION = timedelta(seconds=8)
-STEADY = timedelta(seconds=3)
-NEVER_GIVEN = 10_000
-RETURN = timedelta(seconds=5)
-"""Time in which a thawed entry is alive to all, with the newest text."""
+OBSERVATION = timedelta(seconds=3)
+NONEXISTENT_REVISION = 10_000
+RETURN_LIMIT = timedelta(seconds=5)
+"""Time in which all peers see a thawed entry as alive, with the newest text."""
 
 
 @pytest.fixture(scope="module")
 def deployment():
-    """Start four entries under observation."""
+    """Start four entries and their observer."""
     with Fleet(TEXT, entries=4) as fleet, RevisionObserver(fleet.entries) as observer:
         observer.wait_for(1, IN_FORCE_LIMIT)
         yield fleet, observer
@@ -39,7 +39,10 @@
 
 @pytest.fixture
 def fleet(deployment):
-    """Give the fleet with all entries alive; check that no entry steps back."""
+    """Return the fleet with all entries alive.
+
+    Afterwards check that no entry went back to an older revision.
+    """
     fleet, observer = deployment
     names = [entry.name for entry in fleet.entries]
     for name in names:
@@ -53,12 +56,12 @@
 
 @pytest.fixture
 def observer(deployment):
-    """Give the observer of the fleet's entries."""
+    """Return the observer of the fleet's entries."""
     return deployment[1]
 
 
 def _seen(entry):
-    """Return the states of an entry's peers, as it sees them."""
+    """Return the states of an entry's peers as reported by the entry."""
     status = entry.client.call("GET", "/admin/v1/status").json()
     return {peer["name"]: peer["state"] for peer in status["peers"]}
 
@@ -68,13 +71,13 @@
     return all(_seen(entry).get(name) in states for entry in others)
 
 
-def test_stopped_entry_is_dead_and_comes_back_with_the_newest_text(fleet, observer):
-    """A thawed entry would be shunned for good, or bring an old text back.
+def test_frozen_entry_is_dead_and_returns_with_the_newest_text(fleet, observer):
+    """A thawed entry would be considered dead forever, or bring an old text back.
 
-    One entry is stopped; the others find it dead, and an edit is accepted, after
-    which the store goes out. It is let go on with the old text and with a
-    membership in which it is dead. It must refute that, take the text from a peer
-    and serve again; the others keep the newer text.
+    One entry is frozen; the others declare it dead, an edit is accepted, and then the
+    store becomes unavailable. The entry thaws with the old text, and the other members
+    consider it dead. It must refute that, fetch the text from a peer and serve again;
+    the others keep the newer text.
     """
     victim = fleet.entries[3]
     others = fleet.entries[:3]
@@ -88,8 +91,8 @@
         fleet.platform.set_faults(store={"outage": "silent"})
     finally:
         victim.thaw()
-    observer.wait_for(base + 1, RETURN)
-    wait_until(lambda: _all_see(fleet, victim.name, "alive"), RETURN)
+    observer.wait_for(base + 1, RETURN_LIMIT)
+    wait_until(lambda: _all_see(fleet, victim.name, "alive"), RETURN_LIMIT)
     assert victim.client.call("GET", "/health/ready").status == 200
     found = victim.client.call(
         "GET", "/v1/services/records/lookups/7", None, {"X-Customer": "cube-labs"}
@@ -98,11 +101,11 @@
     assert {revision_of(entry) for entry in fleet.entries} == {base + 1}
 
 
-def test_killed_entry_is_dead_and_starts_again_under_its_name(fleet, observer):
-    """Hand-overs would go to a dead entry, or its successor would stay dead.
+def test_killed_entry_is_dead_and_restarts_under_its_name(fleet, observer):
+    """Hand-overs would go to a dead entry, or its successor be considered dead.
 
-    An entry is killed while the platform's list goes on naming it. The others
-    find it dead. A process starts again under the name, at other addresses.
+    An entry is killed while the platform still lists it. The others declare it dead.
+    A new process starts under the same name at other addresses.
     """
     victim = fleet.entries[2]
     victim.kill()
@@ -117,14 +120,14 @@
 
 @pytest.fixture
 def mute_peer(fleet):
-    """Start a peer that sends to every entry and answers none of them."""
+    """Start a peer that sends to every entry and responds to none of them."""
     with _peer_beside(fleet, "entry-8", {"mute": True}) as peer:
         yield peer
 
 
 @pytest.fixture
 def answering_peer(fleet):
-    """Start a peer that answers every entry and can send to none of them."""
+    """Start a peer that responds to every entry and can send to none of them."""
     cut = [entry.peer_address for entry in fleet.entries]
     with _peer_beside(fleet, "entry-9", {"cut": cut}) as peer:
         yield peer
@@ -132,7 +135,7 @@
 
 @contextmanager
 def _peer_beside(fleet, name, command):
-    """Start a stand-in peer, list it, and introduce the entries to it."""
+    """Start a stand-in peer, register it, and give it the entries' addresses."""
     peer = PeerProcess(int(name.removeprefix("entry-")))
     try:
         peer.tell(**command)
@@ -152,14 +155,14 @@
         fleet.platform.remove(name)
 
 
-def test_peer_that_sends_and_does_not_answer_stays_dead(fleet, mute_peer):
-    """A peer that nobody reaches would flap, and be chosen for hand-overs.
+def test_peer_that_sends_but_does_not_respond_stays_dead(fleet, mute_peer):
+    """An unreachable peer would flap between states and be chosen for hand-overs.
 
-    Its messages arrive at every entry; no call to it is answered. Each entry must
-    find it dead and never alive again, however often it is heard.
+    Its messages arrive at every entry, but it responds to no call. Each entry must
+    declare it dead and never alive again, however many messages it receives.
     """
     wait_until(lambda: _all_see(fleet, mute_peer.name, "dead"), DETECTION)
-    ended = time.monotonic() + STEADY.total_seconds()
+    ended = time.monotonic() + OBSERVATION.total_seconds()
     while time.monotonic() < ended:
         for entry in fleet.entries:
             assert _seen(entry)[mute_peer.name] in ("dead", "suspect")
@@ -168,30 +171,29 @@
         assert states == {"alive"}
 
 
-def test_peer_that_answers_and_can_not_send_stays_alive(fleet, answering_peer):
-    """A peer that serves would be written off since nothing comes from it.
+def test_peer_that_responds_but_can_not_send_stays_alive(fleet, answering_peer):
+    """A working peer would be declared dead because none of its messages arrive.
 
-    The network is cut in the other direction: what it sends reaches nobody, and it
-    answers every call. The others probe it, so that each sees it alive.
+    The network is cut in the other direction: its messages reach no entry, but it
+    responds to every call. The entries probe it, so each one must see it alive.
     """
     name = answering_peer.name
     wait_until(lambda: _all_see(fleet, name, "alive"), DETECTION)
-    ended = time.monotonic() + STEADY.total_seconds()
+    ended = time.monotonic() + OBSERVATION.total_seconds()
     while time.monotonic() < ended:
         assert _all_see(fleet, name, "alive")
 
 
-def test_newer_text_of_an_unreachable_peer_does_not_keep_others_out(
+def test_newer_text_of_an_unreachable_peer_does_not_delay_edits(
     fleet, observer, mute_peer
 ):
-    """An edit would take more than 5 s, since an entry waits for the wrong peer.
+    """An edit would take more than 5 s because entries wait for an unreachable peer.
 
-    A peer says in all its messages that it holds a newer text, and a call to it
-    is never answered, as when the network is cut in one direction. Watches are
-    deaf and the store goes out. An edit that the other peers offer meanwhile must
-    be taken from them at once.
+    A peer announces a newer text in all its messages but responds to no call, as when
+    the network is cut in one direction. Watches have stalled and the store is
+    unavailable. Entries must fetch an edit that other peers offer from these at once.
     """
-    mute_peer.tell(claim=NEVER_GIVEN)
+    mute_peer.tell(claim=NONEXISTENT_REVISION)
     for number in range(3):
         base = revision_of(fleet.entries[0])
         fleet.platform.set_faults(store={"deaf_watches": True, "outage": None})
