--- a/tests/guarantees/test_reclaims.py
+++ b/tests/guarantees/test_reclaims.py
@@ -1,4 +1,4 @@
-"""Accepted requests survive the reclaim of their endpoints."""
+"""Accepted requests complete although their endpoints are reclaimed."""
 
 import time
 
@@ -16,11 +16,11 @@
 STREAMS = 12
 
 
-def test_streams_that_fit_the_notice_are_waited_out():
-    """A caller's stream is moved although it would have ended by itself.
+def test_streams_that_end_within_the_notice_are_not_moved():
+    """A caller's stream is moved although it would have completed in time.
 
-    The engine gets 10 s of notice, its streams need 2 s. Moving them costs the
-    callers a pause and the other engines room, for nothing.
+    The engine gets 10 s of notice, its streams need 2 s. Moving them would delay the
+    callers and load the other engines needlessly.
     """
     with start_fleet(step_ms=20) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
@@ -31,11 +31,11 @@
         assert recomputed(fleet) == 0
 
 
-def test_streams_that_do_not_fit_move_with_their_cache():
-    """A caller's stream stops in the middle when its engine is taken.
+def test_streams_longer_than_the_notice_move_with_their_cache():
+    """A caller's stream breaks off when its engine is reclaimed.
 
-    The engine gets 5 s of notice, its streams need 6 s. It exports each KV
-    cache, another engine fetches it and goes on, and no token is computed twice.
+    The engine gets 5 s of notice, its streams need 6 s. It exports each KV cache,
+    another engine fetches it and continues, and no token is computed twice.
     """
     with start_fleet(step_ms=60) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
@@ -45,11 +45,11 @@
         assert recomputed(fleet) == 0
 
 
-def test_streams_whose_export_is_refused_are_computed_again():
-    """A caller's stream stops when its engine refuses to export and is taken.
+def test_streams_whose_export_fails_are_recomputed():
+    """A caller's stream breaks off when its engine is reclaimed without an export.
 
-    The engine answers each control call with an error, so neither export nor
-    cancel works. The tokens so far are computed again on another engine.
+    The engine responds to every control call with an error, so neither export nor
+    cancel works. The tokens so far are recomputed on another engine.
     """
     with start_fleet(step_ms=60) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
@@ -61,11 +61,11 @@
         assert recomputed(fleet) > 0
 
 
-def test_streams_of_a_killed_engine_are_computed_again():
-    """A caller's stream stops when its engine dies with no notice.
+def test_streams_of_a_killed_engine_are_recomputed():
+    """A caller's stream breaks off when its engine dies without notice.
 
-    The connection breaks, the engine can't be reached any more, so another one
-    computes prompt and tokens again and goes on after the last event.
+    The connection breaks and the engine is unreachable, so another one recomputes the
+    prompt and the tokens so far and continues after the last event.
     """
     with start_fleet(step_ms=30) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
@@ -75,12 +75,12 @@
         assert recomputed(fleet) > 0
 
 
-def test_two_zones_are_reclaimed_after_each_other():
-    """Callers lose their streams when two of three zones go within seconds.
+def test_two_zones_reclaimed_in_succession_lose_no_stream():
+    """Callers lose their streams when two of three zones are reclaimed within seconds.
 
-    Each zone has an entry and an engine. The first zone's streams and requests
-    move to the second, whose notice comes while the first is leaving, and then
-    to the third. Entries hand over to entries that leave next.
+    Each zone has an entry and an engine. Streams and requests of the first zone move
+    to the second, which gets its notice before the first is gone, and then to the
+    third. Entries hand over to entries that are reclaimed next.
     """
     with start_fleet(step_ms=60) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         crowd.stream(2 * STREAMS, tokens=150)
