--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -179,14 +179,14 @@
 
     def _start_endpoints(self) -> None:
         for service in self._text.services.values():
-            self.endpoints.extend(self._endpoints_of(service))
+            self.endpoints.extend(self._new_endpoints(service))
         for endpoint in self.endpoints:
             self._launch(endpoint)
         for endpoint in self.endpoints:
             endpoint.wait_until_ready()
             self.platform.register(endpoint)
 
-    def _endpoints_of(self, service: Service) -> Iterator[EndpointProcess]:
+    def _new_endpoints(self, service: Service) -> Iterator[EndpointProcess]:
         number = 0
         for pool in service.pools:
             for zone in islice(cycle(pool.availability_zones), pool.count):
--- a/tests/guarantees/test_soak.py
+++ b/tests/guarantees/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks, and that a soak finds a guard that is missing."""
+"""Short soak tests, and checks that a soak test detects a disabled safeguard."""
 
 from datetime import timedelta
 
@@ -18,7 +18,7 @@
 from bench.soak.unguarded import PROGRAM, Guard
 
 SECOND = timedelta(seconds=1)
-# Endpoints of a soak that are plain services.
+# Indices of the endpoints that are plain services.
 RECORDS = (0, 3, 6)
 
 
@@ -26,8 +26,8 @@
     return SoakPlan(0, 3, 8, 10 * SECOND, steps)
 
 
-# At one endpoint after the other, runs whose answers are lost gather and are then cut
-# off all at once; what is sent again finds the others sound.
+# At one endpoint after the other, responses are lost for half a second, then all its
+# connections are reset at once; retries find the other endpoints healthy.
 CUTS = plan_of(
     *(
         Step(second * SECOND + at, EndpointLink(RECORDS[second % 3], harm, lasts))
@@ -38,7 +38,7 @@
         )
     )
 )
-# Each is away for longer than a lease lasts, and the next holder reports meanwhile.
+# Each gateway is down for longer than a lease, and the next holder reports meanwhile.
 HANDOVERS = plan_of(
     *(Step((1 + 5 * turn) * SECOND, Kill(turn % 3, 3 * SECOND)) for turn in range(4))
 )
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_short_soak_breaks_no_promise(seed):
+def test_a_short_soak_violates_no_guarantee(seed):
     verdict = Soak(draw_plan(seed, 10 * SECOND)).play()
     assert verdict.violations == ()
     assert verdict.served >= verdict.attempts / 4
@@ -67,12 +67,16 @@
         (Guard.QUARANTINE, CRASHES, "crashing requests"),
     ],
 )
-def test_a_soak_finds_a_guard_that_is_missing(guard, plan, promise):
-    """Guards against a soak that would pass whatever the gateways do."""
+def test_a_soak_detects_a_disabled_safeguard(guard, plan, promise):
+    """Guards against a soak test that passes whatever the gateways do.
+
+    Each run starts gateways with one safeguard disabled; the soak test must report
+    the violated guarantee.
+    """
     verdict = Soak(plan, ("-m", PROGRAM, str(guard))).play()
     assert promise in {each.promise for each in verdict.violations}
 
 
-def test_a_seed_draws_the_same_plan_again():
+def test_a_seed_reproduces_its_plan():
     assert draw_plan(7, 20 * SECOND) == draw_plan(7, 20 * SECOND)
     assert draw_plan(7, 20 * SECOND) != draw_plan(8, 20 * SECOND)
--- a/tests/guarantees/test_store_silence.py
+++ b/tests/guarantees/test_store_silence.py
@@ -1,4 +1,4 @@
-"""The store's connections go silent: open, and never answered again."""
+"""Connections to the store, or the store itself, stop responding but stay open."""
 
 import threading
 import time
@@ -24,9 +24,9 @@
 )
 CUSTOMER = {"X-Customer": "cube-labs"}
 RECOVERY = timedelta(seconds=5)
-# Three calls in a row have to time out, one second each.
+# Three consecutive calls have to time out, one second each.
 DETECTION = timedelta(seconds=4)
-AT_ONCE = 0.3  # seconds
+FAST_RESPONSE = 0.3  # seconds
 CLAIM_LIMIT = 3.0  # seconds
 CALL_PAUSE = 0.05  # seconds
 OUTAGE = 4.0  # seconds
@@ -34,7 +34,7 @@
 
 @pytest.fixture(scope="module")
 def deployment():
-    """Start three entries beside one engine and one plain service."""
+    """Start three entries, one engine and one plain service."""
     with Fleet(TEXT, entries=3) as fleet, RevisionObserver(fleet.entries) as observer:
         observer.wait_for(1, IN_FORCE_LIMIT)
         yield fleet, observer
@@ -42,7 +42,7 @@
 
 @pytest.fixture
 def fleet(deployment):
-    """Give the fleet without faults."""
+    """Return the fleet; afterwards clear its faults and check the revisions."""
     fleet, observer = deployment
     yield fleet
     fleet.platform.set_faults(store={"outage": None})
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def observer(deployment):
-    """Give the observer of the fleet's entries."""
+    """Return the observer of the fleet's entries."""
     return deployment[1]
 
 
@@ -62,7 +62,7 @@
 
 
 def _issue(entry, key=None):
-    """Issue a certificate once; return the answer and how long it took."""
+    """Request a certificate once; return the response and its duration."""
     headers = {**CUSTOMER, "Idempotency-Key": key or uuid4().hex}
     path = "/v1/services/records/certificates"
     return _timed(lambda: entry.client.call("POST", path, {"batch": 7}, headers))
@@ -97,12 +97,12 @@
     ]
 
 
-def test_open_connections_silent(fleet, observer):
-    """Every use of the store would hang on connections that nothing answers.
+def test_unresponsive_connections_are_replaced(fleet, observer):
+    """Every call of the store would hang on connections that no longer respond.
 
-    Something between entry and store has forgotten all open connections; new
-    ones work. Calls on pooled connections time out once, the pool is dropped, and
-    a fresh connection serves. Watches are armed anew within their bound.
+    A middlebox between entry and store has dropped the state of all open connections;
+    new ones work. Calls on pooled connections time out once, the pool is discarded,
+    and a new connection works. Watches are reopened within their bound.
     """
     for entry in fleet.entries:
         assert _issue(entry)[0].status == 201
@@ -119,12 +119,12 @@
     observer.wait_for(base + 1, IN_FORCE_LIMIT)
 
 
-def test_non_idempotent_requests_are_refused_at_once_while_the_store_is_silent(fleet):
-    """Callers would wait out their deadline for a request that can't be claimed.
+def test_non_idempotent_requests_fail_fast_while_the_store_does_not_respond(fleet):
+    """Callers would wait until their deadline for a request that can't be claimed.
 
-    The store takes connections and answers nothing. A claim can't be made, so
-    such requests are refused, "not run", with when to come back: at once, as soon
-    as the entry knows of the silence. Nothing of them may reach the endpoint.
+    The store accepts connections but does not respond. Without a claim the requests
+    are refused as "not-run" with ``Retry-After``, immediately once the entry has
+    detected the outage. None of them may reach the endpoint.
     """
     executed = len(_certificates(fleet))
     fleet.platform.set_faults(store={"outage": "silent"})
@@ -138,20 +138,20 @@
         assert int(answer.headers["Retry-After"]) >= 1
         durations.append(took)
         time.sleep(CALL_PAUSE)
-    known = [took < AT_ONCE for took in durations].index(True)
-    assert sum(durations[:known]) < DETECTION.total_seconds()
-    assert max(durations[known:]) < AT_ONCE
+    detected = [took < FAST_RESPONSE for took in durations].index(True)
+    assert sum(durations[:detected]) < DETECTION.total_seconds()
+    assert max(durations[detected:]) < FAST_RESPONSE
     assert len(_certificates(fleet)) == executed
     fleet.platform.set_faults(store={"outage": None})
     wait_until(lambda: _issue(entry)[0].status == 201, RECOVERY)
     assert len(_certificates(fleet)) == executed + 1
 
 
-def test_lookups_and_generations_go_on_while_the_store_is_silent(fleet):
-    """A pour would wait on a lookup because a store that it doesn't need is gone.
+def test_lookups_and_generations_continue_while_the_store_does_not_respond(fleet):
+    """A caller would wait for a lookup although it doesn't need the store.
 
-    The store is silent while callers look up, generate, and try to issue
-    certificates through the same entry. Only the last of these need the store.
+    The store does not respond while callers look up records, generate text, and
+    request certificates through the same entry. Only certificates need the store.
     """
     entry = fleet.entries[1]
     usual = max(_look_up(entry)[1] for _ in range(20))
@@ -170,8 +170,8 @@
         generations.append(took)
     ended.set()
     issuing.join()
-    assert max(lookups) < AT_ONCE + usual
-    assert max(generations) < 1 + AT_ONCE
+    assert max(lookups) < FAST_RESPONSE + usual
+    assert max(generations) < 1 + FAST_RESPONSE
 
 
 def _issue_until(entry, ended):
@@ -180,11 +180,11 @@
         time.sleep(CALL_PAUSE)
 
 
-def test_text_is_served_and_edits_go_on_after_a_silent_outage(fleet, observer):
-    """Entries would stay deaf to edits after the store has come back.
+def test_edits_take_effect_after_an_unresponsive_store_is_back(fleet, observer):
+    """Entries would miss edits after the store's outage.
 
-    The store is silent for longer than every time-out. Meanwhile each entry goes
-    on serving its text. Afterwards an edit is in force everywhere in 5 s.
+    The store does not respond for longer than every timeout. Meanwhile each entry
+    keeps serving its text. Afterwards an edit takes effect on all entries in 5 s.
     """
     base = revision_of(fleet.entries[0])
     fleet.platform.set_faults(store={"outage": "silent"})
