--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for callers that resume and for the balancer, on one small text."""
+"""Stand-ins for the load balancer and for callers that resume their streams."""
 
 import json
 import random
@@ -66,16 +66,16 @@
 
 
 def start_fleet(*, step_ms: float = 10, entries: int = 3, **options: Any) -> Fleet:
-    """Return a fleet of three zones, to be entered.
+    """Return a fleet over three zones, to be used as a context manager.
 
-    :param step_ms: time between two tokens, however many streams run.
+    :param step_ms: time between two tokens, whatever the number of streams.
     """
     engine = {"step_ms": step_ms, "step_per_stream_ms": 0, "load_lag_ms": 100}
     return Fleet(TEXT, entries=entries, engine_options=engine, **options)
 
 
 class Balancer:
-    """Sends callers to entries whose readiness probe answers 200."""
+    """Load balancer over the entries whose readiness probe returns 200."""
 
     def __init__(self, entries: Sequence[EntryProcess], seed: int = 1) -> None:
         self.entries = list(entries)
@@ -83,7 +83,7 @@
         self._lock = threading.Lock()
 
     def pick(self, avoid: str = "") -> EntryProcess | None:
-        """Return a ready entry, another than ``avoid`` if there is one."""
+        """Return a ready entry, if possible another one than ``avoid``."""
         with self._lock:
             entries = self._rng.sample(self.entries, len(self.entries))
         entries.sort(key=lambda entry: entry.name == avoid)
@@ -110,7 +110,7 @@
     body: Any,
     limit: float = CALL_LIMIT,
 ) -> Iterator[urllib3.BaseHTTPResponse]:
-    """Make a call on a connection of its own."""
+    """Send a request on a new connection and yield the response."""
     host, port = entry.address.split(":")
     pool = urllib3.HTTPConnectionPool(host, int(port), retries=False, timeout=limit)
     response = None
@@ -138,7 +138,7 @@
     limit: float = CALL_LIMIT,
     **headers: str,
 ) -> Response:
-    """Make a whole call on a connection of its own."""
+    """Send a request on a new connection and return the whole response."""
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     with _open(
         entry, method, path, {"X-Customer": CUSTOMER, **named}, body, limit
@@ -148,7 +148,7 @@
 
 @dataclass
 class Stream:
-    """One caller's streamed request, and everything that it was sent."""
+    """One caller's streamed request, and everything that the caller received."""
 
     request_id: str
     prompt: str
@@ -158,9 +158,9 @@
     failures: list[str] = field(default_factory=list)
     duplicates: int = 0
     moved: int = 0
-    broken: int = 0
+    broken_connections: int = 0
     errors: list[str] = field(default_factory=list)
-    told: list[str] = field(default_factory=list)
+    refusals: list[str] = field(default_factory=list)
     resumed: int = 0
     restarted: int = 0
     entry: str = ""
@@ -169,12 +169,12 @@
 
     @property
     def messages(self) -> list[dict[str, str]]:
-        """The prompt as it is sent."""
+        """The messages of the request."""
         return [{"role": "user", "content": self.prompt}]
 
     @property
     def reference(self) -> str:
-        """The text that it must end with."""
+        """The text that the whole stream must have."""
         return reference_text(MODEL, self.messages, self.max_tokens)
 
     @property
@@ -190,7 +190,7 @@
         return max(self.events, default=0)
 
     def take(self, position: int, data: str) -> None:
-        """Take an event; one that came before must be the same again."""
+        """Record an event; a repeated one must have the same content."""
         now = time.monotonic()
         if self._taken_at:
             self.longest_pause = max(self.longest_pause, now - self._taken_at)
@@ -205,12 +205,12 @@
         self.whole = self.whole or data == DONE
 
     def restart(self) -> None:
-        """Forget the events: the request is asked anew."""
+        """Discard the events, as the request is sent again."""
         self.restarted += 1
         self.events.clear()
 
     def faults(self) -> list[str]:
-        """Return everything that is wrong with the answer."""
+        """Return all faults of the received stream."""
         found = list(self.failures)
         if not self.whole:
             found.append(f"not whole: {self.last} events, {self.errors[-2:]}")
@@ -232,12 +232,12 @@
 
 
 @dataclass(frozen=True)
-class Habit:
-    """How a caller reads.
+class ReadPattern:
+    """How a caller reads its stream.
 
-    :param drop_every: it drops its connection after so many events; 0 for never.
-    :param step_back: it then resumes this many events earlier.
-    :param pause: it pauses so long after each event.
+    :param drop_every: events after which it drops its connection; 0 for never.
+    :param step_back: number of received events that it requests again on resuming.
+    :param pause: pause in seconds after each event.
     """
 
     drop_every: int = 0
@@ -245,31 +245,31 @@
     pause: float = 0.0
 
 
-class StreamCaller:
-    """Asks for a stream and resumes it until it has the whole.
+class StreamReader:
+    """Requests a stream and resumes it until it is complete.
 
-    :param balancer: gives an entry for each connection.
+    :param balancer: selects an entry for each connection.
     :param limit: seconds after which it gives up.
-    :param resume: whether the request was accepted before.
+    :param resume: whether the request was already accepted.
     """
 
     def __init__(
         self,
         balancer: Balancer,
         stream: Stream,
-        habit: Habit | None = None,
+        pattern: ReadPattern | None = None,
         limit: float = CALL_LIMIT,
         *,
         resume: bool = False,
     ) -> None:
         self._balancer = balancer
         self.stream = stream
-        self._habit = habit or Habit()
+        self._pattern = pattern or ReadPattern()
         self._until = time.monotonic() + limit
         self._accepted = resume
 
     def run(self) -> Stream:
-        """Read to the end; what went wrong is in the stream."""
+        """Read to the end; errors are recorded in the stream."""
         while not self.stream.whole and time.monotonic() < self._until:
             entry = self._balancer.pick(avoid=self.stream.entry)
             if entry is None:
@@ -281,29 +281,29 @@
         return self.stream
 
     def connect(self, entry: EntryProcess) -> bool:
-        """Ask once; return whether to go on asking."""
+        """Read on one connection; return whether to try again."""
         stream = self.stream
         try:
-            with self._opened(entry) as response:
+            with self._connect(entry) as response:
                 if response.status != 200:
-                    return self._refused(response)
+                    return self._handle_refusal(response)
                 self._accepted = True
                 self._read(response)
         except NewConnectionError:
             time.sleep(PAUSE)
         except (HTTPError, OSError) as error:
             self._accepted = True
-            stream.broken += 1
+            stream.broken_connections += 1
             stream.errors.append(f"{entry.name}: {error!r}"[:200])
             time.sleep(PAUSE)
         return True
 
-    def _opened(self, entry: EntryProcess) -> Any:
+    def _connect(self, entry: EntryProcess) -> Any:
         stream = self.stream
         headers = {"X-Customer": CUSTOMER, "X-Request-Id": stream.request_id}
         if self._accepted:
             stream.resumed += 1
-            last = max(0, stream.last - self._habit.step_back)
+            last = max(0, stream.last - self._pattern.step_back)
             headers["Last-Event-ID"] = str(last)
             return _open(
                 entry, "GET", f"/v1/requests/{stream.request_id}", headers, None
@@ -316,21 +316,22 @@
         }
         return _open(entry, "POST", "/v1/chat/completions", headers, body)
 
-    def _refused(self, response: urllib3.BaseHTTPResponse) -> bool:
+    def _handle_refusal(self, response: urllib3.BaseHTTPResponse) -> bool:
         outcome = response.headers.get("X-Outcome")
-        told = f"{response.status} {outcome}"
-        self.stream.told.append(told)
-        self.stream.errors.append(f"{told} {response.read()[:200]!r}")
+        refusal = f"{response.status} {outcome}"
+        self.stream.refusals.append(refusal)
+        self.stream.errors.append(f"{refusal} {response.read()[:200]!r}")
         time.sleep(PAUSE)
         if response.status == 404 and self._accepted:
-            # Nobody holds it any more. It may be asked again as it is idempotent.
+            # No entry has the request any more. It may be sent again, as it is
+            # idempotent.
             self._accepted = False
             self.stream.restart()
             return True
         return response.status in (502, 503, 409)
 
     def _read(self, response: urllib3.BaseHTTPResponse) -> None:
-        for got, lines in enumerate(_events(response), start=1):
+        for count, lines in enumerate(_events(response), start=1):
             fields = dict(line.split(": ", 1) for line in lines)
             if fields.get("event") == "moved":
                 self.stream.moved += 1
@@ -339,14 +340,14 @@
                 self.stream.errors.append(fields.get("data", ""))
                 return
             self.stream.take(int(fields["id"]), fields["data"])
-            if self.stream.whole or got == self._habit.drop_every:
+            if self.stream.whole or count == self._pattern.drop_every:
                 return
-            if self._habit.pause:
-                time.sleep(self._habit.pause)
+            if self._pattern.pause:
+                time.sleep(self._pattern.pause)
 
 
 def _events(response: urllib3.BaseHTTPResponse) -> Iterator[list[str]]:
-    """Yield the lines of each whole event."""
+    """Yield the lines of each complete event."""
     rest = b""
     while chunk := response.read1(65536):
         *events, rest = (rest + chunk).split(b"\n\n")
@@ -355,14 +356,14 @@
 
 
 class Crowd:
-    """Many callers at once, each in a thread.
+    """Concurrent callers, each in a thread.
 
     Usage::
 
-        with Crowd(balancer) as crowd:
-            crowd.stream(40, tokens=100)
+        with CallerPool(balancer) as callers:
+            callers.stream(40, tokens=100)
             ...
-        assert crowd.faults() == []
+        assert callers.faults() == []
     """
 
     def __init__(self, balancer: Balancer, size: int = 128) -> None:
@@ -372,7 +373,7 @@
         self.streams: list[Stream] = []
 
     def __enter__(self) -> "Crowd":
-        """Take callers."""
+        """Return the pool itself."""
         return self
 
     def __exit__(self, *_exception: object) -> None:
@@ -383,34 +384,34 @@
         self,
         count: int,
         tokens: int,
-        habit: Callable[[int], Habit] = lambda number: Habit(),
+        pattern: Callable[[int], ReadPattern] = lambda number: ReadPattern(),
         prefix: str = "stream",
     ) -> list[Stream]:
-        """Start ``count`` callers, each with a prompt of its own."""
-        begun = []
+        """Start ``count`` callers, each with its own prompt."""
+        started = []
         for number in range(count):
             name = f"{prefix}-{number}"
             stream = Stream(name, f"tell {name} what the cubes say", tokens)
-            caller = StreamCaller(self.balancer, stream, habit(number))
+            caller = StreamReader(self.balancer, stream, pattern(number))
             self._futures.append(self._pool.submit(caller.run))
-            begun.append(stream)
-        self.streams.extend(begun)
-        return begun
+            started.append(stream)
+        self.streams.extend(started)
+        return started
 
     def read_again(self, streams: Sequence[Stream]) -> None:
         """Start a second reader of each stream, from its first event."""
         for first in streams:
             stream = Stream(first.request_id, first.prompt, first.max_tokens)
-            caller = StreamCaller(self.balancer, stream, resume=True)
+            caller = StreamReader(self.balancer, stream, resume=True)
             self._futures.append(self._pool.submit(caller.run))
             self.streams.append(stream)
 
     def submit(self, function: Callable[..., Any], *arguments: Any) -> Future:
-        """Run ``function`` beside the callers."""
+        """Run ``function`` in a thread of the pool."""
         return self._pool.submit(function, *arguments)
 
     def wait_until_running(self, events: int = 3, limit: float = 15.0) -> None:
-        """Wait until every stream has brought some events."""
+        """Wait until every stream has received ``events`` events."""
         until = time.monotonic() + limit
         while any(stream.last < events for stream in self.streams):
             assert time.monotonic() < until, [
@@ -421,9 +422,9 @@
             time.sleep(PAUSE / 5)
 
     def faults(self, *, may_restart: bool = False) -> list[str]:
-        """Return what is wrong with any stream, after all have ended.
+        """Return the faults of all streams, after all have ended.
 
-        :param may_restart: whether a request may be lost and asked anew.
+        :param may_restart: whether a request may be lost and sent again.
         """
         for future in self._futures:
             future.result()
@@ -434,7 +435,7 @@
 
 
 def recomputed(fleet: Fleet) -> int:
-    """Return the tokens that the live engines computed a second time."""
+    """Return the number of tokens that the running engines recomputed."""
     return sum(
         engine.counts()["recomputed_tokens"]
         for engine in fleet.of_service(MODEL)
@@ -443,8 +444,8 @@
 
 
 def busiest(fleet: Fleet) -> Any:
-    """Return the live engine that runs the most streams."""
-    live = [each for each in fleet.of_service(MODEL) if each.return_code is None]
+    """Return the running engine with the most streams."""
+    engines = [each for each in fleet.of_service(MODEL) if each.return_code is None]
     return max(
-        live, key=lambda each: each.client.call("GET", "/v1/load").json()["running"]
+        engines, key=lambda each: each.client.call("GET", "/v1/load").json()["running"]
     )
--- a/tests/guarantees/test_silence.py
+++ b/tests/guarantees/test_silence.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that go silent for good while new ones work."""
+"""Open connections to endpoints stop responding for good while new ones work."""
 
 import time
 from collections import Counter
@@ -23,12 +23,12 @@
 ISSUE_SECONDS = 20.0
 
 
-def test_streams_go_on_when_their_connections_fall_silent():
-    """A caller's stream stops for ever in the middle.
+def test_streams_continue_when_their_connections_stop_responding():
+    """A caller's stream hangs forever in the middle.
 
-    Something between entry and engine forgets every open connection; new ones
-    work. The stream is asked for again on a fresh connection of the same engine,
-    so no token is computed twice.
+    A middlebox between entry and engine drops the state of every open connection; new
+    ones work. The entry resumes the stream on a new connection to the same engine, so
+    no token is computed twice.
     """
     with start_fleet(step_ms=40) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
@@ -39,11 +39,11 @@
         assert recomputed(fleet) == 0
 
 
-def test_new_streams_begin_when_pooled_connections_are_silent():
-    """A caller's first token never comes.
+def test_new_streams_begin_when_pooled_connections_do_not_respond():
+    """A caller's first token never arrives.
 
-    The pooled connections to every engine fell silent while nothing was running,
-    and the next calls go out on them.
+    The pooled connections to every engine stopped responding while idle, and the next
+    requests are sent on them.
     """
     with start_fleet(step_ms=5) as fleet:
         with Crowd(Balancer(fleet.entries)) as crowd:
@@ -55,13 +55,13 @@
             assert crowd.faults() == []
 
 
-def test_calls_survive_silent_connections():
+def test_calls_survive_unresponsive_connections():
     """A caller gets no record, or two certificates with different numbers.
 
-    All connections to the plain services fall silent under load. Lookups are
-    sent again on fresh connections and succeed. A certificate is never sent
-    again: its caller gets the one that was issued, or is told that the outcome
-    is unknown, and retries under the same key.
+    All connections to the plain services stop responding under load. Lookups are
+    resent on new connections and succeed. A request for a certificate is never resent:
+    its caller gets the issued certificate or the outcome "unknown", and retries with
+    the same key.
     """
     with start_fleet() as fleet:
         with Crowd(Balancer(fleet.entries)) as crowd:
@@ -82,12 +82,12 @@
         assert_issued_once(fleet, numbers)
 
 
-def test_calls_survive_connections_that_fall_silent_again_and_again():
+def test_calls_survive_connections_that_stop_responding_repeatedly():
     """A caller gets two certificates with different numbers.
 
-    The connections to the plain services fall silent every few milliseconds while
-    certificates are asked for. Some callers are told that the outcome is unknown, and
-    of these some get no certificate: their requests went out on silent connections.
+    Connections to the plain services stop responding every few milliseconds while
+    certificates are requested. Some callers get the outcome "unknown", and some of
+    these no certificate: their requests were sent on unresponsive connections.
     """
     with start_fleet() as fleet:
         with Crowd(Balancer(fleet.entries)) as crowd:
@@ -101,9 +101,9 @@
 
 
 def assert_issued_once(fleet, numbers: list[list[str]]) -> None:
-    """Check that no certificate was issued twice, nor told without being issued.
+    """Check that no certificate was issued twice, or returned without being issued.
 
-    :param numbers: what each caller was told through every entry.
+    :param numbers: for each caller, the numbers returned through every entry.
     """
     keys = Counter(
         item["idempotency_key"]
@@ -111,17 +111,17 @@
         if item["idempotency_key"]
     )
     assert set(keys.values()) <= {1}
-    assert all(len(set(told)) <= 1 for told in numbers)
-    told = {f"batch-{caller}" for caller, given in enumerate(numbers) if given}
-    assert told <= keys.keys()
+    assert all(len(set(returned)) <= 1 for returned in numbers)
+    returned = {f"batch-{caller}" for caller, given in enumerate(numbers) if given}
+    assert returned <= keys.keys()
 
 
-def test_a_burst_of_calls_survives_silent_connections():
-    """Dozens of callers get no record at the same moment.
+def test_a_burst_of_calls_survives_unresponsive_connections():
+    """Dozens of callers get no record at the same time.
 
-    Each entry keeps a pool of connections to each service. All of them fall
-    silent, and the next burst of lookups goes out on them: more calls at once
-    than the retry budget allows.
+    Each entry pools connections to each service. All of them stop responding, and the
+    next burst of lookups is sent on them: more calls need a retry at once than the
+    retry budget allows.
     """
     slow = {"delay_ms": 200}
     with (
@@ -153,17 +153,17 @@
 
 
 def _issue(crowd: Crowd, caller: int) -> list[str]:
-    """Ask for one certificate through every entry; return the numbers told."""
-    told = []
+    """Request one certificate through every entry; return the numbers received."""
+    numbers = []
     for entry in crowd.balancer.entries:
         answer = _issue_through(entry, caller)
         if answer.status < 300:
-            told.append(answer.json()["number"])
-    return told
+            numbers.append(answer.json()["number"])
+    return numbers
 
 
 def _issue_through(entry: EntryProcess, caller: int) -> Response:
-    """Ask until something else than "not run" is told."""
+    """Request a certificate, and retry for a while as long as the status is 503."""
     until = time.monotonic() + ISSUE_SECONDS
     while True:
         answer = call(
--- a/tests/guarantees/test_stops.py
+++ b/tests/guarantees/test_stops.py
@@ -1,4 +1,4 @@
-"""Planned stops and announced reclaims of entries cut nothing."""
+"""Planned stops and announced reclaims of entries fail no request."""
 
 import itertools
 import time
@@ -9,9 +9,9 @@
     MODEL,
     Balancer,
     Crowd,
-    Habit,
+    ReadPattern,
     Stream,
-    StreamCaller,
+    StreamReader,
     call,
     start_fleet,
 )
@@ -27,15 +27,15 @@
 SHORT_DRAIN = "3s"
 FROZEN_SECONDS = 2.5
 HALF_WAY_SECONDS = 2.0
-AWAY_SECONDS = 2.0
+RECONNECT_SECONDS = 2.0
 
 
 def test_a_rolling_stop_under_load_fails_no_request():
-    """A caller gets an error, or half a stream, on the day of an update.
+    """A caller gets an error or half a stream during a rolling update.
 
-    Each entry in turn is stopped by SIGTERM and started again while callers
-    look up records, ask for whole answers and read streams. Only an entry that
-    is ready is asked, and a call is repeated only if its connection was refused.
+    Each entry in turn is stopped with SIGTERM and replaced while callers look up
+    records, request whole responses and read streams. Calls go to ready entries only,
+    and are retried only if the connection was refused.
     """
     with start_fleet(step_ms=20) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         stop = time.monotonic() + 60
@@ -54,11 +54,13 @@
         assert time.monotonic() < stop
         assert [future.result() for future in lookups + wholes] == [[]] * 8
         assert crowd.faults() == []
-        assert [s.errors for s in crowd.streams if s.errors or s.broken] == []
+        assert [
+            s.errors for s in crowd.streams if s.errors or s.broken_connections
+        ] == []
 
 
 def _look_up(crowd: Crowd, state: dict, caller: int) -> list[str]:
-    """Look records up for as long as the test runs; return what failed."""
+    """Look up records while the test runs; return the failures."""
     failed = []
     for number in itertools.count():
         path = f"/v1/services/records/lookups/{caller}-{number}"
@@ -72,7 +74,7 @@
 
 
 def _ask_whole(crowd: Crowd, state: dict, caller: int) -> list[str]:
-    """Ask for whole answers for as long as the test runs; return what failed."""
+    """Request whole responses while the test runs; return the failures."""
     failed = []
     for number in itertools.count():
         body = _whole_body(f"{caller} {number}", SHORT_TOKENS)
@@ -87,7 +89,7 @@
 def _call_ready(
     crowd: Crowd, method: str, path: str, body: dict | None = None
 ) -> Response:
-    """Make a call through a ready entry; repeat it only if it was not sent."""
+    """Make a call through a ready entry; retry it only if it was not sent."""
     while True:
         entry = crowd.balancer.pick()
         if entry is None:
@@ -114,10 +116,10 @@
 
 
 def test_a_reclaimed_entry_hands_its_streams_over():
-    """A caller's stream ends in the middle when its entry is reclaimed.
+    """A caller's stream breaks off when its entry is reclaimed.
 
-    The entry gets 5 s of notice, its streams need 6.6 s. It hands each one to an
-    entry in another zone; the caller is told to resume and gets the rest there.
+    The entry gets 5 s of notice, its streams need 6.6 s. It hands each one over to an
+    entry in another zone, where the caller is refusals to resume it.
     """
     with start_fleet(step_ms=60) as fleet:
         leaving = fleet.entries[0]
@@ -130,7 +132,7 @@
 def _ask_all_of(
     fleet: Fleet, entry: EntryProcess, tokens: int, count: int = STREAMS
 ) -> Crowd:
-    """Start streams that one entry holds; other entries are for resuming."""
+    """Start streams through one entry; they may be resumed through all entries."""
     crowd = Crowd(Balancer([entry]))
     crowd.stream(count, tokens)
     crowd.wait_until_running()
@@ -143,11 +145,11 @@
         return crowd.faults(may_restart=may_restart)
 
 
-def test_a_notice_that_comes_twice_hands_over_once():
-    """As above, but the platform sends each notice three times.
+def test_a_repeated_notice_hands_over_once():
+    """Streams are cut off, or handed over twice, when a notice is repeated.
 
-    The second notice must not end the stop that the first began, nor hand the
-    requests over a second time.
+    As above, but the platform sends the notice three times. A repeated notice must
+    neither end the shutdown that the first one began nor hand requests over again.
     """
     with start_fleet(step_ms=60) as fleet:
         leaving = fleet.entries[0]
@@ -158,11 +160,11 @@
         assert [s.moved for s in crowd.streams] == [1] * STREAMS
 
 
-def test_whole_answers_are_handed_over():
-    """A caller that waits for a whole answer gets a broken connection.
+def test_requests_for_whole_responses_are_handed_over():
+    """A caller that waits for a whole response gets a broken connection.
 
-    The entry gets 3 s to stop, the answer needs 6 s. The entry hands the request
-    over and answers 303; the caller fetches the answer from any other entry.
+    The entry has 3 s to stop, the response needs 6 s. The entry hands the request over
+    and responds 303; the caller fetches the response from any other entry.
     """
     with start_fleet(step_ms=40, entry_options={"drain_timeout": SHORT_DRAIN}) as fleet:
         leaving = fleet.entries[0]
@@ -186,12 +188,12 @@
     return _content(answer) if answer.status == 200 else str(answer)
 
 
-def test_a_receiver_that_dies_during_the_hand_over():
+def test_a_receiver_that_dies_during_a_hand_over_loses_no_stream():
     """A caller's stream is lost between two entries.
 
-    An entry is reclaimed and offers its streams. One of the two entries that
-    could take them stops moving before it acknowledges any, and is killed later.
-    What isn't acknowledged stays the giver's, and goes to the other one.
+    An entry is reclaimed and offers its streams. One of the two possible receivers
+    freezes before it acknowledges any, and is killed later. The sender still owns
+    what was not acknowledged, and must hand it over to the other receiver.
     """
     with start_fleet(step_ms=60) as fleet:
         leaving, receiver = fleet.entries[0], fleet.entries[1]
@@ -203,12 +205,12 @@
         assert _finish(crowd) == []
 
 
-def test_a_leaving_entry_that_dies_half_way():
-    """A caller's stream is lost when its entry dies before its time is up.
+def test_a_reclaimed_entry_that_dies_before_its_notice_ends():
+    """A caller's stream is lost when its entry dies before the end of the notice.
 
-    The entry is killed in the middle of its notice. What a peer had acknowledged
-    goes on there. For the rest a caller that asks for its request is told 404
-    with the outcome unknown, asks again under the same id, and gets the whole.
+    The entry is killed in the middle of its notice. Streams that a peer acknowledged
+    continue there. For the others, a caller that resumes gets 404 with the outcome
+    "unknown", sends the request again with the same id, and gets the whole response.
     """
     with start_fleet(step_ms=60) as fleet:
         leaving = fleet.entries[0]
@@ -217,25 +219,27 @@
         time.sleep(HALF_WAY_SECONDS)
         leaving.kill()
         assert _finish(crowd, may_restart=True) == []
-        told = [each for s in crowd.streams for each in s.told if "404" in each]
-        assert set(told) <= {"404 unknown"}
+        refusals = [
+            refusal for s in crowd.streams for refusal in s.refusals if "404" in refusal
+        ]
+        assert set(refusals) <= {"404 unknown"}
 
 
-def test_an_entry_that_is_killed_with_no_notice():
-    """A caller's stream breaks when its entry is killed.
+def test_streams_of_an_entry_killed_without_notice_can_be_restarted():
+    """A caller takes a truncated stream for a complete one, or gets a false "not-run".
 
-    Nobody else knows the request. The caller's connection breaks without the end
-    of the answer, a resumption is told 404 with the outcome unknown, never "not
-    run"; asked again under the same id, it runs from the start and is whole.
+    No other entry knows the requests of a killed entry. The caller's connection breaks
+    before the end of the response, and resuming gets 404 with the outcome "unknown",
+    never "not-run". Sent again with the same id, the request starts over and completes.
     """
     with start_fleet(step_ms=30) as fleet:
         killed = fleet.entries[0]
         crowd = _ask_all_of(fleet, killed, tokens=60)
         killed.kill()
         assert _finish(crowd, may_restart=True) == []
-        assert [s.broken for s in crowd.streams] == [1] * STREAMS
+        assert [s.broken_connections for s in crowd.streams] == [1] * STREAMS
         assert [s.restarted for s in crowd.streams] == [1] * STREAMS
-        assert {each for s in crowd.streams for each in s.told} == {"404 unknown"}
+        assert {each for s in crowd.streams for each in s.refusals} == {"404 unknown"}
 
 
 def _draft_once(entry: EntryProcess, number: int) -> Response:
@@ -244,50 +248,50 @@
     return call(entry, "POST", "/v1/chat/completions", body, Idempotency_Key=key)
 
 
-def test_an_answer_that_nobody_has_read_is_handed_over():
-    """A caller that was away for a moment finds its answer gone.
+def test_an_unread_response_is_handed_over():
+    """A caller that reconnects finds its response gone.
 
-    Its connection breaks after a few events, the entry receives the rest from the
-    engine, and is stopped before the caller is back.
+    Its connection breaks after a few events. The entry receives the rest from the
+    engine, and is stopped before the caller reconnects.
     """
     with start_fleet(step_ms=20) as fleet:
         stopped = fleet.entries[0]
         stream = Stream("away", "tell me", max_tokens=40)
-        caller = StreamCaller(Balancer([stopped]), stream, Habit(drop_every=5))
+        caller = StreamReader(Balancer([stopped]), stream, ReadPattern(drop_every=5))
         assert caller.connect(stopped)
         while fleet.executions(MODEL)[0]["state"] != "stop":
             time.sleep(0.05)
         assert stopped.terminate() == 0
-        StreamCaller(Balancer(fleet.entries[1:]), stream, resume=True).run()
+        StreamReader(Balancer(fleet.entries[1:]), stream, resume=True).run()
         assert stream.faults() == []
         assert stream.restarted == 0
 
 
-def test_a_caller_comes_back_while_its_entry_leaves():
-    """A caller whose connection broke is told that nobody holds its request.
+def test_a_caller_reconnects_while_its_entry_stops():
+    """A caller whose connection broke gets 404 although its request is running.
 
-    Its entry is being stopped and still reads the stream, which fits the time.
-    The caller comes back through another entry, which must reach the holder.
+    Its entry is stopping and still reads the stream, which will end in time. The
+    caller reconnects through another entry, which must find the entry that has it.
     """
     with start_fleet(step_ms=40) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         stopped = fleet.entries[0]
         stream = Stream("back", "tell me", max_tokens=120)
-        caller = StreamCaller(Balancer([stopped]), stream, Habit(drop_every=5))
+        caller = StreamReader(Balancer([stopped]), stream, ReadPattern(drop_every=5))
         assert caller.connect(stopped)
         stopping = crowd.submit(stopped.terminate)
-        time.sleep(AWAY_SECONDS)
-        StreamCaller(Balancer(fleet.entries[1:]), stream, resume=True).run()
+        time.sleep(RECONNECT_SECONDS)
+        StreamReader(Balancer(fleet.entries[1:]), stream, resume=True).run()
         assert stream.faults() == []
-        assert (stream.restarted, stream.told) == (0, [])
+        assert (stream.restarted, stream.refusals) == (0, [])
         assert stopping.result() == 0
 
 
-def test_calls_that_outlast_a_stop_get_a_final_answer():
-    """A caller's connection breaks, and it can't tell whether to ask again.
+def test_calls_longer_than_the_drain_timeout_get_a_final_response():
+    """A caller's connection breaks, and it can't tell whether to retry.
 
-    A record takes 4 s, a keyed draft 6 s, and the entry has 2 s to stop. The one
-    can't be handed over as its answer comes on the entry's own connection, the
-    other as its claim is the entry's.
+    A lookup takes 4 s, a draft with an idempotency key 6 s, and the entry has 2 s to
+    stop. The lookup can't be handed over because its response arrives on the entry's
+    own connection, the draft because its claim belongs to the entry.
     """
     options = {"drain_timeout": "2s"}
     with start_fleet(
--- a/tests/guarantees/test_streams.py
+++ b/tests/guarantees/test_streams.py
@@ -1,4 +1,4 @@
-"""Every caller gets the whole answer, and its own."""
+"""Every caller gets its own response, and all of it."""
 
 import time
 
@@ -7,7 +7,7 @@
     MODEL,
     Balancer,
     Crowd,
-    Habit,
+    ReadPattern,
     busiest,
     call,
     start_fleet,
@@ -17,20 +17,24 @@
 CALLERS = 100
 READ_TWICE = 10
 MIN_TOKENS = 5
-TOKENS_ONE_BY_ONE = 40
+UNBUFFERED_TOKENS = 40
 
 
-def test_a_hundred_callers_resume_while_machines_go():
-    """A caller gets another caller's tokens, or some twice, or some not at all.
+def test_a_hundred_callers_resume_while_instances_fail():
+    """A caller gets another caller's tokens, or some tokens twice or not at all.
 
-    A hundred callers read over three entries, some streams by two readers. Some
-    drop their connection again and again and ask for events that they have, some
-    read late. Meanwhile an engine is killed, another one and an entry are
-    reclaimed.
+    A hundred callers read through three entries, and some streams have two readers.
+    Some callers drop their connection repeatedly and request events that they already
+    have, some read slowly. Meanwhile one engine is killed, and another one and an
+    entry are reclaimed.
     """
-    habits = [Habit(), Habit(drop_every=17, step_back=5), Habit(pause=0.02)]
+    patterns = [
+        ReadPattern(),
+        ReadPattern(drop_every=17, step_back=5),
+        ReadPattern(pause=0.02),
+    ]
     with start_fleet(step_ms=50) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
-        crowd.stream(CALLERS, 140, lambda number: habits[number % len(habits)])
+        crowd.stream(CALLERS, 140, lambda number: patterns[number % len(patterns)])
         crowd.wait_until_running()
         crowd.read_again(crowd.streams[:READ_TWICE])
         fleet.take(busiest(fleet).name)
@@ -42,12 +46,12 @@
         assert sum(stream.moved for stream in crowd.streams) > 0
 
 
-def test_a_truncated_stream_is_not_passed_off_as_whole():
+def test_a_truncated_stream_does_not_look_complete():
     """A caller takes half a report for the whole one.
 
-    Every engine dies in the middle. No engine is left to go on, so the stream
-    ends at its deadline with an error event: no finish reason, no ``[DONE]``.
-    A caller that waits for a whole answer is told that the outcome is unknown.
+    All engines are killed in the middle of a stream. No engine can continue it, so it
+    ends at its deadline with an error event: no finish reason, no ``[DONE]``. A caller
+    that waits for a whole response gets the outcome "unknown".
     """
     with start_fleet(step_ms=30) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
         entry = fleet.entries[0]
@@ -65,10 +69,10 @@
 
 
 def _wait_for_tokens(fleet: Fleet, streams: int) -> None:
-    def brought() -> list[int]:
+    def token_counts() -> list[int]:
         return [item["tokens"] for item in fleet.executions(MODEL)]
 
-    while len(brought()) < streams or min(brought()) < MIN_TOKENS:
+    while len(token_counts()) < streams or min(token_counts()) < MIN_TOKENS:
         time.sleep(0.02)
 
 
@@ -96,17 +100,17 @@
     return answer.status, answer.data.decode()
 
 
-def test_tokens_are_passed_on_as_they_come():
+def test_tokens_are_forwarded_immediately():
     """A caller waits more than a second for the first word, then gets a paragraph.
 
-    The server gathers what a stream brings until it has a few kilobytes.
+    The server buffers a stream's output until it has a few kilobytes.
     """
     with start_fleet(step_ms=50, entries=1) as fleet:
-        body = {**_body(True), "max_tokens": TOKENS_ONE_BY_ONE}
+        body = {**_body(True), "max_tokens": UNBUFFERED_TOKENS}
         response = fleet.entries[0].client.stream(
             "POST", "/v1/chat/completions", body, {"X-Customer": CUSTOMER}
         )
         parts = 0
         while response.read1(65_536):
             parts += 1
-    assert parts > TOKENS_ONE_BY_ONE / 4
+    assert parts > UNBUFFERED_TOKENS / 4
