--- a/standins/duty_calls.py
+++ b/standins/duty_calls.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's API for duties: usage reports and orders."""
+"""Stand-in for the platform's API for duties: usage reports and scaling orders."""
 
 import json
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyCall:
-    """A call that was made, and whether it was taken."""
+    """A call that was received, and whether it was accepted."""
 
     target: str
     holder: str
@@ -22,7 +22,7 @@
 
 
 class DutyCalls:
-    """Takes calls of the duties' holder and refuses those of older ones.
+    """Accepts calls, except those with a lower fencing number than an earlier one.
 
     :param clock: source of elapsed time.
     """
@@ -33,17 +33,17 @@
         self.calls: list[DutyCall] = []
 
     def serve(self, address: Address) -> Address:
-        """Serve calls, and return the address that was bound."""
+        """Start to serve calls, and return the bound address."""
         listener = listen(address)
-        spawn(HttpServer(listener, self._answer, self._clock).serve)
+        spawn(HttpServer(listener, self._handle, self._clock).serve)
         host, port = listener.getsockname()
         return Address(host, port)
 
     def taken(self, target: str) -> list[DutyCall]:
-        """Return the calls of a kind that were taken."""
+        """Return the accepted calls with a target."""
         return [call for call in self.calls if call.target == target and call.taken]
 
-    def _answer(self, connection: ServerConnection, request: Request) -> None:
+    def _handle(self, connection: ServerConnection, request: Request) -> None:
         document = json.loads(request.body)
         number = int(request.header("fence-token"))
         subject = (
--- a/standins/gateway_endpoints.py
+++ b/standins/gateway_endpoints.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' endpoints: an engine that streams, and a plain service."""
+"""Stand-ins for the gateways' endpoints: a streaming engine and a plain service."""
 
 import json
 import socket
@@ -15,10 +15,11 @@
 from sassafrasdale.structures import Address
 from standins.kv_store import KvStore
 
-# Shape of the work: an engine reads 40 tokens in a millisecond and hands out an
-# event each 20 ms; a plain request takes 15 ms.
+# An engine prefills 40 tokens per millisecond and sends an event every 20 ms; a plain
+# request takes 15 ms.
 TOKEN_TIME = timedelta(microseconds=25)
-# An endpoint that crashes does so in the middle of a run, and is back a while later.
+# An endpoint crashes this long after it began to run the request, and restarts after
+# the second time.
 CRASH_TIME = timedelta(milliseconds=30)
 DOWN_TIME = timedelta(milliseconds=700)
 EVENT_TIME = timedelta(milliseconds=20)
@@ -26,30 +27,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Harm:
-    """What a bad version does to some of its answers.
-
-    :param share: part of the answers that it harms.
-    :param slower: times that a harmed answer takes; 0 for one that fails.
-    :param after: time after its start when it turns bad.
-    :param load: requests at once below which it is good.
-    :param target: beginning of the targets that it harms.
+class Defect:
+    """A defect of a version that makes some of its responses faulty.
+
+    :param share: fraction of the responses that are faulty.
+    :param slowdown: factor of a faulty response's duration; 0 if it fails instead.
+    :param after: time from the endpoint's start until the defect shows.
+    :param min_load: concurrent requests from which on the defect shows.
+    :param target_prefix: prefix of the request targets with faulty responses.
     """
 
     share: float
-    slower: float = 0.0
+    slowdown: float = 0.0
     after: timedelta = timedelta()
-    load: int = 0
-    target: str = "/"
+    min_load: int = 0
+    target_prefix: str = "/"
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that an endpoint has begun to work on.
+    """A request that an endpoint has begun to process.
 
-    :param shows_key: whether the caller's own key was passed on.
+    :param shows_key: whether the caller's own API key was passed on.
     :param at: elapsed time of the clock.
-    :param harmed: whether the endpoint's version makes its answer bad.
+    :param faulty: whether the version's defect affects the response.
     """
 
     request_id: str
@@ -57,18 +58,18 @@
     customer: str
     shows_key: bool
     at: timedelta
-    harmed: bool = False
+    faulty: bool = False
 
 
 class StandInEndpoint:
-    """An endpoint that lists itself in the store and answers requests.
+    """An endpoint that registers itself in the store and serves requests.
 
     :param name: its name at the platform.
-    :param streams: whether it is an engine.
-    :param crash_marker: a run whose body holds this crashes the endpoint.
-    :param through: returns the address that callers are to use instead of its own.
+    :param streams: whether it is a streaming engine.
+    :param crash_marker: a request whose body contains this crashes the endpoint.
+    :param proxy: maps the endpoint's address to the one that it registers.
     :param version: version of its software.
-    :param harm: what that does to answers, if it is a bad one.
+    :param defect: defect of that version, if it has one.
     """
 
     def __init__(
@@ -83,10 +84,10 @@
         crash_marker: bytes = b"",
         through: Callable[[Address], Address] = lambda own: own,
         version: str = "v1",
-        harm: Harm | None = None,
+        defect: Defect | None = None,
     ) -> None:
         self._version = version
-        self._harm = harm
+        self._defect = defect
         self._rng = Random(name)
         self._started_at = clock.elapsed()
         self._crash_marker = crash_marker
@@ -107,80 +108,80 @@
 
     @property
     def name(self) -> str:
-        """Its name at the platform."""
+        """Name of the endpoint at the platform."""
         return self._name
 
     @property
-    def ran(self) -> list[str]:
-        """Ids of the requests that it has begun to work on."""
+    def request_ids(self) -> list[str]:
+        """Ids of the requests that it has begun to process."""
         return [run.request_id for run in self.runs]
 
     def start(self) -> Address:
-        """Listen, and list the endpoint as ready."""
+        """Listen, and register the endpoint as ready."""
         listener = listen(Address("127.0.0.1", 0))
         host, port = listener.getsockname()
         self._address = Address(host, port)
-        self._listed_address = self._through(self._address)
+        self._registered_address = self._through(self._address)
         self._serve(listener)
         return self._address
 
     def _serve(self, listener: socket.socket) -> None:
         self._server = HttpServer(listener, self._answer, self._clock)
-        self._born = int(self._clock.now().timestamp() * 1000)
+        self._started_ms = int(self._clock.now().timestamp() * 1000)
         self._is_down = False
         spawn(self._server.serve)
         self.list_as("ready")
 
     def crash(self) -> None:
-        """End at once, as a process that is killed, and come back later.
+        """Stop at once, like a killed process, and restart later.
 
-        The entry in the list stays until then.
+        The registration stays in the store meanwhile.
         """
         if self._is_down:
             return
         self.crashed_at.append(self._clock.elapsed())
-        self._go_down()
-        spawn(self._come_back)
+        self._shut_down()
+        spawn(self._restart)
 
     def end(self) -> None:
-        """End for good, at once, and leave the list."""
-        self._go_down()
+        """Stop at once for good, and remove the registration."""
+        self._shut_down()
         self._store.remove(f"servers/{self._name}")
 
-    def _go_down(self) -> None:
+    def _shut_down(self) -> None:
         self._is_down = True
         self._server.close()
         connections, self._connections = self._connections, set()
         for connection in connections:
             connection.abort()
 
-    def _come_back(self) -> None:
+    def _restart(self) -> None:
         sleep(DOWN_TIME)
         self._cached.clear()
         self._serve(listen(self._address))
 
     def list_as(self, state: str) -> None:
-        """Write the entry in the list."""
-        entry = {
+        """Write the registration with the given state."""
+        registration = {
             "service": self._service,
-            "addr": str(self._listed_address),
+            "addr": str(self._registered_address),
             "zone": self._zone,
             "version": self._version,
             "slots": 64 if self._streams else 6,
             "state": state,
             "coldLeftMs": 0,
-            "born": self._born,
+            "born": self._started_ms,
         }
-        self._store.put(f"servers/{self._name}", entry)
+        self._store.put(f"servers/{self._name}", registration)
 
     def _answer(self, connection: ServerConnection, request: Request) -> None:
         if request.header("expect-replica") != self._name:
             connection.answer(421, [("replica-id", self._name)])
             return
         self._connections.add(connection)
-        run = self._run_of(request)
+        run = self._new_run(request)
         self.runs.append(run)
-        slower = self._harm.slower if run.harmed else 1.0
+        slowdown = self._defect.slowdown if run.faulty else 1.0
         if self._crash_marker and self._crash_marker in request.body:
             sleep(CRASH_TIME)
             self.crash()
@@ -190,12 +191,12 @@
             ("replica-stamp", f"{self._name}.stamp"),
         ]
         try:
-            if not slower:
+            if not slowdown:
                 connection.answer(500, headers, b"failed")
             elif self._streams:
-                self._stream(connection, request, headers, slower)
+                self._stream(connection, request, headers, slowdown)
             else:
-                sleep(PLAIN_TIME * slower)
+                sleep(PLAIN_TIME * slowdown)
                 record = {"target": request.target, "by": self._name}
                 connection.answer(200, headers, json.dumps(record).encode())
         except CallerGone:
@@ -203,23 +204,23 @@
         finally:
             self._connections.discard(connection)
 
-    def _is_harmed(self, request: Request) -> bool:
-        harm = self._harm
-        if harm is None or not request.target.startswith(harm.target):
+    def _is_faulty(self, request: Request) -> bool:
+        defect = self._defect
+        if defect is None or not request.target.startswith(defect.target_prefix):
             return False
-        if self._clock.elapsed() - self._started_at < harm.after:
+        if self._clock.elapsed() - self._started_at < defect.after:
             return False
         busy = len(self._connections)
-        return busy >= harm.load and self._rng.random() < harm.share
+        return busy >= defect.min_load and self._rng.random() < defect.share
 
-    def _run_of(self, request: Request) -> Run:
+    def _new_run(self, request: Request) -> Run:
         return Run(
             request.header("request-id"),
             request.target,
             request.header("tenant"),
             bool(request.header("api-key")),
             self._clock.elapsed(),
-            self._is_harmed(request),
+            self._is_faulty(request),
         )
 
     def _stream(
@@ -227,9 +228,9 @@
         connection: ServerConnection,
         request: Request,
         headers: list,
-        slower: float,
+        slowdown: float,
     ) -> None:
-        sleep(TOKEN_TIME * self._unread(request) * slower)
+        sleep(TOKEN_TIME * self._prefill_tokens(request) * slowdown)
         connection.begin(200, [*headers, ("content-type", "text/event-stream")])
         first = int(request.header("last-event-id", "0")) + 1
         for number in range(first, self.events + 1):
@@ -238,11 +239,11 @@
             sleep(EVENT_TIME)
         connection.end()
 
-    def _unread(self, request: Request) -> int:
-        unread = 0
+    def _prefill_tokens(self, request: Request) -> int:
+        uncached = 0
         for part in filter(None, request.header("prompt-prefix").split(",")):
             name, _, tokens = part.partition(":")
             if name not in self._cached:
-                unread += int(tokens)
+                uncached += int(tokens)
             self._cached.add(name)
-        return unread
+        return uncached
--- a/standins/gateway_fleet.py
+++ b/standins/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes, on stand-ins of the users' platform."""
+"""Gateways as real processes, on stand-ins for the platform's services."""
 
 import json
 import os
@@ -14,29 +14,29 @@
 from sassafrasdale.green import connect, sleep
 from sassafrasdale.structures import Address
 from standins.duty_calls import DutyCalls
-from standins.gateway_endpoints import Harm, StandInEndpoint
+from standins.gateway_endpoints import Defect, StandInEndpoint
 from standins.kv_store import KvStore
 from standins.processes import free_port
 
 LOOPBACK = "127.0.0.1"
-STEP = timedelta(milliseconds=20)
+POLL = timedelta(milliseconds=20)
 LIMIT = timedelta(seconds=10)
-# Arguments of the interpreter that name the gateways' program.
+# Interpreter arguments that run the gateway program.
 GATEWAY = ("-m", "sassafrasdale")
-Through = Callable[[Address], Address]
+AddressMapper = Callable[[Address], Address]
 
 
 def direct(own: Address) -> Address:
-    """Return an address itself: nothing stands between."""
+    """Return the address itself: there is no proxy."""
     return own
 
 
 class GatewayProcess:
-    """One gateway.
+    """The process of one gateway.
 
     :param name: name of its instance.
-    :param settings: fields of its settings file; its own addresses are added.
-    :param program: arguments of the interpreter that name the program.
+    :param settings: fields of its settings file; name, zone and addresses are added.
+    :param program: interpreter arguments that run the program.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._process: subprocess.Popen | None = None
 
     def write_settings(self, **changed: object) -> None:
-        """Write the settings file."""
+        """Write the settings file, with some fields replaced."""
         self._path.write_text(json.dumps({**self._fields, **changed}), "utf-8")
 
     def launch(self) -> None:
@@ -84,33 +84,33 @@
             )
 
     def wait_until_ready(self) -> None:
-        """Wait until the balancer would send callers."""
+        """Wait until the readiness probe succeeds."""
         wait_for(lambda: self.is_ready(), f"{self.name} is not ready")
 
     def is_ready(self) -> bool:
-        """Return whether the gateway says that it is ready."""
+        """Return whether the readiness probe succeeds."""
         answer = ask(self.ready_address, b"GET /v1/ready HTTP/1.1\r\nHost: h\r\n\r\n")
         return answer.startswith(b"HTTP/1.1 200")
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self._process.send_signal(number)
 
     def exit_code(self) -> int | None:
-        """Return the exit code; None while it runs."""
+        """Return the exit code, or None while the process runs."""
         return self._process.poll()
 
     def log_lines(self) -> list[dict]:
-        """Return what it logged so far."""
+        """Return the log records so far."""
         lines = self._log_path.read_text("utf-8").splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     def output(self) -> str:
-        """Return all that it wrote."""
+        """Return everything written to standard output and standard error."""
         return self._log_path.read_text("utf-8")
 
     def close(self) -> None:
-        """End the process, if it runs, and drop its files."""
+        """Kill the process if it runs, and delete its files."""
         if self._process is not None and self._process.poll() is None:
             self._process.kill()
             self._process.wait()
@@ -118,8 +118,9 @@
 
 
 class GatewayFleet:
-    """A platform's stand-ins with gateways and endpoints.
+    """Stand-ins for the platform's services, with gateways and endpoints.
 
+    :param settings: settings that all gateways share.
     :param configuration: the operators' configuration; None to write none yet.
     """
 
@@ -146,15 +147,11 @@
         *,
         streams: bool,
         crash_marker: bytes = b"",
-        through: Through = direct,
+        through: AddressMapper = direct,
         version: str = "v1",
-        harm: Harm | None = None,
+        defect: Defect | None = None,
     ) -> StandInEndpoint:
-        """Start an endpoint.
-
-        :param through: returns the address that gateways reach it at.
-        :param harm: what its version does to answers, if it is a bad one.
-        """
+        """Start an endpoint; see :class:`StandInEndpoint` for the parameters."""
         endpoint = StandInEndpoint(
             name,
             service,
@@ -165,7 +162,7 @@
             crash_marker=crash_marker,
             through=through,
             version=version,
-            harm=harm,
+            defect=defect,
         )
         endpoint.start()
         return endpoint
@@ -176,11 +173,11 @@
         zone: str,
         *,
         program: Sequence[str] = GATEWAY,
-        through: Through = direct,
+        through: AddressMapper = direct,
     ) -> GatewayProcess:
         """Return a gateway that is not started yet.
 
-        :param through: returns the address that it reaches the store at.
+        :param proxy: maps the store's address to the one that the gateway uses.
         """
         store = {"addr": str(through(self._store_address)), "ttlMinMs": 1000}
         settings = {**self._settings, "platform": store}
@@ -189,23 +186,31 @@
         return gateway
 
     def close(self) -> None:
-        """End all gateways."""
+        """Kill all gateways."""
         for gateway in self.gateways:
             gateway.close()
 
 
 def wait_for(condition, failure: str, limit: timedelta = LIMIT) -> None:
-    """Wait until a condition holds, letting the stand-ins run."""
+    """Wait until a condition holds, while the stand-ins' green threads run.
+
+    :raises AssertionError: if it doesn't hold within ``limit``; with text ``failure``.
+    """
     clock = SystemClock()
     until = clock.elapsed() + limit
     while not condition():
         if clock.elapsed() >= until:
             raise AssertionError(failure)
-        sleep(STEP)
+        sleep(POLL)
 
 
 def ask(address: Address, data: bytes) -> bytes:
-    """Return what an address answers until it closes or falls silent a while."""
+    """Send raw bytes to an address and return the response.
+
+    With ``Connection: close`` in the request, read until the peer closes or sends
+    nothing for 20 s; otherwise return the first chunk, if it arrives within 0.5 s.
+    The response is empty if the connection fails.
+    """
     try:
         sock = connect(address, timedelta(seconds=1))
     except OSError:
--- a/standins/kv_store.py
+++ b/standins/kv_store.py
@@ -1,8 +1,8 @@
-"""Stand-in of the users' platform's store: keys, ranges, watches, leases, outages.
+"""Stand-in for the platform's key-value store: ranges, watches, leases, faults.
 
-It speaks the published calls over HTTP and keeps everything in memory. A test sets
-:attr:`KvStore.fault` to have calls refused, left without an answer, or carried out
-and left without one.
+It implements the published HTTP API and keeps everything in memory. A test sets
+:attr:`KvStore.fault` to have calls refused, ignored without a response, or carried out
+without a response.
 """
 
 import json
@@ -23,7 +23,11 @@
 
 
 class Fault(StrEnum):
-    """What is wrong with the store."""
+    """The injected fault.
+
+    Calls are refused (``BUSY``), ignored without a response (``SILENT``), or carried
+    out without a response (``LOSES_ANSWERS``).
+    """
 
     NONE = "none"
     BUSY = "busy"
@@ -33,7 +37,7 @@
 
 @dataclass(slots=True)
 class Item:
-    """A key as it was last written."""
+    """The last written value of a key, with its revisions and lease."""
 
     value: bytes
     revision: int
@@ -42,15 +46,15 @@
 
 
 @dataclass(slots=True)
-class HeldLease:
-    """A lease that runs."""
+class Lease:
+    """A lease that has not expired."""
 
     ttl: timedelta
     ends_at: timedelta
 
 
 class KvStore:
-    """The store.
+    """Keys, their history, and leases, with the HTTP API.
 
     :param clock: source of elapsed time.
     """
@@ -58,33 +62,33 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._items: dict[str, Item] = {}
-        self._leases: dict[int, HeldLease] = {}
+        self._leases: dict[int, Lease] = {}
         self._history: list[tuple[int, str]] = []
-        self._forgotten = 0
+        self._compacted = 0
         self._revision = 1
         self._last_lease = 0
         self.calls = 0
         self.fault = Fault.NONE
 
     def serve(self, address: Address) -> Address:
-        """Serve calls, and return the address that was bound."""
+        """Start to serve calls, and return the bound address."""
         listener = listen(address)
-        spawn(HttpServer(listener, self._answer, self._clock).serve)
-        spawn(self._expire_for_good)
+        spawn(HttpServer(listener, self._handle, self._clock).serve)
+        spawn(self._expire_leases)
         host, port = listener.getsockname()
         return Address(host, port)
 
     def put(self, key: str, document: object) -> int:
-        """Write a key as the platform does, and return its revision."""
+        """Write a document as the platform does, and return the new revision."""
         return self._write(key, json.dumps(document).encode(), 0)
 
     def remove(self, key: str) -> None:
         """Delete a key."""
         if self._items.pop(key, None) is not None:
-            self._note(key)
+            self._record(key)
 
     def value(self, key: str) -> bytes | None:
-        """Return what a key holds."""
+        """Return the value of a key, or None if there is no such key."""
         item = self._items.get(key)
         return item.value if item else None
 
@@ -93,30 +97,30 @@
         return sorted(key for key in self._items if key.startswith(prefix))
 
     def forget_history(self) -> None:
-        """Drop all history, so that watches have to begin anew."""
-        self._forgotten = self._revision
+        """Drop the history, so that watches of earlier revisions get 410."""
+        self._compacted = self._revision
         self._history.clear()
 
-    def _answer(self, connection: ServerConnection, request: Request) -> None:
+    def _handle(self, connection: ServerConnection, request: Request) -> None:
         self.calls += 1
         if self.fault is Fault.BUSY:
             connection.answer(503)
             return
         if self.fault is Fault.SILENT:
-            self._hold(connection)
+            self._withhold_response(connection)
             return
-        status, document = self._carry_out(connection, request)
+        status, document = self._route(connection, request)
         if self.fault is not Fault.NONE:
-            self._hold(connection)
+            self._withhold_response(connection)
             return
         body = b"" if document is None else json.dumps(document).encode()
         connection.answer(status, [("content-type", "application/json")], body)
 
-    def _hold(self, connection: ServerConnection) -> None:
+    def _withhold_response(self, connection: ServerConnection) -> None:
         while not connection.is_gone:
             sleep(POLL)
 
-    def _carry_out(
+    def _route(
         self, connection: ServerConnection, request: Request
     ) -> tuple[int, dict | None]:
         url = urlsplit(request.target)
@@ -134,9 +138,9 @@
             case "POST", ["kv-lease"]:
                 return self._grant(body["ttlMs"])
             case "POST", ["kv-keep", lease]:
-                return self._keep(int(lease))
+                return self._keep_alive(int(lease))
             case "DELETE", ["kv-lease-end", lease]:
-                self._end(int(lease))
+                self._end_lease(int(lease))
                 return 200, {}
         return 404, None
 
@@ -158,16 +162,16 @@
         self, connection: ServerConnection, query: dict[str, str]
     ) -> tuple[int, dict | None]:
         after = int(query["after"])
-        until = self._clock.elapsed() + timedelta(milliseconds=int(query["waitMs"]))
+        deadline = self._clock.elapsed() + timedelta(milliseconds=int(query["waitMs"]))
         while True:
-            if after < self._forgotten:
+            if after < self._compacted:
                 return 410, None
             events = [
                 self._event(key, revision)
                 for revision, key in self._history
                 if revision > after and key.startswith(query["prefix"])
             ]
-            if events or self._clock.elapsed() >= until or connection.is_gone:
+            if events or self._clock.elapsed() >= deadline or connection.is_gone:
                 return 200, {"events": events, "at": self._revision}
             sleep(POLL)
 
@@ -191,37 +195,37 @@
     def _grant(self, ttl_ms: int) -> tuple[int, dict]:
         self._last_lease += 1
         ttl = timedelta(milliseconds=ttl_ms)
-        self._leases[self._last_lease] = HeldLease(ttl, self._clock.elapsed() + ttl)
+        self._leases[self._last_lease] = Lease(ttl, self._clock.elapsed() + ttl)
         return 200, {"lease": self._last_lease, "ttlMs": ttl_ms}
 
-    def _keep(self, lease: int) -> tuple[int, dict | None]:
+    def _keep_alive(self, lease: int) -> tuple[int, dict | None]:
         held = self._leases.get(lease)
         if held is None:
             return 404, None
         held.ends_at = self._clock.elapsed() + held.ttl
         return 200, {"ttlMs": int(held.ttl / timedelta(milliseconds=1))}
 
-    def _end(self, lease: int) -> None:
+    def _end_lease(self, lease: int) -> None:
         self._leases.pop(lease, None)
         for key in [key for key, item in self._items.items() if item.lease == lease]:
             self.remove(key)
 
-    def _expire_for_good(self) -> None:
+    def _expire_leases(self) -> None:
         while True:
             sleep(POLL)
             now = self._clock.elapsed()
             for lease, held in list(self._leases.items()):
                 if now >= held.ends_at:
-                    self._end(lease)
+                    self._end_lease(lease)
 
     def _write(self, key: str, value: bytes, lease: int) -> int:
         old = self._items.get(key)
-        self._note(key)
+        self._record(key)
         created = old.created if old else self._revision
         self._items[key] = Item(value, self._revision, created, lease)
         return self._revision
 
-    def _note(self, key: str) -> None:
+    def _record(self, key: str) -> None:
         self._revision += 1
         self._history.append((self._revision, key))
 
--- a/tests/guarantees/test_crashing_requests.py
+++ b/tests/guarantees/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""Requests that crash the endpoints which run them, through several gateways."""
+"""Requests that crash their endpoints are quarantined by all gateways."""
 
 import json
 from collections import Counter
@@ -16,10 +16,10 @@
 CLOCK = SystemClock()
 MARKER = b"crash"
 ZONES = "ab"
-# A request under which so many endpoints have ended is kept from the others, and all
-# gateways that are in touch know it so long after the last of these ends.
-ALLOWED_ENDS = 3
-CONTACT = timedelta(seconds=3)
+# A request is quarantined once it has crashed this many endpoints, and all connected
+# gateways know of it this long after the last of these crashes.
+ALLOWED_CRASHES = 3
+PROPAGATION_TIME = timedelta(seconds=3)
 # Pause between two attempts of a caller.
 PAUSE = timedelta(milliseconds=500)
 
@@ -43,7 +43,7 @@
 
 
 class Deployment:
-    """Gateways, and engines that crash on a marked body."""
+    """Gateways, and engines that crash on a request body with the marker."""
 
     def __init__(self, gateways: int, engines: int, **changed: object) -> None:
         self.fleet = GatewayFleet(settings(), configuration(**changed))
@@ -60,13 +60,13 @@
         for number in range(gateways):
             self.fleet.add_gateway(f"front-{number}", ZONES[number % 2]).launch()
         self.wait_until_ready()
-        # Until the gateways know each other.
+        # Until the gateways have discovered each other.
         sleep(timedelta(seconds=1))
         self._attempts = 0
 
     @property
-    def ends(self) -> list[timedelta]:
-        """When endpoints ended, in order."""
+    def crashes(self) -> list[timedelta]:
+        """Times of the endpoints' crashes, in order."""
         return sorted(at for engine in self.engines for at in engine.crashed_at)
 
     def wait_until_ready(self) -> None:
@@ -74,17 +74,17 @@
             gateway.wait_until_ready()
 
     def attempt(self, gateway: int, body: bytes = CRASHING, path: str = "/reports/7"):
-        """Return the answer to one more attempt through a gateway."""
+        """Send the next attempt through a gateway and return the response."""
         self._attempts += 1
         address = self.fleet.gateways[gateway].address
         return ask(address, raw(path, self._attempts, body))
 
     def kill_all(self) -> None:
-        """Kill all gateways at once and start them again."""
+        """Kill all gateways at once and restart them."""
         for gateway in self.fleet.gateways:
             gateway.signal(KILL)
         for gateway in self.fleet.gateways:
-            wait_for(lambda g=gateway: g.exit_code() is not None, "it lives")
+            wait_for(lambda g=gateway: g.exit_code() is not None, "it is still running")
             gateway.launch()
         self.wait_until_ready()
 
@@ -95,7 +95,7 @@
     else route
     for route in configuration()["routes"]
 ]
-# Streams that may not be repeated: each attempt is sent to one endpoint.
+# Streams that may not be retried: each attempt is sent to one endpoint.
 SENT_ONCE = [{**route, "allowResume": False, "maxTries": 1} for route in ONE_SERVICE]
 
 
@@ -107,7 +107,7 @@
     started.fleet.close()
 
 
-def play_attempts(deployment: Deployment, count: int) -> list[bytes]:
+def send_attempts(deployment: Deployment, count: int) -> list[bytes]:
     answers = []
     for number in range(count):
         answers.append(deployment.attempt(number % len(deployment.fleet.gateways)))
@@ -118,79 +118,92 @@
 @pytest.mark.parametrize(
     "deployment", [SENT_ONCE, ONE_SERVICE], ids=["once", "resumed"], indirect=True
 )
-def test_a_request_that_ended_three_endpoints_ends_no_more(deployment):
-    """Guards against an endpoint lost with each attempt, at whichever gateway."""
-    play_attempts(deployment, 14)
-    ends = deployment.ends
-    assert len(ends) >= ALLOWED_ENDS
-    known_at = ends[ALLOWED_ENDS - 1] + CONTACT
-    assert [at for at in ends if at > known_at] == []
-    assert len(ends) <= ALLOWED_ENDS + 1
-
-
-def test_a_request_that_ended_endpoints_is_known_after_all_gateways_were_killed(
-    deployment,
-):
-    """Guards against three more endpoints lost after each restart of all gateways."""
-    play_attempts(deployment, 7)
-    known = len(deployment.ends)
-    assert known >= ALLOWED_ENDS
+def test_a_request_that_crashed_three_endpoints_crashes_no_more(deployment):
+    """Guards against one more crashed endpoint with each attempt through any gateway.
+
+    A caller repeats the request through all gateways in turn.
+    """
+    send_attempts(deployment, 14)
+    crashes = deployment.crashes
+    assert len(crashes) >= ALLOWED_CRASHES
+    known_at = crashes[ALLOWED_CRASHES - 1] + PROPAGATION_TIME
+    assert [at for at in crashes if at > known_at] == []
+    assert len(crashes) <= ALLOWED_CRASHES + 1
+
+
+def test_a_quarantine_survives_the_restart_of_all_gateways(deployment):
+    """Guards against three more crashed endpoints after each restart of all gateways.
+
+    All gateways are killed at once, so only the store still has the record.
+    """
+    send_attempts(deployment, 7)
+    known = len(deployment.crashes)
+    assert known >= ALLOWED_CRASHES
     deployment.kill_all()
-    play_attempts(deployment, 6)
-    assert len(deployment.ends) == known
+    send_attempts(deployment, 6)
+    assert len(deployment.crashes) == known
 
 
-def test_attempts_at_all_gateways_at_once_count_together(deployment):
-    """Guards against a count that starts anew with each gateway's own attempt."""
+def test_crashes_of_concurrent_attempts_are_counted_together(deployment):
+    """Guards against a separate count of crashes at each gateway.
+
+    The first attempts arrive at all gateways at the same time.
+    """
     tasks = [spawn(deployment.attempt, gateway) for gateway in range(3)]
     for task in tasks:
         task.wait()
     sleep(PAUSE)
-    play_attempts(deployment, 9)
-    assert ALLOWED_ENDS <= len(deployment.ends) <= ALLOWED_ENDS + 1
+    send_attempts(deployment, 9)
+    assert ALLOWED_CRASHES <= len(deployment.crashes) <= ALLOWED_CRASHES + 1
+
 
+def test_crashes_are_shared_during_a_store_outage(deployment):
+    """Guards against crash records that reach other gateways only through the store.
 
-def test_it_is_known_while_the_store_is_out(deployment):
-    """Guards against strikes that only the store would bring to other gateways."""
+    The records must also be stored after the outage, so that they survive a restart.
+    """
     deployment.fleet.store.fault = Fault.BUSY
-    play_attempts(deployment, 12)
-    assert ALLOWED_ENDS <= len(deployment.ends) <= ALLOWED_ENDS + 1
+    send_attempts(deployment, 12)
+    assert ALLOWED_CRASHES <= len(deployment.crashes) <= ALLOWED_CRASHES + 1
     deployment.fleet.store.fault = Fault.NONE
     wait_for(
         lambda: len(deployment.fleet.store.keys("sassafrasdale/strikes/")) >= 3,
         "the strikes were not stored after the outage",
     )
-    known = len(deployment.ends)
+    known = len(deployment.crashes)
     deployment.kill_all()
-    play_attempts(deployment, 3)
-    assert len(deployment.ends) == known
+    send_attempts(deployment, 3)
+    assert len(deployment.crashes) == known
 
 
 @pytest.mark.parametrize("deployment", [ONE_SERVICE], ids=["resumed"], indirect=True)
-def test_innocent_requests_beside_it_are_served(deployment):
-    """Guards against refusals of requests that only ran at endpoints that crashed."""
+def test_other_requests_on_crashed_endpoints_are_served(deployment):
+    """Guards against a quarantine of requests that ran on an endpoint when it crashed.
+
+    They run beside the crashing request and are lost with their endpoint.
+    """
     statuses: Counter[bytes] = Counter()
 
-    def ask_innocents(gateway: int) -> None:
+    def send_others(gateway: int) -> None:
         for number in range(40):
             body = b"cube %d of gateway %d" % (number, gateway)
             answer = deployment.attempt(gateway, body)
             if not answer.startswith(b"HTTP/1.1 200"):
-                # As a caller does: once more, elsewhere.
+                # A caller retries once through another gateway.
                 answer = deployment.attempt((gateway + 1) % 3, body)
             statuses[answer[9:12]] += 1
 
-    tasks = [spawn(ask_innocents, gateway) for gateway in range(3)]
-    play_attempts(deployment, 12)
+    tasks = [spawn(send_others, gateway) for gateway in range(3)]
+    send_attempts(deployment, 12)
     for task in tasks:
         task.wait()
-    assert len(deployment.ends) >= ALLOWED_ENDS
+    assert len(deployment.crashes) >= ALLOWED_CRASHES
     assert statuses == {b"200": 120}
 
 
-def test_the_refusal_is_explained_and_can_be_lifted(deployment):
-    """Guards against a refusal that no operator can explain or take back."""
-    play_attempts(deployment, 8)
+def test_a_quarantine_is_logged_and_can_be_lifted(deployment):
+    """Guards against a quarantine that an operator can neither explain nor lift."""
+    send_attempts(deployment, 8)
     refused = deployment.attempt(0)
     assert refused.startswith(b"HTTP/1.1 503")
     assert float(header(refused, "retry-after")) >= 30
@@ -204,7 +217,7 @@
         if line["message"] == "request quarantined" and line["fingerprint"] == name
     ]
     assert len(found) == 1
-    assert len(found[0]["ends"]) >= ALLOWED_ENDS
+    assert len(found[0]["ends"]) >= ALLOWED_CRASHES
     metrics = gateways[1].metrics_address
     shown = ask(metrics, b"GET /quarantine HTTP/1.1\r\nHost: h\r\n\r\n")
     rows = json.loads(shown.partition(b"\r\n\r\n")[2])
@@ -212,12 +225,12 @@
     lifting = f"DELETE /quarantine/{name} HTTP/1.1\r\nHost: h\r\n\r\n".encode()
     assert ask(metrics, lifting).startswith(b"HTTP/1.1 204")
     assert ask(metrics, lifting).startswith(b"HTTP/1.1 404")
-    known = len(deployment.ends)
+    known = len(deployment.crashes)
     wait_for(
         lambda: deployment.attempt(2).startswith(b"HTTP/1.1 502"),
-        "the lifted request was still refused",
+        "the request was still refused after its quarantine was lifted",
     )
-    assert len(deployment.ends) == known + 1
+    assert len(deployment.crashes) == known + 1
     wait_for(
         lambda: deployment.fleet.store.keys("sassafrasdale/strikes/") == [],
         "the strikes are still stored",
--- a/tests/guarantees/test_gateway.py
+++ b/tests/guarantees/test_gateway.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes on the platform's stand-ins."""
+"""Gateways as real processes, on stand-ins for the platform's services."""
 
 from collections import Counter
 from datetime import timedelta
@@ -14,8 +14,8 @@
 
 CLOCK = SystemClock()
 SECOND = timedelta(seconds=1)
-# What the deployment promises: a change is in force, and a leaving endpoint gets
-# nothing more, so long after the store has confirmed it.
+# The deployment's guarantees: this long after the store has confirmed a change, it
+# takes effect, or a draining endpoint gets no more requests.
 APPLY_TIME = timedelta(milliseconds=settings()["bounds"]["configApplyMs"])
 DRAIN_TIME = timedelta(milliseconds=settings()["bounds"]["drainMs"])
 STREAM = {"token_count": "400,24", "prompt_prefix": "aa:300,bb:100"}
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def fleet():
-    """Return a fleet without gateways, with endpoints of both kinds."""
+    """Return a fleet with endpoints of both kinds and no gateways yet."""
     fleet = GatewayFleet(settings(), configuration())
     for number, zone in enumerate("ab"):
         fleet.add_endpoint(f"m-{number}", "models", zone, streams=True)
@@ -60,10 +60,10 @@
 
 
 def test_usage_is_reported_once_for_all_gateways(fleet):
-    """A customer would be billed twice, or for half of its requests.
+    """A customer would be billed twice, or for only half of its requests.
 
-    Requests come through both gateways in one window; the one that has the duty
-    reports their sum, under one fencing number.
+    Requests arrive at both gateways in one window; the leader must report their sum
+    once, with one fencing number.
     """
     start(fleet)
     for gateway in fleet.gateways:
@@ -85,11 +85,11 @@
     assert len(windows) == len(set(windows))
 
 
-def test_a_planned_stop_cuts_off_nothing(fleet):
-    """Callers would see failures at each release.
+def test_a_graceful_stop_fails_no_request(fleet):
+    """Callers' requests would fail with each release.
 
-    Callers go on asking one gateway while it is told to stop: new ones until the
-    balancer has moved on, and a stream that runs meanwhile.
+    A gateway gets SIGTERM while a stream is running, and new requests keep arriving
+    until the load balancer has taken it out.
     """
     start(fleet)
     stopping = fleet.gateways[0]
@@ -118,11 +118,14 @@
     assert "gateway stopped" in messages
 
 
-def test_a_stop_while_the_program_loads_cuts_off_nothing(fleet):
-    """Guards against callers that are reset by a gateway told to stop at its start."""
+def test_a_stop_during_startup_fails_no_request(fleet):
+    """Guards against reset connections when a gateway gets SIGTERM during startup.
+
+    Its socket accepts connections before the program has loaded.
+    """
     gateway = fleet.add_gateway("front-0", "a")
     gateway.launch()
-    caller = connect_soon(gateway)
+    caller = connect_when_open(gateway)
     caller.sendall(request("/certificates/7"))
     gateway.signal(TERM)
     assert caller.recv(65_536).startswith(b"HTTP/1.1 200")
@@ -131,12 +134,15 @@
     assert gateway.exit_code() == 0
 
 
-def test_a_stop_before_anything_is_known_refuses_as_not_run(fleet):
-    """Guards against callers that are denied a route that nobody has looked up."""
+def test_a_stop_before_the_configuration_is_read_is_503(fleet):
+    """Guards against a 404 for a route that the gateway has not looked up.
+
+    The store does not respond, so the gateway stops without any configuration.
+    """
     fleet.store.fault = Fault.SILENT
     gateway = fleet.add_gateway("front-0", "a")
     gateway.launch()
-    caller = connect_soon(gateway)
+    caller = connect_when_open(gateway)
     caller.sendall(request("/certificates/7"))
     gateway.signal(TERM)
     answer = caller.recv(65_536)
@@ -145,19 +151,19 @@
     assert float(header(answer, "retry-after")) > 0
 
 
-def test_a_reload_while_the_program_loads_does_not_end_it(fleet):
-    """Guards against a gateway that a reload of all settings ends at its start."""
+def test_a_reload_during_startup_does_not_end_the_process(fleet):
+    """Guards against a gateway that is terminated by SIGHUP during startup."""
     gateway = fleet.add_gateway("front-0", "a")
     gateway.launch()
-    connect_soon(gateway).close()
+    connect_when_open(gateway).close()
     gateway.signal(HUP)
     gateway.wait_until_ready()
     messages = [line["message"] for line in gateway.log_lines()]
     assert "settings reloaded" in messages
 
 
-def connect_soon(gateway):
-    """Return a connection to a gateway that was just launched."""
+def connect_when_open(gateway):
+    """Return a connection to a starting gateway, as soon as it accepts one."""
     found = []
 
     def is_open() -> bool:
@@ -167,20 +173,20 @@
             return False
         return True
 
-    wait_for(is_open, "nobody listens")
+    wait_for(is_open, "nothing listens at the address")
     return found[0]
 
 
-def test_a_store_that_is_away_at_the_start(fleet):
-    """A fresh gateway would turn callers away as unknown, or crash in a loop.
+def test_a_store_that_is_unavailable_at_startup(fleet):
+    """A new gateway would respond 404 to valid requests, or crash in a loop.
 
-    The store is silent when the gateway starts: it must say that it isn't ready,
-    refuse with when to come back, and serve soon after the store's return.
+    The store does not respond when the gateway starts. The gateway must report not
+    ready, refuse requests with ``Retry-After``, and serve soon after the outage.
     """
     fleet.store.fault = Fault.SILENT
     gateway = fleet.add_gateway("front-0", "a")
     gateway.launch()
-    wait_for(lambda: b"503" in ask(gateway.ready_address, _READY), "no answer")
+    wait_for(lambda: b"503" in ask(gateway.ready_address, _READY), "no response")
     answer = ask(gateway.address, request("/certificates/7"))
     assert answer.startswith(b"HTTP/1.1 503")
     assert float(header(answer, "retry-after")) > 0
@@ -195,26 +201,27 @@
     assert ask(gateway.address, request("/certificates/7")).startswith(b"HTTP/1.1 200")
 
 
-def test_callers_wait_while_the_program_loads(fleet):
-    """Callers would be turned away for most of a second after each crash.
+def test_requests_during_startup_are_answered(fleet):
+    """Callers would be refused for most of a second after each crash.
 
-    A gateway is started; a caller connects as soon as its address takes
-    connections, which is before the program is loaded and knows anything.
+    A caller connects as soon as the address of a starting gateway accepts
+    connections, which is before the program and its configuration are loaded.
     """
     gateway = fleet.add_gateway("front-0", "a")
     gateway.launch()
     answers = []
 
-    def came() -> bool:
+    def is_answered() -> bool:
         answer = ask(gateway.address, request("/certificates/7"))
         answers.extend([answer] if answer else [])
         return bool(answers)
 
-    wait_for(came, "nobody listens")
+    wait_for(is_answered, "nothing listens at the address")
     assert answers[0].startswith(b"HTTP/1.1 200")
 
 
-def test_an_outage_of_the_store_stops_nothing(fleet):
+def test_requests_are_served_during_a_store_outage(fleet):
+    """Guards against requests that wait for a store which does not respond."""
     start(fleet)
     fleet.store.fault = Fault.SILENT
     sleep(2 * SECOND)
@@ -224,7 +231,7 @@
         assert stream.endswith(b"0\r\n\r\n")
 
 
-def test_a_new_configuration_is_in_force_soon(fleet):
+def test_a_new_configuration_takes_effect(fleet):
     start(fleet)
     routes = [dict(route) for route in configuration()["routes"]]
     routes[0]["prefix"] = "/certificates-new/"
@@ -234,7 +241,7 @@
             lambda gateway=gateway: ask(
                 gateway.address, request("/certificates-new/7")
             ).startswith(b"HTTP/1.1 200"),
-            "not in force",
+            "the new configuration did not take effect",
             2 * SECOND,
         )
         assert ask(gateway.address, request("/certificates/7")).startswith(
@@ -242,11 +249,11 @@
         )
 
 
-def fall_silent(fleet: GatewayFleet) -> None:
-    """Have the store give no answers, and answer again, just after a change.
+def suspend_store(fleet: GatewayFleet) -> None:
+    """Make the store stop responding for 6.5 s, shortly after a change.
 
-    The change wakes all gateways' watches, so each asks anew as the silence begins, and
-    for the second time shortly before it ends.
+    The change completes all gateways' watch calls, so each gateway sends a new one as
+    the outage begins, and a second one shortly before it ends.
     """
     sleep(SECOND / 4)
     fleet.store.fault = Fault.SILENT
@@ -254,8 +261,8 @@
     fleet.store.fault = Fault.NONE
 
 
-def ask_at_once(fleet: GatewayFleet) -> None:
-    """Have each gateway answer ten requests at the same time."""
+def ask_concurrently(fleet: GatewayFleet) -> None:
+    """Send ten concurrent requests to each gateway."""
     tasks = [
         spawn(ask, gateway.address, request("/certificates/7", f"r-{number}"))
         for gateway in fleet.gateways
@@ -265,18 +272,19 @@
         task.wait()
 
 
-def test_a_configuration_after_an_outage_is_in_force_in_time(fleet):
-    """Callers of a new route get 404, seconds after the store confirmed the route.
+def test_a_configuration_after_an_outage_takes_effect_in_time(fleet):
+    """Callers of a new route get 404 seconds after the store confirmed the route.
 
-    A change wakes all gateways' watches at once, and the store falls silent. Each asks
-    again into the silence. The store is back and takes a new version; calls that were
-    sent into the silence are never answered, and nobody asks for the configuration.
-    Seen by: on all gateways a call ran out of its 6 s three seconds after the store was
-    back, the second one since the change that had woken them, among answered renewals.
+    A change completes all gateways' watch calls, and the store stops responding. Each
+    gateway sends a new watch call, which is never answered, even after the store is
+    back and has written a new version; until it times out, the gateway does not ask
+    for the configuration. It was seen on all gateways that such a call, the second
+    since the change, ran into its 6 s timeout three seconds after the store was back,
+    while lease renewals were answered.
     """
     start(fleet)
     fleet.store.put("op/config", configuration(version=8))
-    fall_silent(fleet)
+    suspend_store(fleet)
     routes = [dict(route) for route in configuration()["routes"]]
     routes[0]["prefix"] = "/certificates-new/"
     fleet.store.put("op/config", configuration(version=9, routes=routes))
@@ -286,29 +294,30 @@
         assert answer.startswith(b"HTTP/1.1 200")
 
 
-def test_an_endpoint_that_leaves_after_an_outage_gets_nothing_new(fleet):
-    """Callers' requests are cut off by an endpoint that said in time that it leaves.
+def test_an_endpoint_draining_after_an_outage_gets_no_new_requests(fleet):
+    """Requests are cut off by an endpoint although it announced its drain in time.
 
-    The same as above with the list of endpoints: an entry changes, the store falls
-    silent and is back, and the endpoint's leaving is confirmed. Gateways that wait for
-    an answer from the silence go on sending to it beyond its drain time.
+    As above, but with the list of endpoints: one is added, the store stops responding
+    and is back, and the endpoint's drain is confirmed. Gateways whose watch calls were
+    sent during the outage go on sending to it beyond its drain time.
     """
     start(fleet)
     leaving = fleet.add_endpoint("r-8", "records", "a", streams=False)
-    fall_silent(fleet)
-    ask_at_once(fleet)
-    assert leaving.ran
+    suspend_store(fleet)
+    ask_concurrently(fleet)
+    assert leaving.request_ids
     leaving.list_as("draining")
     sleep(DRAIN_TIME)
-    before = len(leaving.ran)
-    ask_at_once(fleet)
-    assert len(leaving.ran) == before
+    before = len(leaving.request_ids)
+    ask_concurrently(fleet)
+    assert len(leaving.request_ids) == before
 
 
-def test_history_that_is_lost_while_an_endpoint_leaves(fleet):
-    """Requests would go on to an endpoint that has left.
+def test_an_endpoint_removed_with_the_history_is_noticed(fleet):
+    """Requests would still be sent to an endpoint that has been removed.
 
-    The entry is removed and the history with it, so no watch ever tells.
+    The store removes the endpoint's key and compacts its history, so that no watch
+    delivers the change.
     """
     start(fleet, 1)
     fleet.store.remove("servers/r-0")
@@ -318,34 +327,35 @@
         lambda: any(
             line["message"] == "endpoint removed" for line in gateway.log_lines()
         ),
-        "the departure was not seen",
+        "the removal was not noticed",
     )
 
 
-def test_a_leaving_endpoint_gets_nothing_new(fleet):
+def test_a_draining_endpoint_gets_no_new_requests(fleet):
+    """Requests would be cut off when the endpoint stops."""
     start(fleet, 1)
     fleet.add_endpoint("r-9", "records", "a", streams=False)
     leaving = fleet.add_endpoint("r-8", "records", "a", streams=False)
     sleep(SECOND / 2)
     leaving.list_as("draining")
     sleep(SECOND / 2)
-    before = len(leaving.ran)
+    before = len(leaving.request_ids)
     for number in range(10):
         ask(fleet.gateways[0].address, request("/certificates/7", f"r-{number}"))
-    assert len(leaving.ran) == before
+    assert len(leaving.request_ids) == before
 
 
-def test_faulty_settings_are_named_and_end_the_process(fleet):
+def test_invalid_settings_are_named_and_end_the_process(fleet):
     gateway = fleet.add_gateway("front-0", "a")
     gateway.write_settings(node=None, portRange="none")
     gateway.launch()
-    wait_for(lambda: gateway.exit_code() is not None, "it runs with faulty settings")
+    wait_for(lambda: gateway.exit_code() is not None, "it runs with invalid settings")
     assert gateway.exit_code() == 2
     assert "node" in gateway.output()
     assert "portRange" in gateway.output()
 
 
-def test_faulty_settings_at_a_reload_change_nothing(fleet):
+def test_invalid_settings_at_a_reload_change_nothing(fleet):
     start(fleet, 1)
     gateway = fleet.gateways[0]
     gateway.write_settings(portRange="none")
@@ -371,11 +381,12 @@
 
 
 @pytest.mark.parametrize("number", [KILL, STOP], ids=["killed", "paused"])
-def test_streams_go_on_without_their_dispatcher(fleet, number):
-    """Callers of a whole zone would wait, or be refused, as one gateway goes.
+def test_streams_are_served_without_the_dispatcher(fleet, number):
+    """All callers of a zone would wait or be refused when one gateway fails.
 
-    The gateway that names engines for its zone is killed, or paused for good, while the
-    others take streams. They choose by themselves until the next one answers.
+    The dispatcher, which assigns engines to its zone's streams, is killed or paused
+    while the other gateways accept streams. They must select engines themselves until
+    another dispatcher responds.
     """
     for name in ("front-0", "front-1", "front-2"):
         fleet.add_gateway(name, "a").launch()
@@ -401,7 +412,7 @@
 
 
 def _dispatcher(fleet: GatewayFleet):
-    """Return the gateway that two others report to."""
+    """Return the gateway that at least two others chose, None if there is none."""
     chosen = Counter(
         line["peer"]
         for gateway in fleet.gateways
