--- a/src/sassafrasdale/gateway/aggregating.py
+++ b/src/sassafrasdale/gateway/aggregating.py
@@ -1,4 +1,4 @@
-"""An aggregator's side: sums of its members' reports, and news to other aggregators."""
+"""Aggregation of members' reports, and exchange of totals between aggregators."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -7,80 +7,82 @@
 
 from sassafrasdale.decisions.aggregators import FRESH, LIFETIME, pause_for
 from sassafrasdale.gateway.groups import Group
-from sassafrasdale.gateway.peer_calls import NEWS_TARGET, PeerCalls, Shared
+from sassafrasdale.gateway.peer_calls import NEWS_TARGET, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
-    GROUP_NEWS,
+    GROUP_UPDATE,
     Contact,
-    GroupNews,
     GroupState,
+    GroupUpdate,
     HeardGroup,
     MemberState,
     Redirect,
     Report,
+    ReportReply,
     UsageRow,
     UsageTotal,
-    View,
 )
 from sassafrasdale.green import GreenThread, spawn
 
 log = Logger("aggregating")
 
-# Pause between two tries to reach a zone of which nothing is heard.
-SEARCH_PAUSE = timedelta(milliseconds=500)
-# Pause between two transfers of usage between zones. It is due seconds after a window.
-USAGE_PAUSE = timedelta(seconds=1)
-# Part of a pause after which an aggregator is told news. An exchange goes both ways, so
-# one side's is enough for both.
-RECENT_SHARE = 0.7
-# Clocks of others that a view passes on: enough for a median that no two steps move.
-MOST_CLOCKS = 9
-# Gateways that were listed and never reported are asked again after this time, and how
-# many at once.
-GREET_PAUSE = timedelta(seconds=2)
-GREETED_AT_ONCE = 8
+# Interval between attempts to contact a zone that has sent nothing.
+SEARCH_INTERVAL = timedelta(milliseconds=500)
+# Interval between transfers of usage counts between zones. They are due only seconds
+# after the end of a window.
+USAGE_INTERVAL = timedelta(seconds=1)
+# Fraction of the interval after which an aggregator is due for an exchange. Exchanges
+# go both ways, so it is enough that one side starts them.
+RECENT_FRACTION = 0.7
+# Clock readings in a reply: enough that two stepped clocks cannot move the median.
+MAX_CLOCKS = 9
+# Interval after which a listed gateway that has never reported is contacted again, and
+# the number of such gateways contacted at once.
+CONTACT_INTERVAL = timedelta(seconds=2)
+MAX_CONTACTED_AT_ONCE = 8
 
 
 @dataclass(slots=True)
-class _Neighbour:
-    """Another aggregator's group as it was last heard.
-
-    :param members: names of its gateways, if they are of this zone.
-    :param usage_acked: version of this gateway's ledger that it is known to have;
-        None before it has said so.
-    :param usage_sent_at: when it was last sent rows.
-    :param usage_held: version of its ledger that was heard here.
-    :param usage_since: when the rows that it has sent were complete.
+class _PeerGroup:
+    """The last update from another aggregator.
+
+    :param members: names of its gateways, if they are in this zone.
+    :param usage_acked: version of this gateway's ledger that it has acknowledged;
+        None before the first acknowledgement.
+    :param usage_sent_at: when rows were last sent to it.
+    :param usage_received: version of its ledger that was received here.
+    :param usage_complete_since: time up to which the rows that it sent are complete.
     """
 
     state: GroupState
-    heard_at: timedelta
+    received_at: timedelta
     members: frozenset[str] = frozenset()
     usage_acked: int | None = None
-    usage_sent_at: timedelta = -USAGE_PAUSE
-    usage_held: int = 0
-    usage_since: float = 0.0
+    usage_sent_at: timedelta = -USAGE_INTERVAL
+    usage_received: int = 0
+    usage_complete_since: float = 0.0
 
 
-class Aggregating:
-    """Sums up what is reported here, and exchanges sums with other aggregators.
+class Aggregator:
+    """Aggregates reports, and exchanges the totals with other aggregators.
 
-    Any gateway does that for those that report to it, whether it should be the one or
-    not: nobody is left without news where two disagree on who that is.
+    A gateway aggregates all reports that it gets, even if another one should be the
+    zone's aggregator. Members therefore stay informed while gateways disagree on who
+    that is.
     """
 
-    def __init__(self, shared: Shared, calls: PeerCalls) -> None:
-        self._shared = shared
+    def __init__(self, context: PeerContext, calls: PeerCalls) -> None:
+        self._context = context
         self._calls = calls
-        self._roster = shared.roster
-        self._clock = shared.clock
-        self._group = Group(shared.work_window, shared.clock)
-        self._neighbours: dict[str, _Neighbour] = {}
-        # Gateways that are known to sum up, and when that was last heard.
+        self._roster = context.roster
+        self._clock = context.clock
+        self._group = Group(context.work_window, context.clock)
+        self._peer_groups: dict[str, _PeerGroup] = {}
+        # Known aggregators, and when each was last confirmed to be one.
         self._aggregators: dict[str, timedelta] = {}
         self._under_way: set[str] = set()
-        self._searched_at: dict[str, timedelta] = {}
-        self._greeted_at: dict[str, timedelta] = {}
-        self._fleet = 1
+        self._last_search_at: dict[str, timedelta] = {}
+        self._contacted_at: dict[str, timedelta] = {}
+        self._gateway_count = 1
 
     @property
     def has_members(self) -> bool:
@@ -89,155 +91,159 @@
         return any(name != own for name in self._group.members)
 
     @property
-    def pause(self) -> timedelta:
-        """Time between two reports of a member, and between two exchanges of news."""
+    def interval(self) -> timedelta:
+        """Interval between a member's reports, and between exchanges."""
         return pause_for(len(self._group.members))
 
-    def take_up(self, groups: list[HeardGroup]) -> None:
-        """Begin to sum up, with the other zones' sums as last heard as a member."""
+    def start(self, groups: list[HeardGroup]) -> None:
+        """Start aggregating, with the other zones' totals last received as member."""
         now = self._clock.elapsed()
-        for heard in groups:
-            aggregator = heard.state.aggregator
+        for group in groups:
+            aggregator = group.state.aggregator
             if aggregator.zone != self._roster.own.zone:
-                neighbour = _Neighbour(heard.state, now - heard.age)
-                self._neighbours.setdefault(aggregator.name, neighbour)
+                peer_group = _PeerGroup(group.state, now - group.age)
+                self._peer_groups.setdefault(aggregator.name, peer_group)
 
-    def begin_anew(self) -> None:
-        """Forget the members; they report elsewhere since."""
-        self._group.begin_anew()
+    def reset(self) -> None:
+        """Remove all members, since they report to another gateway by now."""
+        self._group.reset()
 
-    def lay_down(self) -> None:
-        """Forget everything that was summed up; another gateway does so from now on.
+    def stop(self) -> None:
+        """Discard all totals; another gateway is the aggregator from now on.
 
-        What this gateway spends is counted there. Counted on here later, it would
-        count twice.
+        That one counts this gateway's limit usage. Keeping the counters here would
+        count it twice later.
         """
-        self._group.begin_anew()
-        self._neighbours.clear()
+        self._group.reset()
+        self._peer_groups.clear()
 
-    def take_own(self, state: MemberState, fleet: int) -> None:
-        """Take this gateway's own state.
+    def add_own_state(self, state: MemberState, gateway_count: int) -> None:
+        """Record this gateway's own state.
 
-        :param fleet: how many gateways there are.
+        :param gateway_count: number of all gateways.
         """
-        self._fleet = fleet
+        self._gateway_count = gateway_count
         self._group.take(state)
         own = self._roster.own
-        for window, counts in self._shared.own.usage().items():
-            self._shared.ledger.take(own.name, own.incarnation, window, counts)
+        for window, counts in self._context.local_state.usage().items():
+            self._context.ledger.take(own.name, own.incarnation, window, counts)
 
-    def exchange(self, *, also_recent: bool = False) -> list[GreenThread]:
-        """Start an exchange of news with the other aggregators.
+    def exchange(self, *, include_recent: bool = False) -> list[GreenThread]:
+        """Start exchanges with the other aggregators.
 
-        :param also_recent: whether those that were heard a moment ago are told, too.
+        :param include_recent: whether to include those that sent an update recently.
         """
         return [
             spawn(self._exchange, contact)
-            for contact in self._targets()
+            for contact in self._exchange_targets()
             if contact.name not in self._under_way
-            and (also_recent or self._is_due(contact.name))
+            and (include_recent or self._is_due(contact.name))
         ]
 
-    def ungreeted(self) -> list[Contact]:
-        """Return gateways of the zone that are listed and neither report nor sum up.
+    def uncontacted(self) -> list[Contact]:
+        """Return listed gateways of the zone that neither report nor aggregate.
 
-        One that started first has seen no other in the store, and would sum up itself
-        alone for good.
+        A gateway that started first found no other in the store, and would otherwise
+        aggregate only itself forever.
         """
         now = self._clock.elapsed()
         members = self._group.members
         due = [
             contact
-            for contact in self._roster.of_zone(self._roster.own.zone)
+            for contact in self._roster.in_zone(self._roster.own.zone)
             if contact.name not in members
             and contact.name not in self._aggregators
-            and now - self._greeted_at.get(contact.name, -GREET_PAUSE) >= GREET_PAUSE
+            and now - self._contacted_at.get(contact.name, -CONTACT_INTERVAL)
+            >= CONTACT_INTERVAL
         ]
-        for contact in due[:GREETED_AT_ONCE]:
-            self._greeted_at[contact.name] = now
-        return due[:GREETED_AT_ONCE]
+        for contact in due[:MAX_CONTACTED_AT_ONCE]:
+            self._contacted_at[contact.name] = now
+        return due[:MAX_CONTACTED_AT_ONCE]
 
-    def answer_report(self, report: Report) -> View:
-        """Take a member's report, and return what it needs of the others."""
+    def answer_report(self, report: Report) -> ReportReply:
+        """Record a member's report, and return the state of the other gateways."""
         state = report.state
         name = state.contact.name
-        if report.departs or state.contact.leaving:
-            self._group.drop(name)
+        if report.leaves_group or state.contact.leaving:
+            self._group.remove(name)
         else:
             self._group.take(state)
-        self._roster.heard(state.contact)
+        self._roster.record_contact(state.contact)
         self._roster.merge(report.roster)
-        strikes = self._shared.strikes
+        strikes = self._context.strikes
         strikes.take(name, state.contact.incarnation, report.strikes)
-        self._take_rows(report.usage)
-        listener = self._shared.listener
-        listener.hear_clock(name, state.time)
-        listener.hear_revisions(name, state.revisions)
-        listener.hear_sends(state.contact, report.open_sends)
+        self._merge_usage(report.usage)
+        listener = self._context.listener
+        listener.receive_clock(name, state.time)
+        listener.receive_revisions(name, state.revisions)
+        listener.receive_open_attempts(state.contact, report.open_attempts)
         digest = self._roster.digest()
         known = digest == report.roster_digest
-        return View(
+        return ReportReply(
             sender=self._roster.own,
-            time=self._shared.time.reading(),
-            revisions=self._shared.own.revisions(),
-            groups=self.view_for(name, concise=True),
-            pause_s=self.pause.total_seconds(),
+            time=self._context.time.reading(),
+            revisions=self._context.local_state.revisions(),
+            groups=self.groups_for(name, concise=True),
+            interval_s=self.interval.total_seconds(),
             roster_digest=digest,
-            roster=() if known else tuple(self._roster.own_zone()),
-            clocks=self._shared.time.others(MOST_CLOCKS),
+            roster=() if known else tuple(self._roster.own_zone_contacts()),
+            clocks=self._context.time.others(MAX_CLOCKS),
             strikes=strikes.news_for(name),
         )
 
-    def answer_news(self, news: GroupNews, reports_to: str) -> GroupNews | Redirect:
-        """Take another aggregator's news, and return this one's.
+    def answer_update(
+        self, update: GroupUpdate, reports_to: str
+    ) -> GroupUpdate | Redirect:
+        """Apply another aggregator's update, and return this one's.
 
-        :param reports_to: the aggregator that this gateway itself reports to, if any.
+        :param reports_to: name of the aggregator that this gateway reports to; empty if
+            there is none.
         """
         aggregator = self._roster.get(reports_to)
         if aggregator is not None and not self.has_members:
             return Redirect(aggregator)
-        self._take_news(news)
-        return self._news(news.sender)
+        self._apply_update(update)
+        return self._update_for(update.sender)
 
-    def view_for(self, name: str, *, concise: bool = False) -> tuple[HeardGroup, ...]:
-        """Return the sums over all gateways but one, its own group first.
+    def groups_for(self, name: str, *, concise: bool = False) -> tuple[HeardGroup, ...]:
+        """Return the totals over all gateways except one, this group first.
 
-        :param concise: whether the counts that only aggregators need are left out.
+        :param concise: whether to omit the counts that only aggregators need.
         """
         now = self._clock.elapsed()
         own = HeardGroup(self._sums(without=name, concise=concise))
         others = [
-            HeardGroup(other.state, (now - other.heard_at).total_seconds())
-            for other in self._neighbours.values()
+            HeardGroup(other.state, (now - other.received_at).total_seconds())
+            for other in self._peer_groups.values()
         ]
         if concise:
-            others = [other.concise() for other in others]
+            others = [other.without_trial_counts() for other in others]
         return (own, *others)
 
     def usage(self, window: int) -> UsageTotal:
-        """Return all gateways' counts of a window, as far as they are known."""
+        """Return the known counts of a window for all gateways."""
         now = self._clock.elapsed()
-        since = [self._group.told_since or self._shared.time.seconds]
+        since = [self._group.complete_since or self._context.time.seconds]
         since += [
-            other.usage_since
-            for other in self._neighbours.values()
-            if now - other.heard_at <= LIFETIME
+            other.usage_complete_since
+            for other in self._peer_groups.values()
+            if now - other.received_at <= LIFETIME
         ]
-        return UsageTotal(self._shared.ledger.total(window), min(since))
+        return UsageTotal(self._context.ledger.total(window), min(since))
 
-    def forget_old(self) -> None:
-        """Drop gateways and groups that are gone."""
+    def remove_expired(self) -> None:
+        """Remove expired members, aggregators and groups."""
         now = self._clock.elapsed()
-        self._roster.keep(self._group.members)
-        self._shared.strikes.forget(lambda name: self._roster.get(name) is None)
+        self._roster.mark_alive(self._group.members)
+        self._context.strikes.forget(lambda name: self._roster.get(name) is None)
         zone = self._roster.own.zone
-        self._group.forget_gone({other.name for other in self._roster.of_zone(zone)})
-        for name, seen_at in list(self._aggregators.items()):
-            if now - seen_at > LIFETIME:
+        self._group.remove_gone({other.name for other in self._roster.in_zone(zone)})
+        for name, confirmed_at in list(self._aggregators.items()):
+            if now - confirmed_at > LIFETIME:
                 del self._aggregators[name]
-        for name in list(self._neighbours):
+        for name in list(self._peer_groups):
             if self._roster.get(name) is None:
-                del self._neighbours[name]
+                del self._peer_groups[name]
 
     def _sums(self, without: str = "", *, concise: bool = False) -> GroupState:
         own = self._roster.own
@@ -245,162 +251,165 @@
             own,
             without=without,
             listed=self._listed(),
-            fleet=self._fleet,
+            gateway_count=self._gateway_count,
             concise=concise,
         )
 
     def _listed(self) -> set[str]:
-        """Return the gateways of the zone that belong to this group.
+        """Return the listed gateways of the zone that belong to this group.
 
-        Those that report to another aggregator of the zone are counted there. Where
-        this gateway is not the one that should be it, the others are, too.
+        Gateways that report to another aggregator of the zone are counted there. If
+        this gateway is not the zone's first candidate, none belong to it.
         """
         own = self._roster.own
-        first = self._roster.candidate(own.zone)
-        if first is None or first.name != own.name:
+        candidate = self._roster.aggregator_candidate(own.zone)
+        if candidate is None or candidate.name != own.name:
             return set()
-        listed = {contact.name for contact in self._roster.of_zone(own.zone)}
-        for other in self._neighbours.values():
+        listed = {contact.name for contact in self._roster.in_zone(own.zone)}
+        for other in self._peer_groups.values():
             listed -= other.members
         return listed
 
-    def _targets(self) -> list[Contact]:
-        """Return the aggregators to exchange news with."""
+    def _exchange_targets(self) -> list[Contact]:
+        """Return the aggregators to exchange updates with."""
         now = self._clock.elapsed()
         found = [
             contact
-            for name, seen_at in self._aggregators.items()
-            if now - seen_at <= LIFETIME
-            and not self._roster.is_passed_over(name)
+            for name, confirmed_at in self._aggregators.items()
+            if now - confirmed_at <= LIFETIME
+            and not self._roster.is_avoided(name)
             and (contact := self._roster.get(name)) is not None
         ]
         reached = {contact.zone for contact in found} | {self._roster.own.zone}
         for zone in self._roster.zones() - reached:
-            if now - self._searched_at.get(zone, -SEARCH_PAUSE) < SEARCH_PAUSE:
+            if now - self._last_search_at.get(zone, -SEARCH_INTERVAL) < SEARCH_INTERVAL:
                 continue
-            self._searched_at[zone] = now
-            if (first := self._roster.candidate(zone)) is not None:
+            self._last_search_at[zone] = now
+            if (first := self._roster.aggregator_candidate(zone)) is not None:
                 found.append(first)
         return found
 
     def _is_due(self, name: str) -> bool:
-        other = self._neighbours.get(name)
+        other = self._peer_groups.get(name)
         if other is None:
             return True
-        return self._clock.elapsed() - other.heard_at >= self.pause * RECENT_SHARE
+        return (
+            self._clock.elapsed() - other.received_at >= self.interval * RECENT_FRACTION
+        )
 
     def _exchange(self, contact: Contact) -> None:
         self._under_way.add(contact.name)
         try:
-            news = self._news(contact)
-            answer = self._calls.send(contact, NEWS_TARGET, news, GROUP_NEWS)
+            update = self._update_for(contact)
+            answer = self._calls.send(contact, NEWS_TARGET, update, GROUP_UPDATE)
             match answer:
-                case GroupNews():
-                    self._take_news(answer)
+                case GroupUpdate():
+                    self._apply_update(answer)
                 case Redirect():
-                    self._follow(contact, answer.aggregator)
+                    self._follow_redirect(contact, answer.aggregator)
                 case _:
                     self._aggregators.pop(contact.name, None)
         finally:
             self._under_way.discard(contact.name)
 
-    def _follow(self, asked: Contact, aggregator: Contact) -> None:
-        """Go to the aggregator that another gateway names."""
+    def _follow_redirect(self, asked: Contact, aggregator: Contact) -> None:
+        """Replace a gateway by the aggregator that its redirect names."""
         self._aggregators.pop(asked.name, None)
-        self._neighbours.pop(asked.name, None)
+        self._peer_groups.pop(asked.name, None)
         if aggregator.name != self._roster.own.name:
             self._roster.merge([aggregator])
             self._aggregators[aggregator.name] = self._clock.elapsed()
 
-    def _news(self, receiver: Contact) -> GroupNews:
+    def _update_for(self, receiver: Contact) -> GroupUpdate:
         sums = self._sums()
-        other = self._neighbours.get(receiver.name)
-        rows = self._rows_for(other)
-        own_zone = receiver.zone == self._roster.own.zone
-        return GroupNews(
+        other = self._peer_groups.get(receiver.name)
+        rows = self._usage_rows_for(other)
+        same_zone = receiver.zone == self._roster.own.zone
+        return GroupUpdate(
             sender=self._roster.own,
-            time=self._shared.time.reading(),
-            revisions=self._shared.own.revisions(),
+            time=self._context.time.reading(),
+            revisions=self._context.local_state.revisions(),
             group=sums,
-            aggregators=tuple(self._others_but(receiver.name)),
+            aggregators=tuple(self._other_aggregators(receiver.name)),
             usage=rows or (),
-            usage_since=None if rows is None else sums.told_since,
-            usage_version=self._shared.ledger.version,
-            usage_held=0 if other is None else other.usage_held,
-            members=tuple(self._group.fresh) if own_zone else (),
-            strikes=self._shared.strikes.news_for(receiver.name),
+            usage_complete_since=None if rows is None else sums.complete_since,
+            usage_version=self._context.ledger.version,
+            usage_received=0 if other is None else other.usage_received,
+            members=tuple(self._group.in_touch) if same_zone else (),
+            strikes=self._context.strikes.news_for(receiver.name),
         )
 
-    def _rows_for(self, other: _Neighbour | None) -> tuple[UsageRow, ...] | None:
-        """Return the rows of usage that an aggregator lacks; None if it isn't time.
+    def _usage_rows_for(self, other: _PeerGroup | None) -> tuple[UsageRow, ...] | None:
+        """Return the usage rows that an aggregator lacks; None if none are due.
 
-        At first all that are known: a former aggregator's sums of gateways that died
-        are nowhere else. Later those of this zone, as the others tell their own. They
-        are sent again until it says that it has them: an answer may come too late.
+        The first transfer carries all known rows, since no other gateway may have the
+        counts of gateways that died. Later ones carry this zone's rows, as other zones
+        send their own. Rows are resent until acknowledged, since a response may come
+        too late.
         """
         if other is None:
-            return tuple(UsageRow(*row) for row in self._shared.ledger.rows(0))
+            return tuple(UsageRow(*row) for row in self._context.ledger.rows(0))
         now = self._clock.elapsed()
-        if now - other.usage_sent_at < USAGE_PAUSE:
+        if now - other.usage_sent_at < USAGE_INTERVAL:
             return None
         other.usage_sent_at = now
         if other.usage_acked is None:
-            rows = self._shared.ledger.rows(0)
+            rows = self._context.ledger.rows(0)
         else:
-            names = {contact.name for contact in self._roster.own_zone()}
-            rows = self._shared.ledger.rows(other.usage_acked, names)
+            names = {contact.name for contact in self._roster.own_zone_contacts()}
+            rows = self._context.ledger.rows(other.usage_acked, names)
         return tuple(UsageRow(*row) for row in rows)
 
-    def _others_but(self, receiver: str) -> list[Contact]:
+    def _other_aggregators(self, receiver: str) -> list[Contact]:
         now = self._clock.elapsed()
         return [
             other.state.aggregator
-            for name, other in self._neighbours.items()
-            if name != receiver and now - other.heard_at <= FRESH
+            for name, other in self._peer_groups.items()
+            if name != receiver and now - other.received_at <= FRESH
         ]
 
-    def _take_news(self, news: GroupNews) -> None:
+    def _apply_update(self, update: GroupUpdate) -> None:
         now = self._clock.elapsed()
-        sender = news.sender
-        self._roster.heard(sender)
+        sender = update.sender
+        self._roster.record_contact(sender)
         self._aggregators[sender.name] = now
-        self._drop_former(sender)
-        other = self._neighbours.get(sender.name)
+        self._remove_former(sender)
+        other = self._peer_groups.get(sender.name)
         if other is None or other.state.aggregator.incarnation != sender.incarnation:
-            other = self._neighbours[sender.name] = _Neighbour(news.group, now)
-        other.state = news.group
-        other.heard_at = now
-        other.members = frozenset(news.members)
-        # Those that are silent here report there since.
-        for member in other.members - self._group.fresh:
-            self._group.drop(member)
-        for contact in news.aggregators:
+            other = self._peer_groups[sender.name] = _PeerGroup(update.group, now)
+        other.state = update.group
+        other.received_at = now
+        other.members = frozenset(update.members)
+        # Members that are silent here have moved to that aggregator.
+        for member in other.members - self._group.in_touch:
+            self._group.remove(member)
+        for contact in update.aggregators:
             if contact.name != self._roster.own.name:
                 self._roster.merge([contact])
                 self._aggregators.setdefault(contact.name, now)
-        self._shared.strikes.take(sender.name, sender.incarnation, news.strikes)
-        self._take_rows(news.usage)
-        if news.usage_since is not None:
-            other.usage_since = news.usage_since
-            other.usage_held = news.usage_version
-        if news.usage_held:
-            other.usage_acked = news.usage_held
-        listener = self._shared.listener
-        listener.hear_clock(sender.name, news.time)
-        listener.hear_revisions(sender.name, news.revisions)
-
-    def _take_rows(self, rows: tuple[UsageRow, ...]) -> None:
+        self._context.strikes.take(sender.name, sender.incarnation, update.strikes)
+        self._merge_usage(update.usage)
+        if update.usage_complete_since is not None:
+            other.usage_complete_since = update.usage_complete_since
+            other.usage_received = update.usage_version
+        if update.usage_received:
+            other.usage_acked = update.usage_received
+        listener = self._context.listener
+        listener.receive_clock(sender.name, update.time)
+        listener.receive_revisions(sender.name, update.revisions)
+
+    def _merge_usage(self, rows: tuple[UsageRow, ...]) -> None:
         for row in rows:
-            self._shared.ledger.take(
+            self._context.ledger.take(
                 row.gateway, row.incarnation, row.window, row.counts
             )
 
-    def _drop_former(self, sender: Contact) -> None:
-        """Forget a zone's former aggregator once another one tells its sums."""
+    def _remove_former(self, sender: Contact) -> None:
+        """Remove a zone's former aggregator once another one sends its totals."""
         now = self._clock.elapsed()
-        for name, other in list(self._neighbours.items()):
+        for name, other in list(self._peer_groups.items()):
             former = other.state.aggregator
             if former.zone != sender.zone or name == sender.name:
                 continue
-            if self._roster.is_passed_over(name) or now - other.heard_at > FRESH:
-                del self._neighbours[name]
+            if self._roster.is_avoided(name) or now - other.received_at > FRESH:
+                del self._peer_groups[name]
--- a/src/sassafrasdale/gateway/following.py
+++ b/src/sassafrasdale/gateway/following.py
@@ -1,8 +1,8 @@
-"""Following keys of the platform's store, also through its outages.
+"""Replication of keys of the platform's store, also during its outages.
 
-A follower holds the raw values below a prefix and the revision up to which it
-knows them. It learns from the store's watch and, while that is out of reach, from
-peers; whichever is ahead counts, and it never goes back.
+A follower holds the raw values below a prefix and the revision up to which it knows
+them. It gets changes from a watch on the store and, while the store is unreachable,
+from peers. It applies whichever is newer and never goes back to an older revision.
 """
 
 from collections.abc import Callable, Mapping
@@ -25,29 +25,29 @@
 
 log = Logger("following")
 
-# How long one watch waits. The store keeps some twenty seconds of history, and a watch
-# that was swallowed shows by what the gateways ask by turns; so it need not be short.
-WATCH_WAIT = timedelta(seconds=10)
-# Pauses after a failed call: short at first, since an outage may have just ended.
-FIRST_PAUSE = timedelta(milliseconds=100)
-LONGEST_PAUSE = timedelta(seconds=1)
-# Pause between two looks whether a gateway that others tell has to watch by itself: a
-# third of the time after which it takes those for silent.
-LOOK_PAUSE = timedelta(milliseconds=500)
-# Time between two watches. Where a zone's endpoints start or leave together, one call
-# brings what would take ten; what callers see of it is a tenth of a second.
-COLLECTING = timedelta(milliseconds=100)
-# Deleted keys that are told to peers. Endpoints come and go a few times a second at
-# most, and peers ask within a second.
-MOST_DELETED = 200
+# Timeout of one watch. It can be this long because the store keeps about twenty seconds
+# of history, and because the gateways' polls detect watches that were lost.
+WATCH_TIMEOUT = timedelta(seconds=10)
+# Backoff after a failed call: short at first, since an outage may have just ended.
+INITIAL_BACKOFF = timedelta(milliseconds=100)
+MAX_BACKOFF = timedelta(seconds=1)
+# Interval at which a gateway that relies on others checks whether it has to watch the
+# store itself: a third of the time after which it considers the others silent.
+WATCH_CHECK_INTERVAL = timedelta(milliseconds=500)
+# Delay between two watches. Where a zone's endpoints start or leave together, one call
+# returns what would take ten; callers see a delay of a tenth of a second.
+BATCH_DELAY = timedelta(milliseconds=100)
+# Deleted keys that are kept for peers. Endpoints come and go a few times a second at
+# most, and peers fetch changes within a second.
+MAX_DELETED_KEYS = 200
 
 
 @dataclass(frozen=True, slots=True)
-class Revised:
-    """What has changed below a prefix.
+class PrefixChanges:
+    """Changes below a prefix.
 
     :param written: new values by key.
-    :param deleted: keys that are gone.
+    :param deleted: deleted keys.
     """
 
     written: Mapping[str, bytes]
@@ -59,17 +59,17 @@
 
     :param prefix: prefix of the keys.
     :param store: the platform's store.
-    :param changed: told of each change, in order.
-    :param dependency: told whether the store answers.
-    :param should_watch: whether this gateway has to watch the store by itself, once it
-        has read everything.
+    :param on_change: called with each change, in order.
+    :param dependency: notified whether the store responds.
+    :param should_watch: whether this gateway has to watch the store itself, once it has
+        listed all values.
     """
 
     def __init__(
         self,
         prefix: str,
         store: PlatformStore,
-        changed: Callable[[Revised], None],
+        on_change: Callable[[PrefixChanges], None],
         dependency: Dependency,
         clock: Clock,
         rng: Random,
@@ -78,17 +78,17 @@
         self._should_watch = should_watch
         self._prefix = prefix
         self._store = store
-        self._changed = changed
+        self._on_change = on_change
         self._dependency = dependency
         self._clock = clock
         self._rng = rng
         self._values: dict[str, bytes] = {}
         self._revision = 0
         self._changed_revision = 0
-        self._must_list = True
+        self._needs_listing = True
         self._key_revisions: dict[str, int] = {}
         self._deleted: dict[str, int] = {}
-        # Each change after this revision is known by its key.
+        # All changes after this revision are known by key.
         self._complete_since = 0
         self._lost_at: timedelta | None = None
 
@@ -99,12 +99,12 @@
 
     @property
     def revision(self) -> int:
-        """Revision up to which the values are known; 0 before anything is."""
+        """Revision up to which the values are known; 0 before the first listing."""
         return self._revision
 
     @property
     def changed_revision(self) -> int:
-        """Revision of the last change that is known; 0 before anything is.
+        """Revision of the last known change; 0 before the first listing.
 
         Two followers that know the same values may differ in :attr:`revision`,
         since writes elsewhere in the store raise it.
@@ -117,44 +117,44 @@
         return self._values
 
     def revision_of(self, key: str) -> int:
-        """Return the revision of a key's last change; 0 for a key that isn't there."""
+        """Return the revision of a key's last change; 0 for a missing key."""
         return self._key_revisions.get(key, 0)
 
     def run(self) -> None:
         """Follow the store until the task is killed."""
-        pause = FIRST_PAUSE
+        pause = INITIAL_BACKOFF
         while True:
-            if not self._must_list and not self._should_watch():
-                sleep(LOOK_PAUSE)
+            if not self._needs_listing and not self._should_watch():
+                sleep(WATCH_CHECK_INTERVAL)
                 continue
-            asked_at = self._clock.elapsed()
+            called_at = self._clock.elapsed()
             try:
                 self.step()
-                self._dependency.succeeded(asked_at)
-                self._note_followed()
-                pause = FIRST_PAUSE
-                # Changes come in bursts, and each watch has a price.
-                sleep(COLLECTING)
+                self._dependency.succeeded(called_at)
+                self._log_recovery()
+                pause = INITIAL_BACKOFF
+                # Changes come in bursts, and each watch costs a call.
+                sleep(BATCH_DELAY)
             except StoreWatchDropped:
                 continue
             except StoreHistoryLost:
-                log.warning("history lost, reading anew", prefix=self._prefix)
-                self._must_list = True
+                log.warning("history lost, listing again", prefix=self._prefix)
+                self._needs_listing = True
             except StoreError as error:
-                self._dependency.failed(error, asked_at)
-                self._note_lost(error, asked_at)
+                self._dependency.failed(error, called_at)
+                self._log_loss(error, called_at)
                 sleep(pause * self._rng.uniform(0.7, 1.3))
-                pause = min(pause * 2, LONGEST_PAUSE)
+                pause = min(pause * 2, MAX_BACKOFF)
 
-    def _note_lost(self, error: StoreError, asked_at: timedelta) -> None:
-        """Log that this prefix isn't followed, once for each loss.
+    def _log_loss(self, error: StoreError, called_at: timedelta) -> None:
+        """Log that this prefix is no longer followed, once per loss.
 
-        The store as a whole may answer others of the gateway's calls meanwhile.
+        The store may still respond to other calls of this gateway.
         """
         if self._lost_at is not None:
             return
-        self._lost_at = asked_at
-        waited = self._clock.elapsed() - asked_at
+        self._lost_at = called_at
+        waited = self._clock.elapsed() - called_at
         log.warning(
             "store not followed",
             prefix=self._prefix,
@@ -164,53 +164,55 @@
             waited_s=round(waited.total_seconds(), 3),
         )
 
-    def _note_followed(self) -> None:
+    def _log_recovery(self) -> None:
         if self._lost_at is None:
             return
-        away = self._clock.elapsed() - self._lost_at
+        outage = self._clock.elapsed() - self._lost_at
         self._lost_at = None
         log.notice(
             "store followed again",
             prefix=self._prefix,
             revision=self._revision,
-            away_s=round(away.total_seconds(), 3),
+            away_s=round(outage.total_seconds(), 3),
         )
 
     def step(self) -> None:
-        """Read everything if need be, else wait for changes once.
+        """List all values if needed, else wait for changes once.
 
         :raises StoreError: if the store fails.
         """
-        if self._must_list:
+        if self._needs_listing:
             snapshot = self._store.snapshot(self._prefix)
             values = {item.key: item.value for item in snapshot.values}
             revisions = {item.key: item.mod_revision for item in snapshot.values}
-            self._must_list = False
+            self._needs_listing = False
             changed = max(revisions.values(), default=0)
-            self.adopt(values, snapshot.revision, changed, revisions)
+            self.replace_all(values, snapshot.revision, changed, revisions)
             return
-        self._take_changes(self._store.follow(self._prefix, self._revision, WATCH_WAIT))
+        self._apply_watch_changes(
+            self._store.follow(self._prefix, self._revision, WATCH_TIMEOUT)
+        )
 
     def poll(self) -> bool:
-        """Ask for changes without waiting, and return whether any were missed."""
-        if self._must_list:
+        """Get changes without waiting, and return whether any were missed."""
+        if self._needs_listing:
             return False
-        asked_at = self._clock.elapsed()
+        called_at = self._clock.elapsed()
         try:
             changes = self._store.changes(self._prefix, self._revision)
         except StoreHistoryLost:
-            # The watch, asked anew, meets the same and has everything read.
-            self._dependency.succeeded(asked_at)
+            # The next watch gets the same error, and all values are listed again.
+            self._dependency.succeeded(called_at)
             return True
         except StoreError as error:
-            self._dependency.failed(error, asked_at)
+            self._dependency.failed(error, called_at)
             return False
-        self._dependency.succeeded(asked_at)
-        return self._take_changes(changes)
+        self._dependency.succeeded(called_at)
+        return self._apply_watch_changes(changes)
 
-    def _take_changes(self, changes: Changes) -> bool:
-        """Take what the store has answered, and return whether any of it is news."""
-        # A peer may have brought something newer while the watch waited.
+    def _apply_watch_changes(self, changes: Changes) -> bool:
+        """Apply changes from the store, and return whether any of them was new."""
+        # A peer may have sent something newer while the watch waited.
         events = [event for event in changes.events if event.revision > self._revision]
         if not events:
             self._revision = max(self._revision, changes.revision)
@@ -230,45 +232,45 @@
         self._apply(written, deleted, revisions, changes.revision, last)
         return True
 
-    def adopt(
+    def replace_all(
         self,
         values: Mapping[str, bytes],
         revision: int,
         changed_revision: int,
         revisions: Mapping[str, int] | None = None,
     ) -> None:
-        """Take all values as of a revision, unless newer ones are known.
+        """Replace all values by those of a revision, unless newer ones are known.
 
-        :param changed_revision: revision of the last change among them, as far as
-            it is known. A later one is not made up: peers would take it for news.
-        :param revisions: revision of each value's last change, as far as it is known.
+        :param changed_revision: last known change among them. It must not be later than
+            that, since peers would fetch the values again.
+        :param revisions: revision of each value's last change, as far as known.
         """
         if revision < self._revision:
             return
-        known = revisions or {}
-        # Written anew with the same value, a key may mean something new.
+        known_revisions = revisions or {}
+        # A key that was rewritten with the same value counts as changed.
         written = {
             key: value
             for key, value in values.items()
             if self._values.get(key) != value
-            or known.get(key, 0) > self._key_revisions.get(key, 0)
+            or known_revisions.get(key, 0) > self._key_revisions.get(key, 0)
         }
         gone = self._values.keys() - values.keys()
-        # When the others were deleted isn't known, so later deltas begin here.
+        # The revisions of the deletions are unknown, so later deltas begin here.
         self._complete_since = revision
         self._apply(
             written,
             dict.fromkeys(gone, revision),
-            known,
+            known_revisions,
             revision,
             changed_revision,
         )
 
     def changes_since(self, revision: int) -> StoreValues | None:
-        """Return what has changed since a revision, or all, for a peer that asks.
+        """Return the changes since a revision, or all values, for a peer.
 
-        The whole list of endpoints is some 25 KB for eighty of them, and each gateway
-        of a zone asks for each change; what has changed is some hundred bytes.
+        The list of eighty endpoints takes about 25 KB, and each gateway of a zone
+        fetches each change; a delta takes some hundred bytes.
         """
         if not self._revision:
             return None
@@ -293,10 +295,10 @@
             is_whole=False,
         )
 
-    def take(self, values: StoreValues, since: int) -> None:
-        """Take what a peer has answered to the revision ``since``."""
+    def apply_peer_values(self, values: StoreValues, since: int) -> None:
+        """Apply a peer's response to a request for changes since ``since``."""
         if values.is_whole:
-            self.adopt(
+            self.replace_all(
                 values.values,
                 values.revision,
                 values.changed_revision,
@@ -329,14 +331,14 @@
             self._values.pop(key, None)
             self._key_revisions.pop(key, None)
             self._deleted[key] = deleted_at
-        self._forget_deleted()
+        self._trim_deleted()
         self._revision = max(self._revision, revision)
         self._changed_revision = max(self._changed_revision, changed_revision)
         if written or deleted:
-            self._changed(Revised(written, frozenset(deleted)))
+            self._on_change(PrefixChanges(written, frozenset(deleted)))
 
-    def _forget_deleted(self) -> None:
-        """Drop the oldest of the deleted keys; deltas begin after them."""
-        while len(self._deleted) > MOST_DELETED:
+    def _trim_deleted(self) -> None:
+        """Drop the oldest deleted keys; deltas begin after them."""
+        while len(self._deleted) > MAX_DELETED_KEYS:
             oldest = min(self._deleted, key=self._deleted.get)
             self._complete_since = max(self._complete_since, self._deleted.pop(oldest))
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -1,4 +1,4 @@
-"""The sums that an aggregator makes of its members' reports."""
+"""Totals that an aggregator computes from its members' reports."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable
@@ -13,7 +13,7 @@
     Contact,
     DutyClaim,
     EndpointLoad,
-    GroupSpending,
+    GroupLimitUsage,
     GroupState,
     MemberState,
 )
@@ -22,20 +22,20 @@
 
 @dataclass(slots=True)
 class _Member:
-    """A gateway as it last reported.
+    """The last report of a gateway.
 
-    :param counted: what was counted of its spending since it was taken, by customer.
+    :param counted: its usage counted here since its first report, by customer.
     """
 
     state: MemberState
-    heard_at: timedelta
+    reported_at: timedelta
     counted: Counter[str] = field(default_factory=Counter)
 
 
 class Group:
     """The gateways that report to this one, itself included.
 
-    :param work_window: time over which each gateway averages its work.
+    :param work_window: period over which each gateway averages its engine time.
     :param clock: source of elapsed time.
     """
 
@@ -45,36 +45,36 @@
         self._members: dict[str, _Member] = {}
         self._spent: Counter[str] = Counter()
         self._epoch = 0
-        self._began_at = clock.elapsed()
+        self._counting_since = clock.elapsed()
 
     @property
     def members(self) -> set[str]:
-        """Names of those that are not held to be gone."""
-        return set(self._heard_within(LIFETIME))
+        """Names of the members that reported within the expiry timeout."""
+        return set(self._reported_within(LIFETIME))
 
     @property
-    def fresh(self) -> set[str]:
-        """Names of those in touch."""
-        return set(self._heard_within(FRESH))
+    def in_touch(self) -> set[str]:
+        """Names of the members that reported within the contact timeout."""
+        return set(self._reported_within(FRESH))
 
     @property
-    def told_since(self) -> float:
-        """All in touch have told their state since then; 0 where there are none."""
-        return _told_since(self._heard_within(FRESH).values())
+    def complete_since(self) -> float:
+        """Time at or after which all members in touch reported; 0 without members."""
+        return _complete_since(self._reported_within(FRESH).values())
 
-    def _heard_within(self, limit: timedelta) -> dict[str, _Member]:
+    def _reported_within(self, limit: timedelta) -> dict[str, _Member]:
         now = self._clock.elapsed()
         return {
             name: member
             for name, member in self._members.items()
-            if now - member.heard_at <= limit
+            if now - member.reported_at <= limit
         }
 
     def take(self, state: MemberState) -> None:
-        """Take a member's report.
+        """Record a member's report.
 
-        Of a new member, what no aggregator has counted yet is counted here: what
-        customers spent while it had none would be theirs a second time otherwise.
+        The usage of a new member that no aggregator has counted yet is counted here;
+        otherwise customers could use that part of their limits twice.
         """
         name = state.contact.name
         last = self._members.get(name)
@@ -82,32 +82,32 @@
         restarted = last is None or (
             last.state.contact.incarnation != state.contact.incarnation
         )
-        for customer, spending in state.spending.items():
-            known = spending.told
-            if not restarted and customer in last.state.spending:
-                known = last.state.spending[customer].spent
-            delta = spending.spent - known
+        for customer, usage in state.limit_usage.items():
+            known = usage.counted
+            if not restarted and customer in last.state.limit_usage:
+                known = last.state.limit_usage[customer].spent
+            delta = usage.spent - known
             counted[customer] += delta
             self._spent[customer] += delta
         self._members[name] = _Member(state, self._clock.elapsed(), counted)
 
-    def drop(self, name: str) -> None:
-        """Forget a member that reports elsewhere or is leaving."""
+    def remove(self, name: str) -> None:
+        """Remove a member that reports to another gateway or is shutting down."""
         self._members.pop(name, None)
 
-    def begin_anew(self) -> None:
-        """Forget all members; counters begin anew and say so."""
+    def reset(self) -> None:
+        """Remove all members and reset the counters under a new epoch."""
         self._members.clear()
         self._spent.clear()
         self._epoch += 1
-        self._began_at = self._clock.elapsed()
+        self._counting_since = self._clock.elapsed()
 
-    def forget_gone(self, listed: Collection[str]) -> None:
-        """Drop members that are silent and no longer listed either."""
+    def remove_gone(self, listed: Collection[str]) -> None:
+        """Remove members that are both expired and unlisted."""
         living = self.members
         for name in list(self._members):
             if name not in listed and name not in living:
-                self.drop(name)
+                self.remove(name)
 
     def sums(
         self,
@@ -115,125 +115,130 @@
         *,
         without: str = "",
         listed: Iterable[str] = (),
-        fleet: int = 1,
+        gateway_count: int = 1,
         concise: bool = False,
     ) -> GroupState:
-        """Return the sums over all members but one.
+        """Return the totals over all members except one.
 
-        :param without: the member that gets them.
-        :param listed: gateways that belong here; those not heard of are silent.
-        :param fleet: how many gateways there are. One that has told no part of a limit
-            may use an even one.
-        :param concise: whether the counts that only aggregators need are left out.
+        :param without: member to leave out, which receives the totals.
+        :param listed: gateways that belong here; those without a report are silent.
+        :param gateway_count: number of all gateways. A gateway that has reported no
+            share of a limit may use an equal share.
+        :param concise: whether to omit the counts that only aggregators need.
         """
         now = self._clock.elapsed()
         members = {
             name: member for name, member in self._members.items() if name != without
         }
-        fresh = [
+        in_touch = [
             member
-            for name, member in self._heard_within(FRESH).items()
+            for name, member in self._reported_within(FRESH).items()
             if name != without
         ]
         missing = [name for name in listed if name not in members and name != without]
-        starts = [member.state.contact.incarnation for member in fresh]
+        starts = [member.state.contact.incarnation for member in in_touch]
         return GroupState(
             aggregator=aggregator,
             epoch=self._epoch,
-            gateways=len(fresh),
-            silent=len(members) - len(fresh) + len(missing),
+            gateways=len(in_touch),
+            silent=len(members) - len(in_touch) + len(missing),
             loads=_loads(members.values(), now),
-            spending=self._spending(members, without, len(missing), 1 / fleet),
-            work=self._work(members.values(), now),
-            holder=_holder(fresh),
-            oldest=min(starts, default=0),
-            told_since=_told_since(fresh),
-            follows_store=any(member.state.follows_store for member in fresh),
-            token_times=_token_times(fresh),
-            counting_s=(now - self._began_at).total_seconds(),
+            limit_usage=self._limit_usage(
+                members, without, len(missing), 1 / gateway_count
+            ),
+            engine_time=self._engine_time(members.values(), now),
+            leader=_holder(in_touch),
+            oldest_incarnation=min(starts, default=0),
+            complete_since=_complete_since(in_touch),
+            follows_store=any(member.state.follows_store for member in in_touch),
+            prefill_times=_prefill_times(in_touch),
+            counting_s=(now - self._counting_since).total_seconds(),
             trials=_trials(members.values(), concise=concise),
         )
 
-    def _spending(
+    def _limit_usage(
         self,
         members: dict[str, _Member],
         without: str,
         missing: int,
-        even: float,
-    ) -> dict[str, GroupSpending]:
+        equal_share: float,
+    ) -> dict[str, GroupLimitUsage]:
         now = self._clock.elapsed()
-        left_out = self._members.get(without)
+        excluded = self._members.get(without)
         sums = {}
         for customer in self._customers():
-            demand = used = share = set_aside = 0.0
+            demand = used = share = reserved = 0.0
             for member in members.values():
-                report = member.state.spending.get(customer)
-                if now - member.heard_at > FRESH:
-                    set_aside += even if report is None else report.share
+                report = member.state.limit_usage.get(customer)
+                if now - member.reported_at > FRESH:
+                    reserved += equal_share if report is None else report.share
                 elif report is not None:
                     demand += report.demand
                     used = max(used, report.used)
                     share += report.share
             spent = self._spent[customer]
-            if left_out is not None:
-                spent -= left_out.counted[customer]
-            set_aside += even * missing
-            sums[customer] = GroupSpending(demand, spent, used, share, set_aside)
+            if excluded is not None:
+                spent -= excluded.counted[customer]
+            reserved += equal_share * missing
+            sums[customer] = GroupLimitUsage(demand, spent, used, share, reserved)
         return sums
 
     def _customers(self) -> set[str]:
         return set().union(
-            *(member.state.spending for member in self._members.values())
+            *(member.state.limit_usage for member in self._members.values())
         )
 
-    def _work(self, members: Iterable[_Member], now: timedelta) -> dict[str, float]:
-        """Return the members' work, of a silent one less and less.
+    def _engine_time(
+        self, members: Iterable[_Member], now: timedelta
+    ) -> dict[str, float]:
+        """Return the members' engine time, decaying that of silent members.
 
-        Its callers go to the others, and show there over as much time.
+        Callers of a silent member move to other gateways, whose averages rise at the
+        same rate.
         """
         total: Counter[str] = Counter()
         for member in members:
-            silence = max(now - member.heard_at - FRESH, timedelta())
+            silence = max(now - member.reported_at - FRESH, timedelta())
             part = exp(-(silence / self._work_window))
-            for service, work in member.state.work.items():
-                total[service] += work * part
+            for service, engine_time in member.state.engine_time.items():
+                total[service] += engine_time * part
         return dict(total)
 
 
 def _loads(members: Iterable[_Member], now: timedelta) -> dict[str, EndpointLoad]:
     in_flight: Counter[str] = Counter()
-    unread: Counter[str] = Counter()
+    prefill: Counter[str] = Counter()
     for member in members:
-        if now - member.heard_at > LIFETIME:
+        if now - member.reported_at > LIFETIME:
             continue
         for endpoint, load in member.state.loads.items():
             in_flight[endpoint] += load.in_flight
-            unread[endpoint] += load.unread_tokens
+            prefill[endpoint] += load.prefill_tokens
     return {
-        endpoint: EndpointLoad(count, unread[endpoint])
+        endpoint: EndpointLoad(count, prefill[endpoint])
         for endpoint, count in in_flight.items()
     }
 
 
 def _trials(members: Iterable[_Member], *, concise: bool) -> tuple[TrialNews, ...]:
-    told = tuple(news for member in members for news in member.state.trials)
-    if not told:
+    reported = tuple(news for member in members for news in member.state.trials)
+    if not reported:
         return ()
-    return summed(without_rows(told) if concise else told)
+    return summed(without_rows(reported) if concise else reported)
 
 
-def _holder(fresh: Iterable[_Member]) -> DutyClaim | None:
-    claims = [member.state.duty for member in fresh if member.state.duty is not None]
+def _holder(in_touch: Iterable[_Member]) -> DutyClaim | None:
+    claims = [member.state.duty for member in in_touch if member.state.duty is not None]
     return max(claims, key=lambda claim: claim.fencing_number, default=None)
 
 
-def _told_since(fresh: Iterable[_Member]) -> float:
-    return min((member.state.time.true for member in fresh), default=0.0)
+def _complete_since(in_touch: Iterable[_Member]) -> float:
+    return min((member.state.time.true for member in in_touch), default=0.0)
 
 
-def _token_times(fresh: Iterable[_Member]) -> dict[str, float]:
-    told: dict[str, list[float]] = {}
-    for member in fresh:
-        for service, seconds in member.state.token_times.items():
-            told.setdefault(service, []).append(seconds)
-    return {service: fmean(times) for service, times in told.items()}
+def _prefill_times(in_touch: Iterable[_Member]) -> dict[str, float]:
+    reported: dict[str, list[float]] = {}
+    for member in in_touch:
+        for service, seconds in member.state.prefill_times.items():
+            reported.setdefault(service, []).append(seconds)
+    return {service: fmean(times) for service, times in reported.items()}
--- a/src/sassafrasdale/gateway/knowledge.py
+++ b/src/sassafrasdale/gateway/knowledge.py
@@ -1,7 +1,7 @@
-"""What a gateway knows from the store: configuration, endpoints, roll-outs.
+"""A gateway's copy of the store: configuration, endpoints, rollouts.
 
-It follows the store by itself and, where a peer has followed further, takes the
-values from that peer: a gateway that the store turns away knows them all the same.
+The gateway watches the store and also takes values from peers that know a later
+revision, so it stays up to date while the store refuses its calls.
 """
 
 from collections.abc import Callable, Collection, Mapping
@@ -13,7 +13,7 @@
 from sassafrasdale.deployment import CallerLimits, Configuration, Endpoint
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.following import Follower, Revised
+from sassafrasdale.gateway.following import Follower, PrefixChanges
 from sassafrasdale.gateway.peer_states import StoreValues
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.routing import RouteTable
@@ -41,22 +41,22 @@
 
 log = Logger("knowledge")
 
-# Entries that can't be used and are told in the logs; a writer of many keys must not
-# fill them.
-MOST_MALFORMED = 100
+# Malformed registrations that are logged; a writer of many keys must not flood the
+# logs.
+MAX_MALFORMED_LOGGED = 100
 
 
-class Knowledge:
-    """Configuration in force and listed endpoints, kept up to date.
+class StoreView:
+    """Current configuration and listed endpoints, kept up to date.
 
     :param store: the platform's store.
-    :param store_health: told whether the store answers.
-    :param directory: gets the endpoints.
-    :param rollouts: gets the orders of roll-outs, and what operators were told.
-    :param forget_engine: drops what is believed of an engine that is gone.
-    :param fetch: returns what has changed below a prefix since a revision, from a peer.
-    :param availability_zones: those of the deployment; endpoints are in no others.
-    :param should_watch: whether this gateway has to watch the store by itself.
+    :param store_health: notified whether the store responds.
+    :param directory: receives the endpoints.
+    :param rollouts: receives the orders of rollouts, and the status shown to operators.
+    :param forget_engine: discards the estimates for an engine that is gone.
+    :param fetch: returns the changes below a prefix since a revision, from a peer.
+    :param availability_zones: zones of the deployment; endpoints in others are invalid.
+    :param should_watch: whether this gateway has to watch the store itself.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
     ) -> None:
         self._directory = directory
         self._rollouts = rollouts
-        self._follows_rollouts = False
+        self._watches_rollouts = False
         self._availability_zones = availability_zones
         self._forget_engine = forget_engine
         self._fetch = fetch
@@ -86,25 +86,25 @@
                 prefix, store, changed, store_health, clock, rng, should_watch
             )
             for prefix, changed in (
-                (OPERATORS_PREFIX, self._take_revised),
-                (ENDPOINTS_PREFIX, self._take_endpoints),
-                (STATUS_PREFIX, self._take_statuses),
+                (OPERATORS_PREFIX, self._apply_operator_changes),
+                (ENDPOINTS_PREFIX, self._apply_endpoint_changes),
+                (STATUS_PREFIX, self._apply_status_changes),
             )
         }
 
     @property
     def routes(self) -> RouteTable | None:
-        """Look-ups in the configuration in force; None before there is one."""
+        """Lookups in the current configuration; None before there is one."""
         return self._routes
 
     @property
     def configuration(self) -> Configuration | None:
-        """The configuration in force; None before there is one."""
+        """The current configuration; None before there is one."""
         return self._routes.configuration if self._routes else None
 
     @property
     def caller_limits(self) -> CallerLimits:
-        """Bounds on callers: those in force, or the usual ones before any are."""
+        """Limits for callers: current ones, or defaults before there are any."""
         return self._routes.configuration.limits if self._routes else CallerLimits()
 
     @property
@@ -114,7 +114,7 @@
         return self._routes is not None and listed
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Return the tasks that follow the store from the start."""
+        """Return the tasks that watch the store from the start."""
         return [
             follower.run
             for prefix, follower in self._followers.items()
@@ -122,7 +122,7 @@
         ]
 
     def followers(self) -> list[Follower]:
-        """Return what follows each prefix of the store."""
+        """Return the followers of all prefixes."""
         return list(self._followers.values())
 
     def revisions(self) -> dict[str, int]:
@@ -130,25 +130,25 @@
         return {
             prefix: follower.changed_revision
             for prefix, follower in self._followers.items()
-            if prefix != STATUS_PREFIX or self._follows_rollouts
+            if prefix != STATUS_PREFIX or self._watches_rollouts
         }
 
     def values_since(self, prefix: str, revision: int) -> StoreValues | None:
-        """Return what has changed below a prefix, for a peer that asks."""
+        """Return the changes below a prefix, for a peer."""
         follower = self._followers.get(prefix)
         return None if follower is None else follower.changes_since(revision)
 
-    def hear(self, peer: str, revisions: Mapping[str, int]) -> None:
-        """Take a peer's values where it knows a later change."""
+    def receive_revisions(self, peer: str, revisions: Mapping[str, int]) -> None:
+        """Fetch a peer's values for the prefixes of which it knows a later change."""
         for prefix, revision in revisions.items():
             follower = self._followers.get(prefix)
             if follower is None or revision <= follower.changed_revision:
                 continue
             if prefix not in self._fetching:
                 self._fetching.add(prefix)
-                spawn(self._take_from, peer, follower)
+                spawn(self._fetch_from, peer, follower)
 
-    def _take_from(self, peer: str, follower: Follower) -> None:
+    def _fetch_from(self, peer: str, follower: Follower) -> None:
         try:
             since = follower.changed_revision
             values = self._fetch(peer, follower.prefix, since)
@@ -162,29 +162,29 @@
                 held=since,
                 whole=values.is_whole,
             )
-            follower.take(values, since)
+            follower.apply_peer_values(values, since)
         finally:
             self._fetching.discard(follower.prefix)
 
-    def _take_revised(self, revised: Revised) -> None:
+    def _apply_operator_changes(self, changes: PrefixChanges) -> None:
         is_news = self._routes is not None
-        for key, value in revised.written.items():
+        for key, value in changes.written.items():
             if key.startswith(ORDERS_PREFIX):
-                self._take_order(key, value, is_news=is_news)
-        for key in revised.deleted:
+                self._apply_order(key, value, is_news=is_news)
+        for key in changes.deleted:
             if key.startswith(ORDERS_PREFIX):
                 self._rollouts.drop_order(ordered_service(key))
-        value = revised.written.get(CONFIGURATION_KEY)
+        value = changes.written.get(CONFIGURATION_KEY)
         if value is None:
             return
         try:
             configuration = decode_configuration(value)
         except ValueMalformed as error:
-            log.error("configuration not taken, the old one stays", why=error.message)
+            log.error("malformed configuration ignored", why=error.message)
             return
-        self._take_configuration(configuration)
+        self._apply_configuration(configuration)
 
-    def _take_configuration(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         old = self._routes.configuration.version if self._routes else 0
         if configuration.version <= old:
             log.info(
@@ -200,7 +200,7 @@
             customers=len(configuration.customers),
         )
 
-    def _take_order(self, key: str, value: bytes, *, is_news: bool) -> None:
+    def _apply_order(self, key: str, value: bytes, *, is_news: bool) -> None:
         try:
             order = decode_order(key, value)
         except ValueMalformed as error:
@@ -208,36 +208,36 @@
             return
         revision = self._followers[OPERATORS_PREFIX].revision_of(key)
         self._rollouts.take_order(order, revision, is_news=is_news)
-        self._follow_rollouts()
+        self._watch_rollouts()
 
-    def _follow_rollouts(self) -> None:
-        """Follow what operators are told, from the first order on."""
-        if not self._follows_rollouts:
-            self._follows_rollouts = True
+    def _watch_rollouts(self) -> None:
+        """Watch the status shown to operators, from the first order on."""
+        if not self._watches_rollouts:
+            self._watches_rollouts = True
             spawn(run_for_good, self._followers[STATUS_PREFIX].run)
 
-    def _take_statuses(self, revised: Revised) -> None:
-        for key, value in revised.written.items():
+    def _apply_status_changes(self, changes: PrefixChanges) -> None:
+        for key, value in changes.written.items():
             revision = self._followers[STATUS_PREFIX].revision_of(key)
             try:
                 self._rollouts.take_status(decode_status(key, value), revision)
             except ValueMalformed as error:
                 log.error("rollout status malformed", key=key, why=error.message)
 
-    def _take_endpoints(self, revised: Revised) -> None:
-        for key, value in revised.written.items():
-            self._take_endpoint(key, value)
-        for key in revised.deleted:
+    def _apply_endpoint_changes(self, changes: PrefixChanges) -> None:
+        for key, value in changes.written.items():
+            self._apply_endpoint(key, value)
+        for key in changes.deleted:
             self._malformed.discard(key)
             self._drop_endpoint(key)
 
-    def _take_endpoint(self, key: str, value: bytes) -> None:
+    def _apply_endpoint(self, key: str, value: bytes) -> None:
         try:
             endpoint = decode_endpoint(key, value)
             self._check_zone(endpoint)
         except ValueMalformed as error:
-            # Another writer may have put anything there. What was known under the name
-            # is no longer what the list says, and nobody may be sent there.
+            # Another writer overwrote the registration. The endpoint known under this
+            # name is no longer listed, so it must get no requests.
             self._drop_endpoint(key)
             self._log_malformed(key, error)
             return
@@ -256,8 +256,8 @@
         self._forget_engine(name)
 
     def _log_malformed(self, key: str, error: ValueMalformed) -> None:
-        """Say once for each key that its entry can't be used, up to a bound."""
-        if key in self._malformed or len(self._malformed) >= MOST_MALFORMED:
+        """Log a malformed registration, once per key and up to a number of keys."""
+        if key in self._malformed or len(self._malformed) >= MAX_MALFORMED_LOGGED:
             return
         self._malformed.add(key)
         log.error("endpoint not taken", key=key, why=error.message)
--- a/src/sassafrasdale/gateway/metering.py
+++ b/src/sassafrasdale/gateway/metering.py
@@ -1,8 +1,8 @@
-"""The usage report, which the holder of the duties sends once a window.
+"""The usage report, which the leader sends once per window.
 
-Two holders must not report different counts for one window. So the counts are
-written to the store before they are sent, under the revision that was read; a
-later holder finds them there and sends the same.
+Two leaders must not report different counts for one window. The counts are therefore
+written to the store before they are sent, conditional on the revision that was read. A
+later leader finds them there and sends the same.
 """
 
 from collections.abc import Callable, Mapping
@@ -26,25 +26,25 @@
 USAGE_RECORD = "sassafrasdale/usage"
 # Counts by customer, by window.
 USAGE_FORM = TypeAdapter(dict[int, dict[str, int]])
-# Longest time that peers' counts of a window's last moments are waited for. Where all
-# have told theirs sooner, it is reported sooner: a window that is not yet reported is
-# lost where all gateways are killed at once.
-GATHERING_TIME = timedelta(seconds=2)
-# Pause between two looks at what is due.
-PAUSE = timedelta(milliseconds=500)
+# Longest wait for peers' counts of a window's last moments. The window is reported as
+# soon as all peers have reported theirs, since an unreported window is lost if all
+# gateways are killed at once.
+GATHER_TIMEOUT = timedelta(seconds=2)
+# Interval between checks for a window that is due.
+STEP_INTERVAL = timedelta(milliseconds=500)
 # Windows whose counts the record keeps.
 RECORDED_WINDOWS = 6
 
 
 class UsageReporter:
-    """Task that reports windows while this gateway holds the duties.
+    """Task that reports windows while this gateway is the leader.
 
-    :param lease: the lease for the duties.
-    :param client: the platform's duty calls.
-    :param record: counts that were written down before they were sent.
-    :param total: all gateways' counts of a window, and since when all have told theirs.
+    :param lease: the leader's lease.
+    :param client: client for the platform's duty calls.
+    :param record: stored counts, written before they are sent.
+    :param total: returns all gateways' counts of a window.
     :param window: length of a window.
-    :param delay: time after a window in which its report is due.
+    :param delay: time after a window within which its report is due.
     """
 
     def __init__(
@@ -66,81 +66,85 @@
         self._clock = clock
         self._window = window.total_seconds()
         self._delay = delay.total_seconds()
-        # A window that ended before this gateway started may be still unreported.
-        self._next = self._oldest_due()
+        # A window that ended before this gateway started may still be unreported.
+        self._next_window = self._oldest_open()
         self._started_at = time.seconds
         self._recorded: dict[int, dict[str, int]] = {}
-        self._held = 0
+        self._fencing_number = 0
 
     def run(self) -> None:
         """Report until the task is killed."""
         while True:
-            sleep(PAUSE)
+            sleep(STEP_INTERVAL)
             try:
                 self.step()
             except LeaseNotHeld:
                 continue
             except StoreError as error:
-                log.warning("usage not recorded", why=str(error))
+                log.warning("writing usage record failed", why=str(error))
             except DutyCallFailed as error:
                 log.warning("usage report not confirmed", why=error.message)
             except DutyCallRefused as error:
-                log.warning("usage report refused, stepping down", why=error.message)
+                log.warning(
+                    "usage report refused, releasing the lease", why=error.message
+                )
                 self._lease.release()
 
     def step(self) -> None:
-        """Report the oldest window that is due, if any."""
+        """Report the oldest unreported window, if it is due."""
         now = self._time.seconds
-        self._skip_late()
-        end = (self._next + 1) * self._window
+        self._skip_overdue()
+        end = (self._next_window + 1) * self._window
         if now < end:
             return
         permit = self._lease.permit(checks_fencing=True)
-        total = self._total(self._next)
+        total = self._total(self._next_window)
         waited = now - max(end, self._started_at)
-        if waited < GATHERING_TIME.total_seconds() and total.told_since < end:
+        if waited < GATHER_TIMEOUT.total_seconds() and total.complete_since < end:
             return
-        if permit.fencing_number != self._held or not self._record.is_known:
+        if permit.fencing_number != self._fencing_number or not self._record.is_known:
             self._read_record()
-            self._held = permit.fencing_number
-        counts = self._write_down(self._next, total.counts)
+            self._fencing_number = permit.fencing_number
+        counts = self._record_counts(self._next_window, total.counts)
         permit = self._lease.permit(checks_fencing=True)
-        self._client.report_usage(self._next, counts, permit.fencing_number)
+        self._client.report_usage(self._next_window, counts, permit.fencing_number)
         log.info(
             "usage reported",
-            window=self._next,
+            window=self._next_window,
             requests=sum(counts.values()),
             fencing_number=permit.fencing_number,
         )
-        self._next += 1
+        self._next_window += 1
 
-    def _skip_late(self) -> None:
-        """Pass over the windows that others reported, or that are overdue."""
-        oldest = self._oldest_due()
-        if oldest > self._next:
-            log.debug("usage windows passed over", first=self._next, next=oldest)
-            self._next = oldest
+    def _skip_overdue(self) -> None:
+        """Skip the windows whose report deadline has passed."""
+        oldest = self._oldest_open()
+        if oldest > self._next_window:
+            log.debug("usage windows skipped", first=self._next_window, next=oldest)
+            self._next_window = oldest
 
-    def _oldest_due(self) -> int:
+    def _oldest_open(self) -> int:
         return int((self._time.seconds - self._delay) // self._window)
 
     def _read_record(self) -> None:
         self._recorded = self._record.read() or {}
-        # A former holder wrote these down and most likely sent them.
+        # A former leader recorded these windows and most likely sent them.
         if self._recorded:
-            self._next = max(self._next, max(self._recorded))
+            self._next_window = max(self._next_window, max(self._recorded))
 
-    def _write_down(self, window: int, total: Mapping[str, int]) -> Mapping[str, int]:
-        """Write a window's counts down, and return what is written."""
+    def _record_counts(
+        self, window: int, total: Mapping[str, int]
+    ) -> Mapping[str, int]:
+        """Record a window's counts, and return the recorded counts."""
         if window in self._recorded:
             return self._recorded[window]
         counts = dict(total)
-        kept = {
-            number: held
-            for number, held in self._recorded.items()
+        windows = {
+            number: recorded
+            for number, recorded in self._recorded.items()
             if number > window - RECORDED_WINDOWS
         }
-        kept[window] = counts
-        self._record.write(kept)
-        self._recorded = kept
+        windows[window] = counts
+        self._record.write(windows)
+        self._recorded = windows
         return counts
--- a/src/sassafrasdale/gateway/parts.py
+++ b/src/sassafrasdale/gateway/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one gateway, and how they are joined."""
+"""The components of one gateway and their wiring."""
 
 import random
 from collections.abc import Callable, Mapping, Sequence
@@ -16,8 +16,8 @@
 from sassafrasdale.gateway.duties import Duties
 from sassafrasdale.gateway.fleet import WORK_WINDOW, Fleet
 from sassafrasdale.gateway.frontend import Frontend
-from sassafrasdale.gateway.knowledge import Knowledge
-from sassafrasdale.gateway.peer_calls import OwnState, PeerCalls, Shared
+from sassafrasdale.gateway.knowledge import StoreView
+from sassafrasdale.gateway.peer_calls import LocalState, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
     Contact,
     EndpointLoad,
@@ -27,7 +27,7 @@
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.placement import CacheBelief, Placement
 from sassafrasdale.gateway.planning import planned_services
-from sassafrasdale.gateway.polling import Polling
+from sassafrasdale.gateway.polling import Poller
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.registration import Registration
 from sassafrasdale.gateway.rollouts import Rollouts
@@ -47,13 +47,14 @@
 
 
 class GatewayParts:
-    """All parts of one gateway.
+    """All components of one gateway.
 
-    They refer to each other in circles, so some ask for others only as they are used.
+    Their references are circular, so some of them are looked up only on use.
 
     :param settings: settings of the process.
     :param may_serve: whether the gateway knows enough to take requests.
-    :param last_end: elapsed time by which new requests must end; None for none.
+    :param last_end: returns the elapsed time by which new requests must end; None if
+        there is no limit.
     """
 
     def __init__(
@@ -84,8 +85,8 @@
     def _build_store(self) -> None:
         clock = self._clock
         self._store = PlatformStore(self._settings.store, clock)
-        # Watches that were sent into an outage are never answered. Given up as soon
-        # as the store answers anything, they are asked anew instead of waited for.
+        # Watches sent during an outage never get a response. They are dropped and sent
+        # again as soon as the store responds to any call.
         self._store_health = Dependency("store", clock, self._store.drop_watches)
 
     def _build_suspects(self) -> None:
@@ -121,13 +122,13 @@
             self._rng,
             self.metrics.count,
         )
-        self.knowledge = Knowledge(
+        self.knowledge = StoreView(
             self._store,
             self._store_health,
             self.directory,
             self.rollouts,
             self._forget_engine,
-            lambda *asked: self.peering.fetch(*asked),
+            lambda *asked: self.peering.fetch_values(*asked),
             clock,
             self._rng,
             settings.availability_zones,
@@ -136,15 +137,15 @@
 
     def _build_peering(self) -> None:
         clock = self._clock
-        own = OwnState(
-            self._make_state,
+        local_state = LocalState(
+            self._build_state,
             self.knowledge.revisions,
             self._usage.report,
             self.knowledge.values_since,
             lambda: self.asking.open_sends,
         )
-        shared = Shared(
-            own,
+        context = PeerContext(
+            local_state,
             Roster(self._contact, clock),
             UsageLedger(),
             self,
@@ -153,11 +154,15 @@
             clock,
             StrikeLinks(self._strikes, self.incarnation),
         )
-        calls = PeerCalls(shared.roster, clock)
+        calls = PeerCalls(context.roster, clock)
         zones = len(self._settings.availability_zones)
-        self.peering = Peering(shared, zones, self._rng, calls)
+        self.peering = Peering(context, zones, self._rng, calls)
         self.asking = Asking(
-            self._contact, self.peering.dispatcher, calls.ask, calls.tell, clock
+            self._contact,
+            self.peering.dispatcher,
+            calls.request_assignment,
+            calls.send_attempt_report,
+            clock,
         )
 
     def _build_serving(
@@ -171,8 +176,8 @@
             settings.bounds,
             self.peering.count,
             clock,
-            self.peering.told_spent,
-            self.peering.unseen_time,
+            self.peering.counted_spent,
+            self.peering.propagation_time,
             self._rng,
         )
         self.fleet = Fleet(
@@ -222,10 +227,10 @@
             self._clock,
             self._rng,
         )
-        self.polling = Polling(
+        self.polling = Poller(
             self.knowledge.followers(),
             self._store,
-            self.peering.polling_turn,
+            self.peering.poll_slot,
             self.time,
             min(bounds.configuration_delay, bounds.endpoint_drain),
         )
@@ -250,29 +255,31 @@
         self._cache.forget(name)
         self._paces.forget(name)
 
-    def hear_groups(self, groups: Sequence[HeardGroup]) -> None:
-        """Take the sums over all other gateways."""
-        self._quotas.hear_groups(groups)
+    def receive_groups(self, groups: Sequence[HeardGroup]) -> None:
+        """Receive the totals over all other gateways."""
+        self._quotas.receive_groups(groups)
         self.rollouts.hear_groups(groups)
 
-    def hear_clock(self, name: str, reading: ClockReading) -> None:
-        """Take another gateway's clock as it shows now."""
+    def receive_clock(self, name: str, reading: ClockReading) -> None:
+        """Receive a present reading of another gateway's clock."""
         self.time.hear(name, reading)
 
-    def hear_revisions(self, peer: str, revisions: Mapping[str, int]) -> None:
-        """Take how far another gateway has followed the store."""
-        self.knowledge.hear(peer, revisions)
+    def receive_revisions(self, peer: str, revisions: Mapping[str, int]) -> None:
+        """Receive the store revisions that another gateway knows."""
+        self.knowledge.receive_revisions(peer, revisions)
 
-    def hear_sends(self, member: Contact, open_sends: tuple[int, ...]) -> None:
-        """Take which sends of a member are under way that were named here."""
-        self.dispatcher.reconcile(member.name, member.incarnation, open_sends)
+    def receive_open_attempts(
+        self, member: Contact, open_attempts: tuple[int, ...]
+    ) -> None:
+        """Receive which attempts assigned here are still in flight at a member."""
+        self.dispatcher.reconcile(member.name, member.incarnation, open_attempts)
 
     def assign(self, ask: Ask) -> Assigned | None:
-        """Return the endpoint for another gateway's send."""
+        """Return the endpoint for another gateway's attempt."""
         return self.dispatcher.assign(ask)
 
-    def note(self, notes: Notes) -> None:
-        """Take what became of another gateway's sends."""
+    def receive_attempt_report(self, notes: Notes) -> None:
+        """Receive the outcomes of another gateway's attempts."""
         self.dispatcher.note(notes)
 
     def _own_contact(self) -> Contact:
@@ -287,7 +294,7 @@
             power=settings.power,
         )
 
-    def _make_state(self, contact: Contact) -> MemberState:
+    def _build_state(self, contact: Contact) -> MemberState:
         return MemberState(
             contact=contact,
             time=self.time.reading(),
@@ -297,11 +304,11 @@
                 for record in self.directory.records.values()
                 if record.in_flight
             },
-            spending=self._quotas.report(),
-            work=dict(self.fleet.work()),
+            limit_usage=self._quotas.report(),
+            engine_time=dict(self.fleet.work()),
             duty=self.duties.claim(),
             follows_store=self._follows_store(),
-            token_times=self.fleet.token_times(),
+            prefill_times=self.fleet.token_times(),
             trials=self.rollouts.news(),
         )
 
--- a/src/sassafrasdale/gateway/peer_calls.py
+++ b/src/sassafrasdale/gateway/peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls to other gateways, and what this one shares with them."""
+"""RPC client for other gateways, and the state shared by both sides of reports."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -33,76 +33,79 @@
 
 log = Logger("peers")
 
-# A report takes a few milliseconds. Instances with half a core may be held up for as
-# much again; a longer wait would let the news of a whole zone grow old.
-ANSWER_LIMIT = timedelta(milliseconds=500)
+# A report takes a few milliseconds, and instances with half a core may stall for as
+# long again. A longer timeout would delay the updates of a whole zone.
+CALL_TIMEOUT = timedelta(milliseconds=500)
 REPORT_TARGET = "/report"
 NEWS_TARGET = "/news"
 USAGE_TARGET = "/usage/"
 VALUES_TARGET = "/values/"
 ASK_TARGET = "/ask"
 NOTES_TARGET = "/notes"
-# A question is answered in a millisecond or two. A request that waits for it longer
-# would lose more than a better engine gains it.
-ASK_LIMIT = timedelta(milliseconds=40)
+# An assignment takes a millisecond or two. Waiting longer costs a request more than a
+# better endpoint saves.
+ASK_TIMEOUT = timedelta(milliseconds=40)
 
 Decoded = TypeVar("Decoded", bound=Struct)
 
 
-class Listener(Protocol):
-    """What is made of what the other gateways tell."""
+class PeerListener(Protocol):
+    """Receives the state and the calls of other gateways."""
 
-    def hear_groups(self, groups: tuple[HeardGroup, ...]) -> None:
-        """Take the sums over all other gateways."""
+    def receive_groups(self, groups: tuple[HeardGroup, ...]) -> None:
+        """Receive the totals over all other gateways."""
 
-    def hear_clock(self, name: str, reading: ClockReading) -> None:
-        """Take another gateway's clock as it shows now."""
+    def receive_clock(self, name: str, reading: ClockReading) -> None:
+        """Receive a present reading of another gateway's clock."""
 
-    def hear_revisions(self, peer: str, revisions: dict[str, int]) -> None:
-        """Take how far a gateway, that answers here, has followed the store."""
+    def receive_revisions(self, peer: str, revisions: dict[str, int]) -> None:
+        """Receive the store revisions that a directly connected gateway knows."""
 
-    def hear_sends(self, member: Contact, open_sends: tuple[int, ...]) -> None:
-        """Take which sends of a member are under way that were named here."""
+    def receive_open_attempts(
+        self, member: Contact, open_attempts: tuple[int, ...]
+    ) -> None:
+        """Receive which attempts assigned here are still in flight at a member."""
 
     def assign(self, ask: Ask) -> Assigned | None:
-        """Return the endpoint for another gateway's send."""
+        """Return the endpoint for another gateway's attempt."""
 
-    def note(self, notes: Notes) -> None:
-        """Take what became of another gateway's sends."""
+    def receive_attempt_report(self, notes: Notes) -> None:
+        """Receive the outcomes of another gateway's attempts."""
 
 
 @dataclass(frozen=True, slots=True)
-class OwnState:
-    """What this gateway tells of itself.
-
-    :param make: returns its present state, under a contact.
-    :param revisions: how far it has followed each prefix of the store.
-    :param usage: its own counts, by window and customer.
-    :param values_since: raw values of a prefix that have changed since a revision.
-    :param open_sends: its sends that the dispatcher counts as under way.
+class LocalState:
+    """Access to the state that this gateway reports.
+
+    :param build: returns its present state for a contact.
+    :param revisions: returns the last known store revision of each prefix.
+    :param usage: returns its own counts, by window and customer.
+    :param values_since: returns the raw values below a prefix that changed since a
+        revision.
+    :param open_attempts: returns its attempts in flight that the dispatcher counts.
     """
 
-    make: Callable[[Contact], MemberState]
+    build: Callable[[Contact], MemberState]
     revisions: Callable[[], dict[str, int]]
     usage: Callable[[], dict[int, dict[str, int]]]
     values_since: Callable[[str, int], StoreValues | None]
-    open_sends: Callable[[], tuple[int, ...]] = tuple
+    open_attempts: Callable[[], tuple[int, ...]] = tuple
 
 
 @dataclass(frozen=True, slots=True)
-class Shared:
-    """What both sides, the member's and the aggregator's, work with.
+class PeerContext:
+    """Dependencies of both the reporter and the aggregator.
 
-    :param ledger: counts of usage of all gateways.
-    :param time: true time, and the others' clocks.
-    :param work_window: time over which each gateway averages its work.
-    :param strikes: strikes against requests, told and heard.
+    :param ledger: usage counts of all gateways.
+    :param time: cluster time and the clocks of the other gateways.
+    :param work_window: period over which each gateway averages its engine time.
+    :param strikes: strikes against requests, sent and received.
     """
 
-    own: OwnState
+    local_state: LocalState
     roster: Roster
     ledger: UsageLedger
-    listener: Listener
+    listener: PeerListener
     time: TrueTime
     work_window: timedelta
     clock: Clock
@@ -110,9 +113,9 @@
 
 
 class PeerCalls:
-    """Calls to other gateways over kept connections.
+    """Calls to other gateways over persistent connections.
 
-    :param roster: told of those that don't answer.
+    :param roster: notified of gateways that do not respond.
     :param clock: source of elapsed time.
     """
 
@@ -120,14 +123,14 @@
         self._roster = roster
         self._clock = clock
         self._clients: dict[str, HttpClient] = {}
-        self._askers: dict[str, HttpClient] = {}
+        self._ask_clients: dict[str, HttpClient] = {}
 
     def send(
         self, contact: Contact, target: str, message: Struct, decoder: Decoder[Decoded]
     ) -> Decoded | Redirect | None:
-        """Return the answer to a message; None if there was none.
+        """Return the response to a message; None if the call failed.
 
-        A gateway that gives none is passed over for a while.
+        A gateway whose call failed is avoided for a while.
         """
         request = Request("POST", target, body=encode(message))
         try:
@@ -135,45 +138,47 @@
             if answer.status == 409:
                 return REDIRECT.decode(answer.body)
             if answer.status != 200:
-                self._roster.failed(contact, f"status {answer.status}")
+                self._roster.record_failure(contact, f"status {answer.status}")
                 return None
             return decoder.decode(answer.body)
         except (HttpError, MessageMalformed) as error:
-            self._roster.failed(contact, str(error))
+            self._roster.record_failure(contact, str(error))
             return None
 
-    def values(self, contact: Contact, prefix: str, since: int) -> StoreValues | None:
-        """Return what has changed below a prefix of the store, if it is told."""
+    def fetch_values(
+        self, contact: Contact, prefix: str, since: int
+    ) -> StoreValues | None:
+        """Return the changes below a prefix of the store; None if the call failed."""
         return self._get(contact, f"{VALUES_TARGET}{since}/{prefix}", STORE_VALUES)
 
-    def usage(self, contact: Contact, window: int) -> UsageTotal | None:
-        """Return all gateways' counts of a window, as an aggregator knows them."""
+    def fetch_usage(self, contact: Contact, window: int) -> UsageTotal | None:
+        """Return an aggregator's counts of a window for all gateways."""
         return self._get(contact, f"{USAGE_TARGET}{window}", USAGE_TOTAL)
 
-    def ask(self, contact: Contact, ask: Ask) -> Assigned | None:
-        """Return the endpoint that a dispatcher names, if it does in time."""
+    def request_assignment(self, contact: Contact, ask: Ask) -> Assigned | None:
+        """Return the endpoint assigned by a dispatcher; None if the call failed."""
         request = Request("POST", ASK_TARGET, body=encode(ask))
         try:
-            answer = self._client(contact, self._askers, ASK_LIMIT).call(
-                request, ASK_LIMIT
+            answer = self._client(contact, self._ask_clients, ASK_TIMEOUT).call(
+                request, ASK_TIMEOUT
             )
             return ASSIGNED.decode(answer.body) if answer.status == 200 else None
         except (HttpError, MessageMalformed) as error:
-            log.debug("no endpoint named", peer=contact.name, why=str(error))
+            log.debug("assignment request failed", peer=contact.name, why=str(error))
             return None
 
-    def tell(self, contact: Contact, notes: Notes) -> bool:
-        """Tell a dispatcher what became of sends, and return whether it heard."""
+    def send_attempt_report(self, contact: Contact, notes: Notes) -> bool:
+        """Report outcomes of attempts to a dispatcher; return whether it got them."""
         try:
             self._call(contact, Request("POST", NOTES_TARGET, body=encode(notes)))
         except HttpError as error:
-            log.debug("notes lost", peer=contact.name, why=error.message)
+            log.debug("attempt report failed", peer=contact.name, why=error.message)
             return False
         return True
 
-    def forget_unlisted(self) -> None:
-        """Close the connections to gateways that are gone for good."""
-        for clients in (self._clients, self._askers):
+    def close_unlisted(self) -> None:
+        """Close the connections to gateways that the roster no longer lists."""
+        for clients in (self._clients, self._ask_clients):
             for name in list(clients):
                 if self._roster.get(name) is None:
                     clients.pop(name).close()
@@ -185,12 +190,12 @@
             answer = self._call(contact, Request("GET", target))
             return decoder.decode(answer.body) if answer.status == 200 else None
         except (HttpError, MessageMalformed) as error:
-            log.info("peer gave no answer", peer=contact.name, why=str(error))
+            log.info("call to peer failed", peer=contact.name, why=str(error))
             return None
 
     def _call(self, contact: Contact, request: Request) -> Answer:
-        client = self._client(contact, self._clients, ANSWER_LIMIT)
-        return client.call(request, ANSWER_LIMIT)
+        client = self._client(contact, self._clients, CALL_TIMEOUT)
+        return client.call(request, CALL_TIMEOUT)
 
     def _client(
         self, contact: Contact, clients: dict[str, HttpClient], limit: timedelta
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -1,8 +1,8 @@
-"""What gateways tell each other: reports, groups' sums, clocks, stored values.
+"""Messages between gateways: reports, group totals, clock readings, stored values.
 
-The messages are MessagePack arrays, checked field by field as they are decoded. A
-field is only ever added at the end and with a default, so gateways of two versions
-understand each other during a rolling restart.
+Messages are MessagePack arrays, validated field by field when they are decoded. New
+fields are only appended and always have a default, so that gateways of two versions
+interoperate during a rolling restart.
 """
 
 from collections import Counter
@@ -20,23 +20,23 @@
 from sassafrasdale.gateway.usage import ClockReading
 from sassafrasdale.structures import Address
 
-# No sum may be drawn below nothing by a gateway that tells nonsense.
-Amount = Annotated[float, Meta(ge=0)]
+# Bounded on decoding, so that an invalid report cannot make a total negative.
+NonNegative = Annotated[float, Meta(ge=0)]
 Part = Annotated[float, Meta(ge=0, le=1)]
 
 
 class Message(Struct, frozen=True, array_like=True):
-    """Base of all messages."""
+    """Base class of all messages."""
 
 
 class Contact(Message):
-    """Where a gateway is reached.
+    """Address and identity of a gateway.
 
     :param zone: its availability zone.
-    :param incarnation: distinguishes starts of the process, later ones are higher;
-        0 for one that is only known from the store.
-    :param leaving: whether it is stopping.
-    :param power: processor time a second that it may use.
+    :param incarnation: start number of the process, higher for later starts; 0 for a
+        gateway that is only known from the store.
+    :param leaving: whether it is shutting down.
+    :param power: CPU seconds per second that it may use.
     """
 
     name: str
@@ -49,59 +49,59 @@
 
     @property
     def address(self) -> Address:
-        """Where it takes messages."""
+        """Address that accepts messages from other gateways."""
         return Address(self.host, self.port)
 
 
 class EndpointLoad(Message):
-    """What is under way at an endpoint."""
+    """Requests and prefill tokens in flight at an endpoint."""
 
     in_flight: Count
-    unread_tokens: Count
+    prefill_tokens: Count
 
 
 class DutyClaim(Message):
-    """That a gateway holds the duties, under a fencing number."""
+    """Claim of a gateway to be the leader, under a fencing number."""
 
     fencing_number: int
 
 
-class Spending(Message):
-    """What a gateway says of one customer's limit, in its unit.
+class LimitUsage(Message):
+    """A gateway's usage of one customer's limit, in the limit's unit.
 
-    :param demand: what its requests ask for a second, refused ones too.
-    :param spent: what was let in since it started.
-    :param told: how much of that an aggregator has already counted.
-    :param used: what is missing from a full limit, in its view.
-    :param share: part of the limit that it would keep to if it were cut off now.
+    :param demand: amount requested per second, refused requests included.
+    :param spent: amount admitted since the gateway started.
+    :param counted: how much of ``spent`` an aggregator has already counted.
+    :param used: amount missing from the full limit, as the gateway sees it.
+    :param share: fraction of the limit that it would use if it were partitioned now.
     """
 
-    demand: Amount
+    demand: NonNegative
     spent: float
-    told: float
-    used: Amount
+    counted: float
+    used: NonNegative
     share: Part
 
 
-class GroupSpending(Message):
-    """The same, summed over a group.
+class GroupLimitUsage(Message):
+    """Usage of one customer's limit, summed over a group.
 
-    :param spent: what was let in since its aggregator took up the group.
-    :param share: parts of the limit of those in touch.
-    :param set_aside: parts of those that are silent, which may be cut off.
+    :param spent: amount admitted since the aggregator began to count the group.
+    :param share: fractions of the limit used by the gateways in touch.
+    :param reserved: fractions kept for silent gateways, which may be partitioned.
     """
 
-    demand: Amount
+    demand: NonNegative
     spent: float
-    used: Amount
-    share: Amount
-    set_aside: Amount
+    used: NonNegative
+    share: NonNegative
+    reserved: NonNegative
 
 
 class UsageRow(Message):
-    """Requests that began at one incarnation of a gateway in a window.
+    """Requests started by one incarnation of a gateway in a window.
 
-    :param counts: by customer. They only grow, so of two rows the larger counts hold.
+    :param counts: by customer. They only grow, so rows merge by taking the maximum.
     """
 
     gateway: str
@@ -113,42 +113,42 @@
 class MemberState(Message):
     """State of one gateway at one moment.
 
-    :param revisions: how far it has followed each prefix of the store.
-    :param loads: what it has under way, by endpoint.
-    :param spending: by customer.
-    :param work: engine time that its requests take a second, by service.
-    :param follows_store: whether it watches the store and is answered.
-    :param token_times: time that engines take for a prompt token, in seconds and by
-        service, where it has seen enough to tell.
-    :param trials: what came of versions on trial.
+    :param revisions: last known store revision of each prefix.
+    :param loads: its requests in flight, by endpoint.
+    :param limit_usage: by customer.
+    :param engine_time: engine time that its requests take per second, by service.
+    :param follows_store: whether it watches the store and gets responses.
+    :param prefill_times: prefill time per prompt token, in seconds and by service,
+        where it has enough samples.
+    :param trials: results of canary versions.
     """
 
     contact: Contact
     time: ClockReading
     revisions: dict[str, int] = field(default_factory=dict)
     loads: dict[str, EndpointLoad] = field(default_factory=dict)
-    spending: dict[str, Spending] = field(default_factory=dict)
-    work: dict[str, Amount] = field(default_factory=dict)
+    limit_usage: dict[str, LimitUsage] = field(default_factory=dict)
+    engine_time: dict[str, NonNegative] = field(default_factory=dict)
     duty: DutyClaim | None = None
     follows_store: bool = True
-    token_times: dict[str, Amount] = field(default_factory=dict)
+    prefill_times: dict[str, NonNegative] = field(default_factory=dict)
     trials: tuple[TrialNews, ...] = ()
 
 
 class GroupState(Message):
-    """Sums over the gateways of a zone that report to one aggregator.
-
-    :param epoch: with the aggregator's incarnation, distinguishes counters that
-        began anew.
-    :param gateways: gateways in touch.
-    :param silent: gateways that are listed and were not heard of lately.
-    :param oldest: lowest incarnation among those in touch.
-    :param told_since: all in touch have told their state since then, in seconds
-        since 1970.
-    :param follows_store: whether any of them watches the store and is answered.
-    :param token_times: mean of what its gateways tell.
-    :param counting_s: time for which the counters have counted, in seconds.
-    :param trials: what came of versions on trial.
+    """Totals over the gateways of a zone that report to one aggregator.
+
+    :param epoch: with the aggregator's incarnation, identifies a run of the counters
+        between two resets.
+    :param gateways: number of gateways in touch.
+    :param silent: number of listed gateways without a recent report.
+    :param oldest_incarnation: lowest incarnation among the gateways in touch.
+    :param complete_since: every gateway in touch has reported at or after this time,
+        in seconds since 1970.
+    :param follows_store: whether any of them watches the store and gets responses.
+    :param prefill_times: means of the values reported by its gateways.
+    :param counting_s: time since the counters were reset, in seconds.
+    :param trials: results of canary versions.
     """
 
     aggregator: Contact
@@ -156,35 +156,35 @@
     gateways: Count
     silent: Count
     loads: dict[str, EndpointLoad]
-    spending: dict[str, GroupSpending]
-    work: dict[str, Amount]
-    holder: DutyClaim | None
-    oldest: int
-    told_since: float
+    limit_usage: dict[str, GroupLimitUsage]
+    engine_time: dict[str, NonNegative]
+    leader: DutyClaim | None
+    oldest_incarnation: int
+    complete_since: float
     follows_store: bool
-    token_times: dict[str, Amount] = field(default_factory=dict)
-    counting_s: Amount = 0.0
+    prefill_times: dict[str, NonNegative] = field(default_factory=dict)
+    counting_s: NonNegative = 0.0
     trials: tuple[TrialNews, ...] = ()
 
     @property
-    def counter(self) -> tuple[str, int, int]:
-        """Identifies what its counts of spending began with."""
+    def counter_id(self) -> tuple[str, int, int]:
+        """Key of the limit usage counters; it changes when they are reset."""
         return (self.aggregator.name, self.aggregator.incarnation, self.epoch)
 
 
 class HeardGroup(Message):
-    """A group's sums and how long ago they were heard."""
+    """A group's totals and the time since they were received."""
 
     state: GroupState
     age_s: float = 0.0
 
     @property
     def age(self) -> timedelta:
-        """Time since they were heard."""
+        """Time since they were received."""
         return timedelta(seconds=self.age_s)
 
-    def concise(self) -> "HeardGroup":
-        """Return the same without the counts that only aggregators need."""
+    def without_trial_counts(self) -> "HeardGroup":
+        """Return a copy without the canary counts, which only aggregators need."""
         if not self.state.trials:
             return self
         concluded = replace(self.state, trials=without_rows(self.state.trials))
@@ -192,57 +192,58 @@
 
 
 class Report(Message):
-    """What a gateway tells its aggregator.
-
-    :param roster_digest: of the gateways of the zone that it knows.
-    :param roster: those, if the aggregator's digest was another.
-    :param usage: rows that have changed since the last report to it.
-    :param open_sends: numbers of the sends that it has named and that are under way.
-    :param departs: whether it reports elsewhere from now on.
-    :param strikes: against requests, that the aggregator isn't known to have.
+    """Report of a gateway to its aggregator.
+
+    :param roster_digest: digest of the zone's gateways that it knows.
+    :param roster: these gateways, if the aggregator's digest differed.
+    :param usage: rows that changed since the last report to this aggregator.
+    :param open_attempts: numbers of its attempts in flight that the aggregator
+        assigned.
+    :param leaves_group: whether it reports to another aggregator from now on.
+    :param strikes: strikes against requests that the aggregator may lack.
     """
 
     state: MemberState
     roster_digest: int
     roster: tuple[Contact, ...] = ()
     usage: tuple[UsageRow, ...] = ()
-    open_sends: tuple[int, ...] = ()
-    departs: bool = False
+    open_attempts: tuple[int, ...] = ()
+    leaves_group: bool = False
     strikes: StrikeNews | None = None
 
 
-class View(Message):
-    """An aggregator's answer: all that its member needs of the others.
+class ReportReply(Message):
+    """An aggregator's reply to a report: the state of the other gateways.
 
-    :param groups: its own group without that member, then the others.
-    :param pause_s: time until the next report.
-    :param roster: gateways of the zone, if the member's digest was another.
-    :param clocks: clocks of other gateways, as they show now.
-    :param strikes: against requests, that the member isn't known to have.
+    :param groups: the aggregator's group without that member, then the other groups.
+    :param interval_s: time until the next report.
+    :param roster: gateways of the zone, if the member's digest differed.
+    :param clocks: present readings of other gateways' clocks.
+    :param strikes: strikes against requests that the member may lack.
     """
 
     sender: Contact
     time: ClockReading
     revisions: dict[str, int]
     groups: tuple[HeardGroup, ...]
-    pause_s: float
+    interval_s: float
     roster_digest: int
     roster: tuple[Contact, ...] = ()
     clocks: dict[str, ClockReading] = field(default_factory=dict)
     strikes: StrikeNews | None = None
 
 
-class GroupNews(Message):
-    """What one aggregator tells another, in both directions.
+class GroupUpdate(Message):
+    """State that two aggregators exchange, as request and as response.
 
-    :param aggregators: others that it has heard of lately.
-    :param usage: rows that the receiver is not known to have.
-    :param usage_since: when those rows were complete, in seconds since 1970; None
-        where this news carries none.
-    :param usage_version: version of the sender's counts that these rows bring.
-    :param usage_held: the last such version that came from the receiver.
-    :param members: names of the group's gateways, for another one of the same zone.
-    :param strikes: against requests, that the receiver isn't known to have.
+    :param aggregators: other aggregators that the sender heard from recently.
+    :param usage: rows that the receiver may lack.
+    :param usage_complete_since: time up to which these rows are complete, in seconds
+        since 1970; None if the update has no rows.
+    :param usage_version: version of the sender's counts after these rows.
+    :param usage_received: last such version that the sender got from the receiver.
+    :param members: names of the group's gateways, sent within the zone only.
+    :param strikes: strikes against requests that the receiver may lack.
     """
 
     sender: Contact
@@ -251,15 +252,15 @@
     group: GroupState
     aggregators: tuple[Contact, ...] = ()
     usage: tuple[UsageRow, ...] = ()
-    usage_since: float | None = None
+    usage_complete_since: float | None = None
     usage_version: int = 0
-    usage_held: int = 0
+    usage_received: int = 0
     members: tuple[str, ...] = ()
     strikes: StrikeNews | None = None
 
 
 class Redirect(Message):
-    """Answer of a gateway that is no aggregator: who is, as far as it knows."""
+    """Response of a gateway that is not an aggregator, naming its own aggregator."""
 
     aggregator: Contact
 
@@ -267,11 +268,11 @@
 class UsageTotal(Message):
     """All gateways' counts of a window.
 
-    :param told_since: all gateways in touch have told theirs since then.
+    :param complete_since: every gateway in touch has reported at or after this time.
     """
 
     counts: dict[str, Count]
-    told_since: float
+    complete_since: float
 
 
 class StoreValues(Message):
@@ -279,8 +280,8 @@
 
     :param changed_revision: revision of the last change among them.
     :param revisions: revision of each value's last change.
-    :param deleted: keys that are gone, with the revision of that, where this is not
-        the whole prefix.
+    :param deleted: deleted keys with the revisions of their deletion; empty if
+        ``is_whole``.
     :param is_whole: whether these are all values below the prefix.
     """
 
@@ -295,8 +296,8 @@
 encode = Encoder().encode
 CONTACT = Decoder(Contact)
 REPORT = Decoder(Report)
-VIEW = Decoder(View)
-GROUP_NEWS = Decoder(GroupNews)
+REPORT_REPLY = Decoder(ReportReply)
+GROUP_UPDATE = Decoder(GroupUpdate)
 REDIRECT = Decoder(Redirect)
 USAGE_TOTAL = Decoder(UsageTotal)
 STORE_VALUES = Decoder(StoreValues)
@@ -304,20 +305,20 @@
 
 
 def loads_by_endpoint(groups: Iterable[HeardGroup]) -> dict[str, ToldLoad]:
-    """Return the load that all given groups have at each endpoint."""
+    """Return the total load of the groups at each endpoint."""
     in_flight: Counter[str] = Counter()
-    unread: Counter[str] = Counter()
+    prefill: Counter[str] = Counter()
     aged: Counter[str] = Counter()
     for group in groups:
         for endpoint, load in group.state.loads.items():
             in_flight[endpoint] += load.in_flight
-            unread[endpoint] += load.unread_tokens
-            aged[endpoint] += load.unread_tokens * group.age_s
+            prefill[endpoint] += load.prefill_tokens
+            aged[endpoint] += load.prefill_tokens * group.age_s
     return {
         endpoint: ToldLoad(
             count,
-            unread[endpoint],
-            timedelta(seconds=aged[endpoint] / max(unread[endpoint], 1)),
+            prefill[endpoint],
+            timedelta(seconds=aged[endpoint] / max(prefill[endpoint], 1)),
         )
         for endpoint, count in in_flight.items()
     }
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -1,9 +1,9 @@
-"""What this gateway knows of the others, and how they come to know of it.
+"""Exchange of state between the gateways.
 
-Each gateway reports its state to one of its zone a few times a second, and gets the
-sums over all others back. Any gateway sums up what is reported to it. Nothing agreed
-rests on this: it carries loads, demand, spending, counts of usage, and how far each has
-followed the store.
+Each gateway reports its state a few times a second to an aggregator in its zone, and
+gets the totals over all others in the reply. Any gateway aggregates what is reported to
+it. Nothing that needs agreement depends on this: it carries loads, demand, usage of
+limits, usage counts, and the store revisions that each gateway knows.
 """
 
 from datetime import timedelta
@@ -20,7 +20,7 @@
     watchers,
 )
 from sassafrasdale.decisions.turns import Turn, turn_of
-from sassafrasdale.gateway.aggregating import Aggregating
+from sassafrasdale.gateway.aggregating import Aggregator
 from sassafrasdale.gateway.assignment import ASK, NOTES
 from sassafrasdale.gateway.peer_calls import (
     ASK_TARGET,
@@ -30,10 +30,10 @@
     USAGE_TARGET,
     VALUES_TARGET,
     PeerCalls,
-    Shared,
+    PeerContext,
 )
 from sassafrasdale.gateway.peer_states import (
-    GROUP_NEWS,
+    GROUP_UPDATE,
     REPORT,
     Contact,
     HeardGroup,
@@ -43,7 +43,7 @@
     UsageTotal,
     encode,
 )
-from sassafrasdale.gateway.reporting import Reporting
+from sassafrasdale.gateway.reporting import Reporter
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.http.messages import Answer, Request
 from sassafrasdale.http.server import ServerConnection
@@ -51,137 +51,140 @@
 log = Logger("peering")
 
 # Aggregators that a gateway tries in one round.
-MOST_TRIES = 3
-# A process that has not run for so long was paused; its members report elsewhere.
-PAUSED = FRESH
-# What happens here goes to the aggregator, to another one, and from there to its
-# members.
-STEPS_TO_ALL = 3
+MAX_ATTEMPTS = 3
+# An aggregator that did not run for this long was paused, and its members have moved
+# to another one.
+PAUSE_THRESHOLD = FRESH
+# A change reaches all gateways in three steps: to the aggregator, from there to the
+# other aggregators, and from those to their members.
+PROPAGATION_STEPS = 3
 
 
 class Peering:
-    """Keeps what the other gateways tell, and tells them of this one.
+    """Keeps the state of the other gateways, and reports this one's to them.
 
-    :param shared: this gateway's state and who listens.
+    :param context: this gateway's state and its listener.
     :param zones: number of availability zones.
-    :param rng: source of randomness for pauses.
-    :param calls: calls to the other gateways.
+    :param rng: source of randomness for report intervals.
+    :param calls: client for the other gateways.
     """
 
     def __init__(
-        self, shared: Shared, zones: int, rng: Random, calls: PeerCalls
+        self, context: PeerContext, zones: int, rng: Random, calls: PeerCalls
     ) -> None:
-        self._shared = shared
+        self._context = context
         self._zones = zones
         self._rng = rng
-        self._clock = shared.clock
-        self._roster = shared.roster
+        self._clock = context.clock
+        self._roster = context.roster
         self._calls = calls
-        self._aggregating = Aggregating(shared, self._calls)
-        self._reporting = Reporting(shared, self._calls, self._take_groups)
+        self._aggregator = Aggregator(context, self._calls)
+        self._reporter = Reporter(context, self._calls, self._set_groups)
         self._groups: tuple[HeardGroup, ...] = ()
-        self._heard_at = self._clock.elapsed()
-        self._round_at = self._clock.elapsed()
+        self._received_at = self._clock.elapsed()
+        self._last_round_at = self._clock.elapsed()
 
     def groups(self) -> list[HeardGroup]:
-        """Return the sums over the other gateways, and how old they are."""
-        since = (self._clock.elapsed() - self._heard_at).total_seconds()
+        """Return the totals over the other gateways, with their ages."""
+        since = (self._clock.elapsed() - self._received_at).total_seconds()
         return [HeardGroup(group.state, group.age_s + since) for group in self._groups]
 
     def in_touch(self) -> list[HeardGroup]:
-        """Return those of the groups that are not held to be gone."""
+        """Return the groups that were received within the expiry timeout."""
         return [group for group in self.groups() if group.age <= LIFETIME]
 
     def names_holder(self) -> bool:
-        """Return whether a gateway in touch says that it has the duties.
+        """Return whether a gateway in touch claims to be the leader.
 
-        Only word from just now counts: a holder that was killed is believed to have
-        them until then, and nobody asks the store for the lease.
+        Only recent claims count: until a killed leader's claim is outdated, no gateway
+        asks the store for the lease.
         """
         return any(
-            group.state.holder is not None and group.age <= FRESH
+            group.state.leader is not None and group.age <= FRESH
             for group in self.groups()
         )
 
     def may_have_older(self, incarnation: int) -> bool:
-        """Return whether a gateway started earlier, or none is known to have yet.
+        """Return whether another gateway may have started before this one.
 
-        One that the store lists and that was never heard may be an older one.
+        A gateway that the store lists and that has not reported yet may be older.
         """
         groups = self.groups()
         if not groups:
             return len(self._roster) > 0
         return any(
-            group.state.silent or 0 < group.state.oldest < incarnation
+            group.state.silent or 0 < group.state.oldest_incarnation < incarnation
             for group in groups
         )
 
     def work(self, service: str) -> float:
-        """Return the engine time a second that the others' requests take.
+        """Return the engine time per second that the others' requests take.
 
-        That of a group which fell silent fades in as much time as it takes to show at
-        the others, where its callers go.
+        The engine time of a silent group decays at the rate at which its callers show
+        in the averages of the other gateways.
         """
         total = 0.0
         for group in self.groups():
             silence = max(group.age - FRESH, timedelta())
-            part = exp(-(silence / self._shared.work_window))
-            total += group.state.work.get(service, 0.0) * part
+            part = exp(-(silence / self._context.work_window))
+            total += group.state.engine_time.get(service, 0.0) * part
         return total
 
     def token_times(self, service: str) -> list[float]:
-        """Return what each group tells of an engine's time for a token, in seconds."""
+        """Return each group's mean prefill time per token, in seconds."""
         return [
-            group.state.token_times[service]
+            group.state.prefill_times[service]
             for group in self._groups
-            if service in group.state.token_times
+            if service in group.state.prefill_times
         ]
 
     def count(self) -> int:
-        """Return how many gateways there are, silent ones and this one included.
+        """Return the number of gateways, silent ones and this one included.
 
-        A gateway that is silent may be cut off, and spend its part of what is shared.
+        A silent gateway may be partitioned and still use its share of the limits.
         """
-        heard = {group.state.aggregator.zone for group in self._groups}
-        unheard = sum(
-            len(self._roster.of_zone(zone)) for zone in self._roster.zones() - heard
+        zones = {group.state.aggregator.zone for group in self._groups}
+        unreported = sum(
+            len(self._roster.in_zone(zone)) for zone in self._roster.zones() - zones
         )
-        told = sum(group.state.gateways + group.state.silent for group in self._groups)
-        return 1 + told + unheard
+        reported = sum(
+            group.state.gateways + group.state.silent for group in self._groups
+        )
+        return 1 + reported + unreported
 
     def hears_all(self) -> bool:
-        """Return whether others are heard, and an aggregator hears all zones."""
+        """Return whether others are in touch, for an aggregator from every zone."""
         groups = self.in_touch()
-        heard = {group.state.aggregator.zone for group in groups}
-        if self.is_aggregator and len(heard) < self._zones:
+        zones = {group.state.aggregator.zone for group in groups}
+        if self.is_aggregator and len(zones) < self._zones:
             return False
         return any(group.state.gateways for group in groups)
 
     @property
     def is_aggregator(self) -> bool:
-        """Whether this gateway sums up others' reports, or would if there were any."""
-        return not self._reporting.aggregator
+        """Whether this gateway is an aggregator, if only of itself."""
+        return not self._reporter.aggregator
 
     def dispatcher(self) -> Contact | None:
-        """Return the gateway that chooses engines for this one; None for itself."""
-        return self._roster.get(self._reporting.aggregator)
+        """Return the gateway that assigns endpoints for this one; None for itself."""
+        return self._roster.get(self._reporter.aggregator)
 
     @property
-    def pause(self) -> timedelta:
-        """Time between two reports."""
+    def interval(self) -> timedelta:
+        """Interval between reports."""
         if self.is_aggregator:
-            return self._aggregating.pause
-        return self._reporting.pause or pause_for(1)
+            return self._aggregator.interval
+        return self._reporter.interval or pause_for(1)
 
-    def unseen_time(self) -> timedelta:
-        """Return the time that what happens here takes to be known everywhere."""
-        return self.pause * STEPS_TO_ALL
+    def propagation_time(self) -> timedelta:
+        """Return the time until a change here is known to all gateways."""
+        return self.interval * PROPAGATION_STEPS
 
     def should_watch(self) -> bool:
-        """Return whether this gateway has to follow the store by itself.
+        """Return whether this gateway has to watch the store itself.
 
-        A few of each zone do. The others go by what these tell, as long as they hear
-        of one that the store answers.
+        A few of each zone do. The others rely on their reports, as long as at least
+        one gateway in touch gets responses from the store.
         """
         if self._roster.own.name in self._zone_watchers():
             return True
@@ -189,14 +192,15 @@
             group.state.follows_store and group.age <= FRESH for group in self.groups()
         )
 
-    def polling_turn(self) -> Turn | None:
-        """Return this gateway's turn to ask the store; None where others do.
+    def poll_slot(self) -> Turn | None:
+        """Return this gateway's poll slot; None if other gateways poll the store.
 
-        One that hears nobody asks in every turn. In an outage those that have no turn
-        leave it to the others: two hundred would press the store just as it returns.
+        A gateway without contact to others polls in every slot. Gateways without a slot
+        do not poll during an outage either: two hundred of them would overload the
+        store just as it recovers.
         """
-        heard = [group for group in self.groups() if group.age <= FRESH]
-        if not heard:
+        in_touch = [group for group in self.groups() if group.age <= FRESH]
+        if not in_touch:
             return Turn(0, 1)
         own = self._roster.own
         zone_watchers = self._zone_watchers()
@@ -205,37 +209,37 @@
         most = most_watchers(self._zones)
         counts = {
             group.state.aggregator.zone: min(group.state.gateways, most)
-            for group in heard
+            for group in in_touch
             if group.state.follows_store
         }
         counts[own.zone] = len(zone_watchers)
         return turn_of(own.zone, zone_watchers.index(own.name), counts)
 
     def _zone_watchers(self) -> list[str]:
-        """Return the gateways of this one's zone that watch the store, in order."""
+        """Return the gateways of this zone that watch the store, in order."""
         own = self._roster.own
         powers = {
             contact.name: contact.power
-            for contact in self._roster.of_zone(own.zone)
-            if not self._roster.is_passed_over(contact.name)
+            for contact in self._roster.in_zone(own.zone)
+            if not self._roster.is_avoided(contact.name)
         }
         powers[own.name] = own.power
         return watchers(own.zone, powers, self._zones)
 
-    def told_spent(self, customer: str) -> float:
-        """Return how much of this gateway's spending an aggregator has counted."""
-        return self._reporting.told_spent(customer)
+    def counted_spent(self, customer: str) -> float:
+        """Return how much of this gateway's limit usage an aggregator has counted."""
+        return self._reporter.counted_spent(customer)
 
     def usage(self, window: int) -> UsageTotal:
-        """Return all gateways' counts of a window, as far as they are known.
+        """Return the known counts of a window for all gateways.
 
-        They are kept by the aggregators; a gateway that is none asks its own.
+        Aggregators keep them; a member asks its own aggregator.
         """
-        total = self._reporting.usage(window)
-        return self._aggregating.usage(window) if total is None else total
+        total = self._reporter.usage(window)
+        return self._aggregator.usage(window) if total is None else total
 
     def introduce(self, contact: Contact) -> None:
-        """Take a gateway that the store lists."""
+        """Add a gateway that the store lists."""
         if contact.name != self._roster.own.name and not self._roster.get(contact.name):
             self._roster.merge([contact])
             log.info("peer introduced", peer=contact.name, zone=contact.zone)
@@ -243,104 +247,108 @@
     def run(self) -> None:
         """Report until the task is killed."""
         while True:
-            self.round()
-            sleep(self.pause * self._rng.uniform(0.9, 1.1))
+            self.run_round()
+            sleep(self.interval * self._rng.uniform(0.9, 1.1))
 
-    def round(self) -> None:
-        """Report to the aggregator, or do its work."""
+    def run_round(self) -> None:
+        """Report to the aggregator, or act as the aggregator."""
         now = self._clock.elapsed()
-        if now - self._round_at > PAUSED and self.is_aggregator:
+        if now - self._last_round_at > PAUSE_THRESHOLD and self.is_aggregator:
             log.notice("group begun anew after a pause")
-            self._aggregating.begin_anew()
-        self._round_at = now
-        self._roster.forget_old()
-        self._aggregating.forget_old()
-        self._calls.forget_unlisted()
+            self._aggregator.reset()
+        self._last_round_at = now
+        self._roster.remove_expired()
+        self._aggregator.remove_expired()
+        self._calls.close_unlisted()
         own = self._roster.own
-        for _ in range(MOST_TRIES):
-            first = self._roster.candidate(own.zone)
-            alone = first is None or first.name == own.name
-            if alone or self._aggregating.has_members:
+        for _ in range(MAX_ATTEMPTS):
+            candidate = self._roster.aggregator_candidate(own.zone)
+            alone = candidate is None or candidate.name == own.name
+            if alone or self._aggregator.has_members:
                 self._aggregate()
                 return
             if self.is_aggregator:
-                self._aggregating.lay_down()
-            if self._reporting.report_to(first):
+                self._aggregator.stop()
+            if self._reporter.report_to(candidate):
                 return
 
     def leave(self) -> None:
-        """Note that this gateway stops; it is summed up by others from now on."""
+        """Mark this gateway as shutting down; another one aggregates from now on."""
         self._roster.leave()
 
     def tell_all(self) -> None:
-        """Tell this gateway's state now, and wait until it is told."""
-        aggregator = self._roster.get(self._reporting.aggregator)
+        """Report this gateway's state now, and wait until that is done."""
+        aggregator = self._roster.get(self._reporter.aggregator)
         if aggregator is not None:
-            self._reporting.report_to(aggregator)
+            self._reporter.report_to(aggregator)
             return
-        self._take_own()
-        for task in self._aggregating.exchange(also_recent=True):
+        self._add_own_state()
+        for task in self._aggregator.exchange(include_recent=True):
             task.wait()
 
-    def fetch(self, peer: str, prefix: str, since: int) -> StoreValues | None:
-        """Return what has changed below a prefix of the store, from a gateway."""
+    def fetch_values(self, peer: str, prefix: str, since: int) -> StoreValues | None:
+        """Return the changes below a prefix of the store, from another gateway."""
         contact = self._roster.get(peer)
-        return None if contact is None else self._calls.values(contact, prefix, since)
+        return (
+            None
+            if contact is None
+            else self._calls.fetch_values(contact, prefix, since)
+        )
 
     def answer(self, connection: ServerConnection, request: Request) -> None:
-        """Answer another gateway."""
+        """Respond to another gateway's request."""
         try:
             answer = self._answer(request)
         except (MessageMalformed, ValueError) as error:
-            log.warning("message malformed", target=request.target, why=str(error))
+            log.warning("malformed message", target=request.target, why=str(error))
             answer = Answer(400)
         connection.answer(answer.status, answer.headers, answer.body)
 
     def _answer(self, request: Request) -> Answer:
         target = request.target
         if target == REPORT_TARGET:
-            view = self._aggregating.answer_report(REPORT.decode(request.body))
-            return Answer(200, body=encode(view))
+            reply = self._aggregator.answer_report(REPORT.decode(request.body))
+            return Answer(200, body=encode(reply))
         if target == ASK_TARGET:
-            assigned = self._shared.listener.assign(ASK.decode(request.body))
+            assigned = self._context.listener.assign(ASK.decode(request.body))
             return (
                 Answer(404) if assigned is None else Answer(200, body=encode(assigned))
             )
         if target == NOTES_TARGET:
-            self._shared.listener.note(NOTES.decode(request.body))
+            self._context.listener.receive_attempt_report(NOTES.decode(request.body))
             return Answer(200)
         if target == NEWS_TARGET:
-            return self._answer_news(request)
+            return self._answer_update(request)
         if target.startswith(USAGE_TARGET):
-            total = self._aggregating.usage(int(target.removeprefix(USAGE_TARGET)))
+            total = self._aggregator.usage(int(target.removeprefix(USAGE_TARGET)))
             return Answer(200, body=encode(total))
         if target.startswith(VALUES_TARGET):
             since, _, prefix = target.removeprefix(VALUES_TARGET).partition("/")
-            values = self._shared.own.values_since(prefix, int(since))
+            values = self._context.local_state.values_since(prefix, int(since))
             return Answer(404) if values is None else Answer(200, body=encode(values))
         return Answer(404)
 
-    def _answer_news(self, request: Request) -> Answer:
-        news = GROUP_NEWS.decode(request.body)
-        answer = self._aggregating.answer_news(news, self._reporting.aggregator)
+    def _answer_update(self, request: Request) -> Answer:
+        update = GROUP_UPDATE.decode(request.body)
+        answer = self._aggregator.answer_update(update, self._reporter.aggregator)
         return Answer(409 if isinstance(answer, Redirect) else 200, body=encode(answer))
 
     def _aggregate(self) -> None:
         if not self.is_aggregator:
-            log.info("aggregating", before=self._reporting.stop())
-            self._aggregating.take_up(self.groups())
-        self._take_own()
-        self._aggregating.exchange()
-        for contact in self._aggregating.ungreeted():
-            spawn(self._reporting.hand_roster, contact)
-        self._take_groups(self._aggregating.view_for(self._roster.own.name))
-
-    def _take_own(self) -> None:
-        state = self._shared.own.make(self._roster.own)
-        self._aggregating.take_own(state, self.count())
-        self._reporting.note_told(state)
-
-    def _take_groups(self, groups: tuple[HeardGroup, ...]) -> None:
+            log.info("aggregating", before=self._reporter.stop())
+            self._aggregator.start(self.groups())
+        self._add_own_state()
+        self._aggregator.exchange()
+        for contact in self._aggregator.uncontacted():
+            spawn(self._reporter.send_roster, contact)
+        self._set_groups(self._aggregator.groups_for(self._roster.own.name))
+
+    def _add_own_state(self) -> None:
+        state = self._context.local_state.build(self._roster.own)
+        self._aggregator.add_own_state(state, self.count())
+        self._reporter.mark_counted(state)
+
+    def _set_groups(self, groups: tuple[HeardGroup, ...]) -> None:
         self._groups = groups
-        self._heard_at = self._clock.elapsed()
-        self._shared.listener.hear_groups(groups)
+        self._received_at = self._clock.elapsed()
+        self._context.listener.receive_groups(groups)
--- a/src/sassafrasdale/gateway/polling.py
+++ b/src/sassafrasdale/gateway/polling.py
@@ -1,9 +1,9 @@
-"""Finding changes of the store that no watch brings.
+"""Polling for changes of the store that watches have missed.
 
-Watches may be swallowed by a silence of the store, all gateways' at once. So the
-gateways that watch also ask by turns, without waiting for changes; the reasons and the
-price are told in :mod:`sassafrasdale.decisions.turns`. One that finds a change asks for
-its own watches anew, and tells the others as it tells them of any change.
+While the store is unresponsive, it may lose the watches of all gateways at once. The
+gateways that watch therefore also poll in turn, without waiting for changes; see
+:mod:`sassafrasdale.decisions.turns` for the reasons and the cost. A gateway that finds
+a change renews its watches, and reports the change to the others like any other.
 """
 
 from collections.abc import Callable, Sequence
@@ -19,57 +19,57 @@
 
 log = Logger("polling")
 
-# Turns in the time in which a change must be in force. A change that all watches have
-# missed is found within one turn; the other three quarters are left for telling the
-# gateways, which takes up to three of their reports.
-TURNS_PER_DELAY = 4
-# The store has a rate, and each call a price; where less than 0.8 s is promised there
-# are no more than five turns a second.
-SHORTEST_STEP = timedelta(milliseconds=200)
+# Slots in the time within which a change must take effect. A change that all watches
+# have missed is found within one slot. The other three quarters are left for passing it
+# on, which takes up to three reports.
+SLOTS_PER_DELAY = 4
+# The store limits the rate of calls, and each call has a price. There are at most five
+# slots a second, even where less than 0.8 s is promised.
+MIN_SLOT_LENGTH = timedelta(milliseconds=200)
 
 
-class Polling:
-    """Task that asks for changes whenever it is this gateway's turn.
+class Poller:
+    """Task that polls for changes in this gateway's slots.
 
-    :param followers: the prefixes that are followed.
-    :param turn: returns this gateway's turn now; None where it has none.
-    :param time: true time, which the turns go by.
-    :param delay: time in which a confirmed change must be in force.
+    :param followers: followers of the prefixes to poll.
+    :param slot: returns this gateway's present slot; None if it has none.
+    :param time: cluster time, which the slots are based on.
+    :param delay: time within which a confirmed change must take effect.
     """
 
     def __init__(
         self,
         followers: Sequence[Follower],
         store: PlatformStore,
-        turn: Callable[[], Turn | None],
+        slot: Callable[[], Turn | None],
         time: TrueTime,
         delay: timedelta,
     ) -> None:
         self._followers = followers
         self._store = store
-        self._turn = turn
+        self._slot = slot
         self._time = time
-        self._step = max(delay / TURNS_PER_DELAY, SHORTEST_STEP)
+        self._slot_length = max(delay / SLOTS_PER_DELAY, MIN_SLOT_LENGTH)
 
     def run(self) -> None:
-        """Ask at each turn until the task is killed."""
+        """Poll in each slot until the task is killed."""
         while True:
-            turn = self._turn()
-            if turn is None:
-                sleep(self._step)
+            slot = self._slot()
+            if slot is None:
+                sleep(self._slot_length)
                 continue
-            left = turn.time_until(self._time.seconds, self._step)
-            if left > self._step:
-                # Turns change as gateways come and go.
-                sleep(self._step / 2)
+            left = slot.time_until(self._time.seconds, self._slot_length)
+            if left > self._slot_length:
+                # Slots change as gateways come and go.
+                sleep(self._slot_length / 2)
                 continue
             sleep(left)
-            self._ask_all()
-            # A timer that fires early must not make two turns of one.
-            sleep(self._step / 4)
+            self._poll_all()
+            # Prevents a second poll in the same slot if the timer fired early.
+            sleep(self._slot_length / 4)
 
-    def _ask_all(self) -> None:
-        # An answer that a silence swallows must not hold up the next question.
+    def _poll_all(self) -> None:
+        # A poll without a response must not delay the next one.
         for follower in self._followers:
             spawn(self._ask, follower)
 
--- a/src/sassafrasdale/gateway/quotas.py
+++ b/src/sassafrasdale/gateway/quotas.py
@@ -1,9 +1,10 @@
-"""Customers' limits over all gateways, from the sums that these tell each other.
+"""Customers' rate limits over all gateways, from the totals that they exchange.
 
-While a customer is below its limit, each gateway lets in what comes. Near the limit
-each keeps to a part by the demand that arrives there. A gateway that falls silent may
-be cut off and spend on, so the others leave it the part that it said it had. It does
-the same for them, and all sides of a cut together stay within the limit.
+While a customer is below its limit, each gateway admits all of its requests. Near the
+limit each gateway keeps to a share in proportion to the demand that it receives. A
+gateway that falls silent may be partitioned and still admit requests, so the others
+reserve the share that it last reported. It does the same for them, so that all sides of
+a partition together stay within the limit.
 """
 
 from collections.abc import Callable, Sequence
@@ -26,35 +27,35 @@
 )
 from sassafrasdale.decisions.shares import DemandShares
 from sassafrasdale.deployment import Bounds, Customer, RequestTraits
-from sassafrasdale.gateway.peer_states import HeardGroup, Spending
-
-# Part of the slack on top of each limit that is used as room for large requests;
-# the rest covers requests that overdraw and spending that isn't known yet.
-USED_SLACK = 0.25
-# Part of its depth that a limit begins with: after a restart of all gateways at
-# once, full limits would give every customer its burst again. What was not spent
-# while they started makes up for this part.
-FIRST_LEVEL = 0.4
-# Part of the slack that is left at the beginning on top of that. Callers who waited out
-# the restart come back together; with 0.4 alone, four of ten requests of the first half
-# second were refused, and came back late.
-FIRST_SLACK = 0.25
-# Part of the slack that all gateways may let in before they know of each other.
-UNSEEN_SLACK = 0.15
-# Part of the slack that a rise of demand may use until it is known everywhere.
-RISE_SLACK = 0.5
+from sassafrasdale.gateway.peer_states import HeardGroup, LimitUsage
+
+# Fraction of the slack that is added to each limit's depth for large requests. The rest
+# covers requests that overdraw the limit and usage that is not reported yet.
+DEPTH_SLACK_FRACTION = 0.25
+# Fraction of its depth that a limit starts with. After a restart of all gateways, full
+# limits would give every customer its burst again. What customers could not use during
+# the restart makes up for this fraction.
+INITIAL_LEVEL = 0.4
+# Fraction of the slack that a limit starts with in addition. Callers that waited during
+# the restart return together; with 0.4 of the depth alone, four of ten requests of the
+# first half second were refused, and retried late.
+INITIAL_SLACK_FRACTION = 0.25
+# Fraction of the slack that all gateways may admit before they know of each other.
+UNSEEN_SLACK_FRACTION = 0.15
+# Fraction of the slack that a rise of demand may use until all gateways know of it.
+RISE_SLACK_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class _LiveDemand:
+class _AvailableLimit:
     """What the gateways in touch may use of a customer's limit.
 
-    :param left: part of the limit that is not set aside for silent gateways.
-    :param gateways: gateways in touch, this one included.
-    :param demand: what their requests ask for a second.
+    :param fraction: fraction of the limit that is not reserved for silent gateways.
+    :param gateways: number of gateways in touch, this one included.
+    :param demand: amount that their requests ask for per second.
     """
 
-    left: float
+    fraction: float
     gateways: int
     demand: float
 
@@ -63,10 +64,10 @@
     """Admission under all customers' limits at one gateway.
 
     :param bounds: slack of the limits.
-    :param gateways: number of gateways, this one included.
+    :param gateways: returns the number of gateways, this one included.
     :param clock: source of elapsed time.
-    :param told: how much of this gateway's spending others have counted, by customer.
-    :param unseen_time: time that a spending takes to be known at all gateways.
+    :param counted: returns how much of a customer's usage here others have counted.
+    :param propagation_time: returns the time until all gateways know of usage here.
     :param rng: source of randomness.
     """
 
@@ -75,52 +76,52 @@
         bounds: Bounds,
         gateways: Callable[[], int],
         clock: Clock,
-        told: Callable[[str], float] = lambda customer: 0.0,
-        unseen_time: Callable[[], timedelta] = lambda: UNSEEN_TIME,
+        counted: Callable[[str], float] = lambda customer: 0.0,
+        propagation_time: Callable[[], timedelta] = lambda: UNSEEN_TIME,
         rng: Random | None = None,
     ) -> None:
         self._bounds = bounds
         self._gateways = gateways
         self._clock = clock
-        self._told = told
-        self._unseen_time = unseen_time
+        self._counted = counted
+        self._propagation_time = propagation_time
         self._rng = rng or Random()
         self._groups: Sequence[HeardGroup] = ()
-        self._heard_at = clock.elapsed()
-        self._known: dict[str, Customer] = {}
+        self._received_at = clock.elapsed()
+        self._customers: dict[str, Customer] = {}
         self._started_at = clock.elapsed()
         self._shares = DemandShares()
         self._thinnings: dict[str, Thinning] = {}
         self._limits: dict[str, SharedLimit] = {}
 
     def admit(self, customer: Customer, traits: RequestTraits) -> timedelta | None:
-        """Take a request out of its customer's limit.
+        """Charge a request to its customer's limit, if it fits.
 
-        :returns: None if it fits, else when it is worth coming back.
+        :returns: None if it is admitted, else the time after which to retry.
         """
         if not customer.rate:
             return None
         amount = request_size(customer, traits)
         now = self._clock.elapsed()
-        self._known[customer.name] = customer
+        self._customers[customer.name] = customer
         self._shares.add(customer.name, now, amount)
-        live = self._live(customer, now)
+        available = self._available(customer, now)
         limit = self._limit(customer, now)
-        rate = customer.rate * live.left
+        rate = customer.rate * available.fraction
         limit.refill(rate, now)
         limit.ask(amount, now)
-        left = limit.left(self._depth(customer), live.left, now)
-        share = self._share(customer, live, now)
-        if not self._has_room(customer, limit, left, share, live):
+        left = limit.left(self._depth(customer), available.fraction, now)
+        share = self._share(customer, available, now)
+        if not self._has_room(customer, limit, left, share, available):
             rise = self._unseen_demand(customer, limit, share)
-            part = passing_part(left, rate, live.demand + rise)
-            unseen_time = self._unseen_time()
-            filling = share * rate * unseen_time.total_seconds()
-            unseen = limit.unseen(now, unseen_time)
-            if left <= 0 and not fits_unseen(amount, unseen, filling):
-                part = 0.0
-            if not self._thinning(customer.name).lets_in(part):
-                return time_to_return(left, rate, live.demand)
+            fraction = passing_part(left, rate, available.demand + rise)
+            propagation_time = self._propagation_time()
+            refill = share * rate * propagation_time.total_seconds()
+            unseen = limit.unseen(now, propagation_time)
+            if left <= 0 and not fits_unseen(amount, unseen, refill):
+                fraction = 0.0
+            if not self._thinning(customer.name).lets_in(fraction):
+                return time_to_return(left, rate, available.demand)
         limit.spend(amount, now)
         return None
 
@@ -130,126 +131,135 @@
         limit: SharedLimit,
         left: float,
         share: float,
-        live: _LiveDemand,
+        available: _AvailableLimit,
     ) -> bool:
-        unseen_time = self._unseen_time()
-        covered = self._slack(customer) * UNSEEN_SLACK * share
-        unseen = limit.unseen(self._clock.elapsed(), unseen_time) - covered
-        return has_room(left, live.demand, share, unseen, unseen_time)
+        propagation_time = self._propagation_time()
+        covered = self._slack(customer) * UNSEEN_SLACK_FRACTION * share
+        unseen = limit.unseen(self._clock.elapsed(), propagation_time) - covered
+        return has_room(left, available.demand, share, unseen, propagation_time)
 
     def _unseen_demand(
         self, customer: Customer, limit: SharedLimit, share: float
     ) -> float:
         now = self._clock.elapsed()
-        unseen_time = self._unseen_time()
+        propagation_time = self._propagation_time()
         average = self._shares.own(customer.name, now)
-        rise = limit.unseen_rise(now, unseen_time, average)
-        covered = self._slack(customer) * RISE_SLACK / unseen_time.total_seconds()
+        rise = limit.unseen_rise(now, propagation_time, average)
+        covered = (
+            self._slack(customer)
+            * RISE_SLACK_FRACTION
+            / propagation_time.total_seconds()
+        )
         return unseen_demand(rise, share, covered)
 
     def explain(self, customer: Customer) -> str:
         """Return what decides on a customer's requests now, for the logs."""
         now = self._clock.elapsed()
-        live = self._live(customer, now)
+        available = self._available(customer, now)
         limit = self._limits.get(customer.name)
         used = 0.0 if limit is None else limit.used(now)
         return (
-            f"used {used:.0f}, asked {live.demand:.0f} of {customer.rate:.0f} a second,"
-            f" part here {self._share(customer, live, now):.2f},"
-            f" not set aside {live.left:.2f}"
+            f"used {used:.0f},"
+            f" asked {available.demand:.0f} of {customer.rate:.0f} a second,"
+            f" part here {self._share(customer, available, now):.2f},"
+            f" not set aside {available.fraction:.2f}"
         )
 
     def restore(self, customer: Customer, traits: RequestTraits) -> None:
-        """Give back what a request took that then didn't run."""
+        """Refund a request that was admitted and did not run."""
         if customer.rate and customer.name in self._limits:
             amount = request_size(customer, traits)
             self._limits[customer.name].spend(-amount, self._clock.elapsed())
 
-    def report(self) -> dict[str, Spending]:
-        """Return this gateway's demand and spending, by customer."""
+    def report(self) -> dict[str, LimitUsage]:
+        """Return this gateway's demand and limit usage, by customer."""
         now = self._clock.elapsed()
         return {
-            name: self._spending(self._known[name], demand, limit, now)
+            name: self._limit_usage(self._customers[name], demand, limit, now)
             for name, demand in self._shares.report(now).items()
             if (limit := self._limits.get(name)) is not None
         }
 
-    def _spending(
+    def _limit_usage(
         self, customer: Customer, demand: float, limit: SharedLimit, now: timedelta
-    ) -> Spending:
-        share = self._share(customer, self._live(customer, now), now)
-        told = self._told(customer.name)
-        return Spending(demand, limit.spent, told, limit.used(now), share)
+    ) -> LimitUsage:
+        share = self._share(customer, self._available(customer, now), now)
+        counted = self._counted(customer.name)
+        return LimitUsage(demand, limit.spent, counted, limit.used(now), share)
 
-    def hear_groups(self, groups: Sequence[HeardGroup]) -> None:
-        """Take the sums over all other gateways, in place of those before."""
+    def receive_groups(self, groups: Sequence[HeardGroup]) -> None:
+        """Replace the totals over all other gateways."""
         now = self._clock.elapsed()
         self._groups = groups
-        self._heard_at = now
+        self._received_at = now
         self._refill(now)
-        for heard in groups:
-            state = heard.state
-            told_at = now - heard.age
+        for group in groups:
+            state = group.state
+            reported_at = now - group.age
             counter = SpendingCounter(
                 state.aggregator.zone,
-                state.counter,
-                told_at - timedelta(seconds=state.counting_s),
+                state.counter_id,
+                reported_at - timedelta(seconds=state.counting_s),
             )
-            for name, spending in state.spending.items():
+            for name, usage in state.limit_usage.items():
                 if name in self._limits:
-                    self._limits[name].hear(counter, spending.spent, told_at)
+                    self._limits[name].hear(counter, usage.spent, reported_at)
 
     def _refill(self, now: timedelta) -> None:
-        """Let all limits fill up by what is set aside now.
+        """Refill all limits at the rates that follow from the present reservations.
 
-        One of many gateways may see a customer every few seconds. By what it knew then,
-        a limit would go on filling up too slowly, or too fast, until the next time.
+        One of many gateways may see a customer only every few seconds. At the rate of
+        the last request, a limit would fill too slowly or too fast until the next one.
         """
         for name, limit in self._limits.items():
-            customer = self._known[name]
-            limit.refill(customer.rate * self._live(customer, now).left, now)
+            customer = self._customers[name]
+            limit.refill(customer.rate * self._available(customer, now).fraction, now)
 
-    def _live(self, customer: Customer, now: timedelta) -> _LiveDemand:
-        """Return what is left of a limit for the gateways in touch."""
+    def _available(self, customer: Customer, now: timedelta) -> _AvailableLimit:
+        """Return what the gateways in touch may use of a limit."""
         gateways = self._gateways()
         counted = in_touch = 1
         demand = self._shares.own(customer.name, now)
-        kept = 0.0
-        for heard in self._groups:
-            state = heard.state
+        reserved = 0.0
+        for group in self._groups:
+            state = group.state
             members = state.gateways + state.silent
             counted += members
-            spending = state.spending.get(customer.name)
-            if not self._is_fresh(heard, now):
-                even = members / gateways
-                kept += even if spending is None else spending.share
-                kept += 0.0 if spending is None else spending.set_aside
+            usage = state.limit_usage.get(customer.name)
+            if not self._is_fresh(group, now):
+                equal_share = members / gateways
+                reserved += equal_share if usage is None else usage.share
+                reserved += 0.0 if usage is None else usage.reserved
                 continue
             in_touch += state.gateways
-            if spending is None:
-                kept += state.silent / gateways
+            if usage is None:
+                reserved += state.silent / gateways
             else:
-                demand += spending.demand
-                kept += spending.set_aside
-        # Those that are listed and that nobody has heard may each have an even part.
-        kept += max(gateways - counted, 0) / gateways
-        return _LiveDemand(max(1 - kept, 0.0), in_touch, demand)
+                demand += usage.demand
+                reserved += usage.reserved
+        # Listed gateways that have never reported may each use an equal share.
+        reserved += max(gateways - counted, 0) / gateways
+        return _AvailableLimit(max(1 - reserved, 0.0), in_touch, demand)
 
-    def _is_fresh(self, heard: HeardGroup, now: timedelta) -> bool:
-        return now - self._heard_at + heard.age <= FRESH
+    def _is_fresh(self, group: HeardGroup, now: timedelta) -> bool:
+        return now - self._received_at + group.age <= FRESH
 
-    def _share(self, customer: Customer, live: _LiveDemand, now: timedelta) -> float:
-        """Return the part of a limit that falls to this gateway."""
+    def _share(
+        self, customer: Customer, available: _AvailableLimit, now: timedelta
+    ) -> float:
+        """Return this gateway's fraction of a limit."""
         own = self._shares.own(customer.name, now)
-        by_demand = self._shares.part(own, live.demand, live.gateways)
-        rate = customer.rate * live.left
-        return live.left * _with_spare(by_demand, live.demand, rate, live.gateways)
+        by_demand = self._shares.part(own, available.demand, available.gateways)
+        rate = customer.rate * available.fraction
+        return available.fraction * _add_spare(
+            by_demand, available.demand, rate, available.gateways
+        )
 
     def _slack(self, customer: Customer) -> float:
         return self._bounds.quota_slack if customer.counts_tokens else 0.0
 
     def _depth(self, customer: Customer) -> float:
-        return customer.burst + USED_SLACK * self._slack(customer)
+        return customer.burst + DEPTH_SLACK_FRACTION * self._slack(customer)
 
     def _thinning(self, name: str) -> Thinning:
         if name not in self._thinnings:
@@ -262,38 +272,38 @@
         if limit is not None:
             return limit
         used = [
-            heard.state.spending[name].used
-            for heard in self._groups
-            if name in heard.state.spending and self._is_fresh(heard, now)
+            group.state.limit_usage[name].used
+            for group in self._groups
+            if name in group.state.limit_usage and self._is_fresh(group, now)
         ]
-        limit = SharedLimit(max(used, default=self._first_used(customer, now)), now)
+        limit = SharedLimit(max(used, default=self._initial_used(customer, now)), now)
         self._limits[name] = limit
         return limit
 
-    def _first_used(self, customer: Customer, now: timedelta) -> float:
-        """Return what is missing from a limit of which nobody has told anything.
+    def _initial_used(self, customer: Customer, now: timedelta) -> float:
+        """Return the used amount of a limit that no other gateway has reported.
 
-        It has been filling up since the start, though nobody looked at it.
+        The limit has been filling since the start of this gateway.
         """
         depth = self._depth(customer)
         slack = self._slack(customer)
-        first = min(depth, depth * FIRST_LEVEL + slack * FIRST_SLACK)
+        first = min(depth, depth * INITIAL_LEVEL + slack * INITIAL_SLACK_FRACTION)
         filled = customer.rate * (now - self._started_at).total_seconds()
         return max(depth - first - filled, 0.0)
 
 
-def _with_spare(part: float, total: float, rate: float, gateways: int) -> float:
-    """Divide evenly what all of a customer's demand leaves of its limit.
+def _add_spare(share: float, total: float, rate: float, gateways: int) -> float:
+    """Add an equal share of the part of a limit that the demand leaves unused.
 
-    With parts by demand alone, a customer far below its limit would be refused by a
-    gateway that its requests reach for the first time in a while.
+    With shares by demand alone, a gateway would refuse a customer far below its limit
+    when its requests reach that gateway for the first time in a while.
     """
     spare = max(1 - total / rate, 0.0) if rate else 0.0
-    return part * (1 - spare) + spare / gateways
+    return share * (1 - spare) + spare / gateways
 
 
 def request_size(customer: Customer, traits: RequestTraits) -> float:
-    """Return how much of a customer's limit a request takes."""
+    """Return how much of a customer's limit a request uses."""
     if not customer.counts_tokens:
         return 1
     if traits.prompt_tokens is None:
--- a/src/sassafrasdale/gateway/reporting.py
+++ b/src/sassafrasdale/gateway/reporting.py
@@ -1,48 +1,48 @@
-"""A member's side: reports to the aggregator of the zone."""
+"""Reports of a member to the aggregator of its zone."""
 
 from collections.abc import Callable
 from datetime import timedelta
 
 from logbook import Logger
 
-from sassafrasdale.gateway.peer_calls import REPORT_TARGET, PeerCalls, Shared
+from sassafrasdale.gateway.peer_calls import REPORT_TARGET, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
-    VIEW,
+    REPORT_REPLY,
     Contact,
     HeardGroup,
     MemberState,
     Report,
+    ReportReply,
     UsageRow,
     UsageTotal,
-    View,
 )
 from sassafrasdale.green import spawn
 
 log = Logger("reporting")
 
 
-class Reporting:
-    """Reports this gateway's state and takes the sums that come back.
+class Reporter:
+    """Reports this gateway's state, and applies the replies.
 
-    :param take_groups: told of the sums over all other gateways.
+    :param set_groups: called with the totals over all other gateways.
     """
 
     def __init__(
         self,
-        shared: Shared,
+        context: PeerContext,
         calls: PeerCalls,
-        take_groups: Callable[[tuple[HeardGroup, ...]], None],
+        set_groups: Callable[[tuple[HeardGroup, ...]], None],
     ) -> None:
-        self._shared = shared
+        self._context = context
         self._calls = calls
-        self._roster = shared.roster
-        self._take_groups = take_groups
+        self._roster = context.roster
+        self._set_groups = set_groups
         self._aggregator = ""
-        self._incarnation = 0
-        self._their_digest = 0
-        self._told_rows: dict[int, dict[str, int]] = {}
-        self._told_spent: dict[str, float] = {}
-        self._pause: timedelta | None = None
+        self._aggregator_incarnation = 0
+        self._aggregator_digest = 0
+        self._reported_rows: dict[int, dict[str, int]] = {}
+        self._counted_spent: dict[str, float] = {}
+        self._interval: timedelta | None = None
 
     @property
     def aggregator(self) -> str:
@@ -50,104 +50,106 @@
         return self._aggregator
 
     @property
-    def pause(self) -> timedelta | None:
-        """Time until the next report, as the aggregator has said."""
-        return self._pause
+    def interval(self) -> timedelta | None:
+        """Time until the next report, as set by the aggregator."""
+        return self._interval
 
     def stop(self) -> str:
-        """Report to nobody any more, and return to whom it was until now."""
+        """Stop reporting, and return the name of the former aggregator."""
         former, self._aggregator = self._aggregator, ""
         return former
 
-    def told_spent(self, customer: str) -> float:
-        """Return how much of this gateway's spending an aggregator has counted."""
-        return self._told_spent.get(customer, 0.0)
+    def counted_spent(self, customer: str) -> float:
+        """Return how much of this gateway's limit usage an aggregator has counted."""
+        return self._counted_spent.get(customer, 0.0)
 
-    def note_told(self, state: MemberState) -> None:
-        """Note that a state was counted, here or by another gateway."""
-        for customer, spending in state.spending.items():
-            self._told_spent[customer] = spending.spent
+    def mark_counted(self, state: MemberState) -> None:
+        """Record that a state was counted, by this or another aggregator."""
+        for customer, usage in state.limit_usage.items():
+            self._counted_spent[customer] = usage.spent
 
     def report_to(self, contact: Contact) -> bool:
-        """Report to an aggregator, and return whether it answered."""
+        """Report to an aggregator, and return whether it replied."""
         if contact.name != self._aggregator:
-            self._move_to(contact)
-        state = self._state()
+            self._switch_to(contact)
+        state = self._own_state()
         rows = self._changed_rows()
         digest = self._roster.digest()
-        known = digest == self._their_digest
+        known = digest == self._aggregator_digest
         report = Report(
             state,
             digest,
-            () if known else tuple(self._roster.own_zone()),
-            tuple(self._row(window, counts) for window, counts in rows.items()),
-            self._shared.own.open_sends(),
-            strikes=self._shared.strikes.news_for(contact.name),
+            () if known else tuple(self._roster.own_zone_contacts()),
+            tuple(self._usage_row(window, counts) for window, counts in rows.items()),
+            self._context.local_state.open_attempts(),
+            strikes=self._context.strikes.news_for(contact.name),
         )
-        view = self._calls.send(contact, REPORT_TARGET, report, VIEW)
-        if not isinstance(view, View):
+        reply = self._calls.send(contact, REPORT_TARGET, report, REPORT_REPLY)
+        if not isinstance(reply, ReportReply):
             return False
-        self._told_rows |= rows
-        self.note_told(state)
-        self._take_view(view)
+        self._reported_rows |= rows
+        self.mark_counted(state)
+        self._apply_reply(reply)
         return True
 
-    def hand_roster(self, contact: Contact) -> None:
-        """Tell a gateway which ones of the zone are known, without reporting to it."""
+    def send_roster(self, contact: Contact) -> None:
+        """Send the zone's known gateways to another, without becoming its member."""
         digest = self._roster.digest()
-        known = tuple(self._roster.own_zone())
-        report = Report(self._state(), digest, known, departs=True)
-        view = self._calls.send(contact, REPORT_TARGET, report, VIEW)
-        if isinstance(view, View):
-            self._roster.heard(view.sender)
-            self._roster.merge(view.roster)
+        known = tuple(self._roster.own_zone_contacts())
+        report = Report(self._own_state(), digest, known, leaves_group=True)
+        reply = self._calls.send(contact, REPORT_TARGET, report, REPORT_REPLY)
+        if isinstance(reply, ReportReply):
+            self._roster.record_contact(reply.sender)
+            self._roster.merge(reply.roster)
 
     def usage(self, window: int) -> UsageTotal | None:
-        """Return all gateways' counts of a window, if the aggregator tells them."""
+        """Return the aggregator's counts of a window; None if the call failed."""
         contact = self._roster.get(self._aggregator)
-        return None if contact is None else self._calls.usage(contact, window)
+        return None if contact is None else self._calls.fetch_usage(contact, window)
 
-    def _move_to(self, contact: Contact) -> None:
+    def _switch_to(self, contact: Contact) -> None:
         former = self._roster.get(self._aggregator)
         log.info("aggregator chosen", peer=contact.name, before=self._aggregator)
         self._aggregator = contact.name
-        self._told_rows = {}
-        self._their_digest = 0
-        # A former aggregator that still lives would count this gateway as silent.
-        if former is not None and not self._roster.is_passed_over(former.name):
-            spawn(self.hand_roster, former)
-
-    def _take_view(self, view: View) -> None:
-        listener = self._shared.listener
-        sender = view.sender
-        self._roster.heard(sender)
-        self._shared.strikes.take(sender.name, sender.incarnation, view.strikes)
-        self._their_digest = view.roster_digest
-        if view.sender.incarnation != self._incarnation:
-            # One that restarted between two reports knows nothing of the earlier ones.
-            self._incarnation = view.sender.incarnation
-            self._told_rows = {}
-        self._roster.merge(view.roster)
-        self._roster.merge(heard.state.aggregator for heard in view.groups)
-        self._roster.keep(contact.name for contact in self._roster.own_zone())
-        self._pause = timedelta(seconds=view.pause_s)
-        listener.hear_clock(view.sender.name, view.time)
-        for name, reading in view.clocks.items():
+        self._reported_rows = {}
+        self._aggregator_digest = 0
+        # A former aggregator that still runs would count this gateway as silent.
+        if former is not None and not self._roster.is_avoided(former.name):
+            spawn(self.send_roster, former)
+
+    def _apply_reply(self, reply: ReportReply) -> None:
+        listener = self._context.listener
+        sender = reply.sender
+        self._roster.record_contact(sender)
+        self._context.strikes.take(sender.name, sender.incarnation, reply.strikes)
+        self._aggregator_digest = reply.roster_digest
+        if reply.sender.incarnation != self._aggregator_incarnation:
+            # An aggregator that restarted since the last report has no rows.
+            self._aggregator_incarnation = reply.sender.incarnation
+            self._reported_rows = {}
+        self._roster.merge(reply.roster)
+        self._roster.merge(group.state.aggregator for group in reply.groups)
+        self._roster.mark_alive(
+            contact.name for contact in self._roster.own_zone_contacts()
+        )
+        self._interval = timedelta(seconds=reply.interval_s)
+        listener.receive_clock(reply.sender.name, reply.time)
+        for name, reading in reply.clocks.items():
             if name != self._roster.own.name:
-                listener.hear_clock(name, reading)
-        listener.hear_revisions(view.sender.name, view.revisions)
-        self._take_groups(view.groups)
+                listener.receive_clock(name, reading)
+        listener.receive_revisions(reply.sender.name, reply.revisions)
+        self._set_groups(reply.groups)
 
     def _changed_rows(self) -> dict[int, dict[str, int]]:
         return {
             window: counts
-            for window, counts in self._shared.own.usage().items()
-            if self._told_rows.get(window) != counts
+            for window, counts in self._context.local_state.usage().items()
+            if self._reported_rows.get(window) != counts
         }
 
-    def _row(self, window: int, counts: dict[str, int]) -> UsageRow:
+    def _usage_row(self, window: int, counts: dict[str, int]) -> UsageRow:
         own = self._roster.own
         return UsageRow(own.name, own.incarnation, window, counts)
 
-    def _state(self) -> MemberState:
-        return self._shared.own.make(self._roster.own)
+    def _own_state(self) -> MemberState:
+        return self._context.local_state.build(self._roster.own)
--- a/src/sassafrasdale/gateway/roster.py
+++ b/src/sassafrasdale/gateway/roster.py
@@ -1,4 +1,4 @@
-"""The gateways that are known, and who of a zone should be its aggregator."""
+"""Known gateways, and the preferred aggregator of each zone."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -13,11 +13,11 @@
 
 log = Logger("roster")
 
-# A gateway that did not answer is passed over for this long. Then it is asked again:
-# one that was paused or cut off for a moment should not stay out for good.
-PASSED_OVER = timedelta(seconds=3)
-# A gateway that was not heard of for this long, by anybody, is gone for good.
-FORGET = timedelta(seconds=60)
+# A gateway that did not respond is avoided for this long and then tried again, since it
+# may only have been paused or partitioned for a moment.
+AVOID_TIME = timedelta(seconds=3)
+# A gateway from which nobody has received anything for this long is removed.
+RETENTION_TIME = timedelta(seconds=60)
 
 
 class Roster:
@@ -31,8 +31,8 @@
         self._own = own
         self._clock = clock
         self._contacts: dict[str, Contact] = {}
-        self._heard_at: dict[str, timedelta] = {}
-        self._passed_over: dict[str, timedelta] = {}
+        self._last_seen_at: dict[str, timedelta] = {}
+        self._avoided_until: dict[str, timedelta] = {}
 
     def __len__(self) -> int:
         return len(self._contacts)
@@ -43,61 +43,61 @@
         return self._own
 
     def leave(self) -> None:
-        """Note that this gateway is stopping."""
+        """Mark this gateway as shutting down."""
         self._own = replace(self._own, leaving=True)
 
     def get(self, name: str) -> Contact | None:
         """Return a gateway's contact, if it is known."""
         return self._contacts.get(name)
 
-    def of_zone(self, zone: str) -> list[Contact]:
-        """Return the other gateways of a zone that are not leaving."""
+    def in_zone(self, zone: str) -> list[Contact]:
+        """Return the other gateways of a zone that are not shutting down."""
         return [
             contact
             for contact in self._contacts.values()
             if contact.zone == zone and not contact.leaving
         ]
 
-    def own_zone(self) -> list[Contact]:
-        """Return all gateways of this one's zone, itself and leaving ones too."""
+    def own_zone_contacts(self) -> list[Contact]:
+        """Return all gateways of this zone, itself and leaving ones included."""
         others = self._contacts.values()
         zone = self._own.zone
         return [self._own, *(other for other in others if other.zone == zone)]
 
     def zones(self) -> set[str]:
-        """Return the zones of all gateways that are known."""
+        """Return the zones of all known gateways."""
         return {contact.zone for contact in self._contacts.values()}
 
     def digest(self) -> int:
-        """Return a number that is the same where the same of the zone is known."""
+        """Return a digest of what is known of this zone's gateways."""
         known = sorted(
             (contact.name, contact.incarnation, contact.leaving)
-            for contact in self.own_zone()
+            for contact in self.own_zone_contacts()
         )
         return xxh64_intdigest(repr(known).encode()) >> 1
 
-    def candidate(self, zone: str) -> Contact | None:
-        """Return the first of a zone's gateways that is not passed over."""
+    def aggregator_candidate(self, zone: str) -> Contact | None:
+        """Return the first of a zone's ranked gateways that is not avoided."""
         own = self._own
-        known = {contact.name: contact for contact in self.of_zone(zone)}
+        known = {contact.name: contact for contact in self.in_zone(zone)}
         if own.zone == zone and not own.leaving:
             known[own.name] = own
         now = self._clock.elapsed()
         powers = {name: contact.power for name, contact in known.items()}
         for name in ordered(zone, powers):
-            if self._passed_over.get(name, now) <= now:
+            if self._avoided_until.get(name, now) <= now:
                 return known[name]
         return None
 
-    def is_passed_over(self, name: str) -> bool:
-        """Return whether a gateway did not answer a moment ago."""
+    def is_avoided(self, name: str) -> bool:
+        """Return whether a gateway recently failed to respond."""
         now = self._clock.elapsed()
-        return self._passed_over.get(name, now) > now
+        return self._avoided_until.get(name, now) > now
 
-    def heard(self, contact: Contact) -> None:
-        """Take what a gateway says of itself."""
+    def record_contact(self, contact: Contact) -> None:
+        """Record a contact that came from the gateway itself."""
         known = self._contacts.get(contact.name)
-        self._passed_over.pop(contact.name, None)
+        self._avoided_until.pop(contact.name, None)
         self._put(contact)
         if known is None:
             log.info(
@@ -107,40 +107,40 @@
                 address=str(contact.address),
             )
         elif known.incarnation not in (0, contact.incarnation):
-            log.info("peer started anew", peer=contact.name)
+            log.info("peer restarted", peer=contact.name)
 
     def merge(self, contacts: Iterable[Contact]) -> None:
-        """Take what others say of gateways: later starts, and that they leave."""
+        """Merge contacts from other gateways: later starts, and shutdowns."""
         for contact in contacts:
             known = self._contacts.get(contact.name)
-            age = (contact.incarnation, contact.leaving)
+            order = (contact.incarnation, contact.leaving)
             if contact.name != self._own.name and (
-                known is None or age > (known.incarnation, known.leaving)
+                known is None or order > (known.incarnation, known.leaving)
             ):
                 self._put(contact)
 
-    def failed(self, contact: Contact, reason: str) -> None:
-        """Note that a gateway did not answer."""
+    def record_failure(self, contact: Contact, reason: str) -> None:
+        """Record that a gateway did not respond."""
         log.info("peer passed over", peer=contact.name, why=reason)
-        self._passed_over[contact.name] = self._clock.elapsed() + PASSED_OVER
+        self._avoided_until[contact.name] = self._clock.elapsed() + AVOID_TIME
 
-    def forget_old(self) -> None:
-        """Drop the gateways that are gone for good."""
+    def remove_expired(self) -> None:
+        """Remove the gateways whose retention time has passed."""
         now = self._clock.elapsed()
-        for name, heard_at in list(self._heard_at.items()):
-            if now - heard_at > FORGET:
-                log.info("peer forgotten", peer=name)
+        for name, last_seen_at in list(self._last_seen_at.items()):
+            if now - last_seen_at > RETENTION_TIME:
+                log.info("peer removed", peer=name)
                 del self._contacts[name]
-                del self._heard_at[name]
-                self._passed_over.pop(name, None)
+                del self._last_seen_at[name]
+                self._avoided_until.pop(name, None)
 
-    def keep(self, names: Iterable[str]) -> None:
-        """Note that gateways are known to live."""
+    def mark_alive(self, names: Iterable[str]) -> None:
+        """Record that gateways are known to be alive."""
         now = self._clock.elapsed()
         for name in names:
-            if name in self._heard_at:
-                self._heard_at[name] = now
+            if name in self._last_seen_at:
+                self._last_seen_at[name] = now
 
     def _put(self, contact: Contact) -> None:
         self._contacts[contact.name] = contact
-        self._heard_at[contact.name] = self._clock.elapsed()
+        self._last_seen_at[contact.name] = self._clock.elapsed()
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -7,14 +7,14 @@
 from sassafrasdale.clock import Clock, ManualClock
 from sassafrasdale.decisions.quarantine import StrikeLedger
 from sassafrasdale.gateway.groups import Group
-from sassafrasdale.gateway.peer_calls import OwnState, PeerCalls, Shared
+from sassafrasdale.gateway.peer_calls import LocalState, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
     Contact,
     DutyClaim,
     EndpointLoad,
     GroupState,
+    LimitUsage,
     MemberState,
-    Spending,
 )
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.quotas import Quotas
@@ -50,12 +50,12 @@
     demand: float = 0.0,
     spent: float = 0.0,
     *,
-    told: float = 0.0,
+    counted: float = 0.0,
     used: float = 0.0,
     share: float = 0.0,
-) -> Spending:
+) -> LimitUsage:
     """Return what a gateway says of a customer."""
-    return Spending(demand, spent, told, used, share)
+    return LimitUsage(demand, spent, counted, used, share)
 
 
 def group_of(*states: MemberState, clock: Clock | None = None) -> GroupState:
@@ -76,22 +76,24 @@
         self.revisions: dict[str, dict[str, int]] = {}
         self.sends: dict[str, tuple[int, ...]] = {}
 
-    def hear_groups(self, groups) -> None:
+    def receive_groups(self, groups) -> None:
         self.groups = groups
         if self._node is not None and self._node.limits is not None:
-            self._node.limits.hear_groups(groups)
+            self._node.limits.receive_groups(groups)
 
-    def hear_clock(self, name: str, reading: ClockReading) -> None:
+    def receive_clock(self, name: str, reading: ClockReading) -> None:
         self.clocks[name] = reading
 
-    def hear_revisions(self, peer: str, revisions: dict[str, int]) -> None:
+    def receive_revisions(self, peer: str, revisions: dict[str, int]) -> None:
         self.revisions[peer] = revisions
 
-    def hear_sends(self, member: Contact, open_sends: tuple[int, ...]) -> None:
-        self.sends[member.name] = open_sends
+    def receive_open_attempts(
+        self, member: Contact, open_attempts: tuple[int, ...]
+    ) -> None:
+        self.sends[member.name] = open_attempts
 
 
-class WiredCalls(PeerCalls):
+class LocalCalls(PeerCalls):
     """Calls that go straight to the other gateways of a fleet."""
 
     def __init__(self, fleet: "Fleet", name: str, roster: Roster, clock: Clock) -> None:
@@ -118,7 +120,7 @@
         self.demand = 0.0
         self.share = 0.0
         self.revision = 0
-        self.work: dict[str, float] = {}
+        self.engine_time: dict[str, float] = {}
         self.duty: DutyClaim | None = None
         self.usage: dict[int, dict[str, int]] = {}
         self.follows_store = True
@@ -129,8 +131,8 @@
         self.time = TrueTime(fleet.clock)
         own = contact(name, zone, incarnation)
         self.roster = Roster(own, fleet.clock)
-        shared = Shared(
-            OwnState(
+        context = PeerContext(
+            LocalState(
                 self._state,
                 lambda: {"p/": self.revision},
                 lambda: {number: dict(held) for number, held in self.usage.items()},
@@ -144,12 +146,12 @@
             fleet.clock,
             StrikeLinks(self.strikes, incarnation),
         )
-        calls = WiredCalls(fleet, name, self.roster, fleet.clock)
-        self.peering = Peering(shared, len(fleet.zones), Random(name), calls)
+        calls = LocalCalls(fleet, name, self.roster, fleet.clock)
+        self.peering = Peering(context, len(fleet.zones), Random(name), calls)
 
     def _state(self, own: Contact) -> MemberState:
-        told = self.peering.told_spent("lab")
-        limit = spending(self.demand, self.spent, told=told, share=self.share)
+        counted = self.peering.counted_spent("lab")
+        limit = spending(self.demand, self.spent, counted=counted, share=self.share)
         spent = {"lab": limit} if self.demand or self.spent else {}
         if self.limits is not None:
             spent = self.limits.report()
@@ -158,8 +160,8 @@
             self.time.reading(),
             revisions={"p/": self.revision},
             loads=dict(self.loads),
-            spending=spent,
-            work=dict(self.work),
+            limit_usage=spent,
+            engine_time=dict(self.engine_time),
             duty=self.duty,
             follows_store=self.follows_store,
         )
@@ -167,7 +169,7 @@
     def load_seen(self, endpoint: str) -> int:
         """Return the tokens that the others have at an endpoint, as seen here."""
         return sum(
-            group.state.loads[endpoint].unread_tokens
+            group.state.loads[endpoint].prefill_tokens
             for group in self.peering.in_touch()
             if endpoint in group.state.loads
         )
@@ -242,8 +244,8 @@
                 if node.name in self.down | self.paused:
                     continue
                 if self.clock.elapsed() >= node.due_at:
-                    node.peering.round()
-                    node.due_at = self.clock.elapsed() + node.peering.pause
+                    node.peering.run_round()
+                    node.due_at = self.clock.elapsed() + node.peering.interval
             # Exchanges between aggregators run as tasks of their own.
             for _ in range(3):
                 sleep()
@@ -267,10 +269,12 @@
 def lone_peering(clock: Clock, rng: Random) -> Peering:
     """Return the view of a gateway that has no others."""
     roster = Roster(contact("front-a-1"), clock)
-    own = OwnState(lambda own: member(own.name), dict, dict, lambda prefix, since: None)
+    own = LocalState(
+        lambda own: member(own.name), dict, dict, lambda prefix, since: None
+    )
     time = TrueTime(clock)
     strikes = StrikeLinks(StrikeLedger(), roster.own.incarnation)
-    shared = Shared(
+    context = PeerContext(
         own, roster, UsageLedger(), Heard(), time, WORK_WINDOW, clock, strikes
     )
-    return Peering(shared, 1, rng, PeerCalls(roster, clock))
+    return Peering(context, 1, rng, PeerCalls(roster, clock))
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -10,7 +10,7 @@
 from sassafrasdale.coordination.exceptions import StoreHistoryLost, StoreNotReached
 from sassafrasdale.coordination.stores import StoredValue
 from sassafrasdale.gateway.dependencies import Dependency
-from sassafrasdale.gateway.following import MOST_DELETED, Follower
+from sassafrasdale.gateway.following import MAX_DELETED_KEYS, Follower
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.store import Change, Changes, Snapshot
 from standins.gateway_fleet import wait_for
@@ -84,7 +84,7 @@
     follower.step()
     with pytest.raises(StoreHistoryLost):
         follower.step()
-    follower._must_list = True
+    follower._needs_listing = True
     follower.step()
     assert seen[-1].deleted == {"p/a"}
 
@@ -92,7 +92,7 @@
 def test_what_a_peer_knows_later_is_taken(store, follower, seen):
     store.snapshots = [Snapshot((item("p/a", b"1", 3),), 10)]
     follower.step()
-    follower.adopt({"p/a": b"2"}, 15, 14)
+    follower.replace_all({"p/a": b"2"}, 15, 14)
     assert follower.values == {"p/a": b"2"}
     assert follower.changed_revision == 14
 
@@ -106,8 +106,8 @@
     store.snapshots = [Snapshot((item("p/a", b"1", 3),), 10)]
     store.changes = [Changes((Change("p/a", 12, b"2"),), 12)]
     follower.step()
-    follower.adopt({"p/a": b"3"}, 20, 19)
-    follower.adopt({"p/a": b"1"}, 11, 3)
+    follower.replace_all({"p/a": b"3"}, 20, 19)
+    follower.replace_all({"p/a": b"1"}, 11, 3)
     follower.step()
     assert follower.values == {"p/a": b"3"}
     assert len(seen) == 2
@@ -172,11 +172,11 @@
     listed(store, follower, item("p/a", b"1", 3), item("p/b", b"2", 4))
     seen = []
     other = another(seen)
-    other.take(follower.changes_since(0), 0)
+    other.apply_peer_values(follower.changes_since(0), 0)
     store.changes = [Changes((Change("p/c", 12, b"3"), Change("p/a", 13, None)), 14)]
     follower.step()
     since = other.changed_revision
-    other.take(follower.changes_since(since), since)
+    other.apply_peer_values(follower.changes_since(since), since)
     assert other.values == {"p/b": b"2", "p/c": b"3"}
     assert other.changed_revision == 13
 
@@ -192,8 +192,8 @@
     store.changes = [Changes((Change("p/a", 13, None),), 14)]
     follower.step()
     other = another([])
-    other.take(follower.changes_since(0), 0)
-    other.take(early, 0)
+    other.apply_peer_values(follower.changes_since(0), 0)
+    other.apply_peer_values(early, 0)
     assert other.values == {}
 
 
@@ -201,8 +201,8 @@
     """A gateway that took changes from a peer tells them to others in turn."""
     listed(store, follower, item("p/a", b"1", 3))
     middle, last = another([]), another([])
-    middle.take(follower.changes_since(0), 0)
-    last.take(middle.changes_since(0), 0)
+    middle.apply_peer_values(follower.changes_since(0), 0)
+    last.apply_peer_values(middle.changes_since(0), 0)
     for revision, change in (
         (12, Change("p/b", 12, b"2")),
         (13, Change("p/a", 13, None)),
@@ -210,9 +210,9 @@
         store.changes = [Changes((change,), revision)]
         follower.step()
         since = middle.changed_revision
-        middle.take(follower.changes_since(since), since)
+        middle.apply_peer_values(follower.changes_since(since), since)
     since = last.changed_revision
-    last.take(middle.changes_since(since), since)
+    last.apply_peer_values(middle.changes_since(since), since)
     assert last.values == middle.values == {"p/b": b"2"}
     told = middle.changes_since(12)
     assert (told.is_whole, told.deleted) == (False, {"p/a": 13})
@@ -221,11 +221,11 @@
 def test_deleted_keys_are_not_kept_for_good(store, follower):
     """A gateway would grow with each endpoint that ever was."""
     listed(store, follower, item("p/a", b"1", 3))
-    for number in range(MOST_DELETED + 10):
+    for number in range(MAX_DELETED_KEYS + 10):
         change = Change(f"p/{number}", 20 + number, None)
         store.changes = [Changes((change,), 20 + number)]
         follower.step()
-    assert len(follower.changes_since(100).deleted) <= MOST_DELETED
+    assert len(follower.changes_since(100).deleted) <= MAX_DELETED_KEYS
     assert follower.changes_since(15).is_whole
 
 
--- a/tests/gateway/test_following_model.py
+++ b/tests/gateway/test_following_model.py
@@ -112,7 +112,7 @@
         try:
             follower.step()
         except StoreHistoryLost:
-            follower._must_list = True
+            follower._needs_listing = True
         except StoreNotReached:
             pass
 
@@ -134,7 +134,7 @@
     def take(self, number, peer):
         source = self.fleet[peer]
         if number != peer and source.revision:
-            self.fleet[number].adopt(
+            self.fleet[number].replace_all(
                 dict(source.values), source.revision, source.changed_revision
             )
 
@@ -148,7 +148,7 @@
     @rule(number=NUMBERS)
     def take_an_old_copy(self, number):
         if self.copies:
-            self.fleet[number].adopt(*self.copies.pop(0))
+            self.fleet[number].replace_all(*self.copies.pop(0))
 
     @invariant()
     def each_holds_what_the_store_held(self):
--- a/tests/gateway/test_groups.py
+++ b/tests/gateway/test_groups.py
@@ -23,15 +23,15 @@
     def take(self, name, **fields):
         self.group.take(member(name, **fields))
 
-    def spend(self, name, spent, *, told=0.0, demand=0.0, share=0.0, incarnation=1):
-        limit = spending(demand, spent, told=told, share=share)
-        self.take(name, incarnation=incarnation, spending={"lab": limit})
+    def spend(self, name, spent, *, counted=0.0, demand=0.0, share=0.0, incarnation=1):
+        limit = spending(demand, spent, counted=counted, share=share)
+        self.take(name, incarnation=incarnation, limit_usage={"lab": limit})
 
     def sums(self, **options):
         return self.group.sums(OWN, **options)
 
     def lab(self, **options):
-        return self.sums(**options).spending["lab"]
+        return self.sums(**options).limit_usage["lab"]
 
 
 @pytest.fixture
@@ -48,30 +48,30 @@
 
 
 def test_spending_grows_by_what_members_have_spent_since(sums):
-    sums.spend("b", 500, told=500)
-    sums.spend("c", 90, told=90)
+    sums.spend("b", 500, counted=500)
+    sums.spend("c", 90, counted=90)
     assert sums.lab().spent == 0
-    sums.spend("b", 700, told=500)
-    sums.spend("c", 95, told=90)
+    sums.spend("b", 700, counted=500)
+    sums.spend("c", 95, counted=90)
     assert sums.lab().spent == 205
     assert sums.lab(without="b").spent == 5
 
 
 def test_what_no_aggregator_has_counted_is_counted_by_the_next(sums):
     """A customer would get what it spent while its gateway had no aggregator again."""
-    sums.spend("b", 800, told=500)
+    sums.spend("b", 800, counted=500)
     assert sums.lab().spent == 300
 
 
 def test_a_member_that_started_anew_counts_from_nothing(sums):
-    sums.spend("b", 800, told=800)
+    sums.spend("b", 800, counted=800)
     sums.spend("b", 40, incarnation=2)
     assert sums.lab().spent == 40
 
 
 def test_what_was_given_back_is_taken_off(sums):
-    sums.spend("b", 800, told=800)
-    sums.spend("b", 300, told=800)
+    sums.spend("b", 800, counted=800)
+    sums.spend("b", 300, counted=800)
     assert sums.lab().spent == -500
 
 
@@ -83,15 +83,15 @@
     sums.spend("c", 0, demand=10, share=0.5)
     sums.clock.advance(FRESH * 0.7)
     told = sums.lab()
-    assert (told.demand, told.share, told.set_aside) == (10, 0.5, 0.25)
+    assert (told.demand, told.share, told.reserved) == (10, 0.5, 0.25)
     assert (sums.sums().gateways, sums.sums().silent) == (1, 1)
 
 
 def test_one_that_never_reported_may_have_an_even_part(sums):
     sums.spend("b", 0, demand=30, share=0.25)
-    told = sums.sums(listed={"b", "c", "d"}, fleet=10)
+    told = sums.sums(listed={"b", "c", "d"}, gateway_count=10)
     assert told.silent == 2
-    assert told.spending["lab"].set_aside == pytest.approx(0.2)
+    assert told.limit_usage["lab"].reserved == pytest.approx(0.2)
 
 
 def test_loads_of_members_that_are_gone_are_dropped(sums):
@@ -101,38 +101,38 @@
 
 
 def test_the_work_of_a_silent_member_fades(sums):
-    sums.take("b", work={"models": 2.0})
+    sums.take("b", engine_time={"models": 2.0})
     sums.clock.advance(FRESH)
-    assert sums.sums().work == {"models": 2.0}
+    assert sums.sums().engine_time == {"models": 2.0}
     sums.clock.advance(WORK_WINDOW)
-    assert 0.6 < sums.sums().work["models"] < 0.9
+    assert 0.6 < sums.sums().engine_time["models"] < 0.9
 
 
 def test_the_duties_holder_with_the_highest_number_is_named(sums):
     sums.take("b", duty=DutyClaim(4))
     sums.take("c", duty=DutyClaim(7))
-    assert sums.sums().holder == DutyClaim(7)
+    assert sums.sums().leader == DutyClaim(7)
     sums.clock.advance(FRESH * 2)
-    assert sums.sums().holder is None
+    assert sums.sums().leader is None
 
 
 def test_what_all_have_told_and_the_oldest(sums):
     sums.take("b", at=100.0, incarnation=5)
     sums.take("c", at=98.5, incarnation=3)
     told = sums.sums()
-    assert (told.told_since, told.oldest) == (98.5, 3)
+    assert (told.complete_since, told.oldest_incarnation) == (98.5, 3)
 
 
 def test_counters_that_begin_anew_say_so(sums):
-    sums.spend("b", 900, told=0)
-    before = sums.sums().counter
-    sums.group.begin_anew()
-    assert sums.sums().counter != before
-    assert sums.sums().spending == {}
+    sums.spend("b", 900, counted=0)
+    before = sums.sums().counter_id
+    sums.group.reset()
+    assert sums.sums().counter_id != before
+    assert sums.sums().limit_usage == {}
 
 
 def test_times_for_a_token_are_averaged(sums):
-    sums.take("b", token_times={"models": 1e-5})
-    sums.take("c", token_times={"models": 3e-5})
+    sums.take("b", prefill_times={"models": 1e-5})
+    sums.take("c", prefill_times={"models": 3e-5})
     sums.take("d")
-    assert sums.sums().token_times == {"models": pytest.approx(2e-5)}
+    assert sums.sums().prefill_times == {"models": pytest.approx(2e-5)}
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_knowledge.py
@@ -10,8 +10,8 @@
 from sassafrasdale.deployment import PromptPart
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.following import Revised
-from sassafrasdale.gateway.knowledge import Knowledge
+from sassafrasdale.gateway.following import PrefixChanges
+from sassafrasdale.gateway.knowledge import StoreView
 from sassafrasdale.gateway.placement import CacheBelief
 from tests.gateway.fleets import no_rollouts
 
@@ -27,7 +27,7 @@
         self.directory = Directory(clock, Random(1), timedelta(seconds=2))
         self.cache = CacheBelief()
         self.rollouts = no_rollouts(clock)
-        self.knowledge = Knowledge(
+        self.knowledge = StoreView(
             None,
             Dependency("store", clock),
             self.directory,
@@ -41,7 +41,7 @@
 
     def write(self, name, value):
         written = {f"servers/{name}": value}
-        self.knowledge._take_endpoints(Revised(written, frozenset()))
+        self.knowledge._apply_endpoint_changes(PrefixChanges(written, frozenset()))
 
     def list(self, name, **changed):
         self.write(name, json.dumps(ENTRY | changed).encode())
@@ -81,11 +81,11 @@
         "op/rollout/records": b"{}",
         "op/note": b"x",
     }
-    world.knowledge._take_revised(Revised(written, frozenset()))
+    world.knowledge._apply_operator_changes(PrefixChanges(written, frozenset()))
     assert [rollout.order.target for rollout in world.rollouts.open()] == ["v2"]
     assert world.knowledge.configuration is None
     gone = frozenset({"op/rollout/models"})
-    world.knowledge._take_revised(Revised({}, gone))
+    world.knowledge._apply_operator_changes(PrefixChanges({}, gone))
     assert world.rollouts.open() == []
 
 
--- a/tests/gateway/test_metering.py
+++ b/tests/gateway/test_metering.py
@@ -137,7 +137,7 @@
     world = World()
     world.clock.advance(7 * SECOND)
     world.reporters[0]._read_record()
-    world.reporters[0]._held = 3
+    world.reporters[0]._fencing_number = 3
     world.leases[1].number = 4
     world.reporters[1].step()
     with pytest.raises(LeaseNotHeld):
--- a/tests/gateway/test_peer_states.py
+++ b/tests/gateway/test_peer_states.py
@@ -41,7 +41,7 @@
 
 
 def test_messages_survive_the_way():
-    state = member("b", spending={"lab": spending(3.0, 9.0, share=0.5)})
+    state = member("b", limit_usage={"lab": spending(3.0, 9.0, share=0.5)})
     report = Report(state, 7, (contact("c"),))
     assert REPORT.decode(encode(report)) == report
 
@@ -57,8 +57,8 @@
     "state",
     [
         member("b", loads={"i": EndpointLoad(-1, 0)}),
-        member("b", spending={"lab": spending(share=1.5)}),
-        member("b", work={"models": -1.0}),
+        member("b", limit_usage={"lab": spending(share=1.5)}),
+        member("b", engine_time={"models": -1.0}),
     ],
 )
 def test_amounts_that_can_not_be_are_refused(state):
