--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -294,8 +294,8 @@
     """A window that is reported too soon lacks its last requests."""
     now = fleet.nodes["a-0"].time.seconds
     for node in fleet.nodes.values():
-        told_since = node.peering.usage(1).told_since
-        assert now - 1.6 < told_since <= now
+        complete_since = node.peering.usage(1).complete_since
+        assert now - 1.6 < complete_since <= now
 
 
 def test_a_holder_that_was_killed_is_not_believed_for_long(fleet):
@@ -320,7 +320,7 @@
 def test_the_work_of_gateways_that_fell_silent_fades(fleet):
     """Endpoints would be given back in the middle of a restart of all gateways."""
     name = next(n for n in fleet.nodes if n[0] == "b" and n not in sums_up(fleet))
-    fleet.nodes[name].work = {"models": 2.0}
+    fleet.nodes[name].engine_time = {"models": 2.0}
     fleet.play(1)
     node = fleet.nodes["a-0"]
     assert node.peering.work("models") == 2.0
@@ -375,7 +375,7 @@
     """
     large = Fleet(zones)
     large.play(SETTLED)
-    turns = [node.peering.polling_turn() for node in large.nodes.values()]
+    turns = [node.peering.poll_slot() for node in large.nodes.values()]
     taken = [turn for turn in turns if turn is not None]
     assert sorted(turn.index for turn in taken) == list(range(len(taken)))
     assert {turn.count for turn in taken} == {len(taken)}
@@ -390,7 +390,7 @@
         large.cut(name)
     large.play(LIFETIME.total_seconds())
     others = [node for name, node in large.nodes.items() if name not in cut_off]
-    turns = [node.peering.polling_turn() for node in others]
+    turns = [node.peering.poll_slot() for node in others]
     assert sorted(turn.index for turn in turns) == list(range(6))
     assert {turn.count for turn in turns} == {6}
 
@@ -402,7 +402,7 @@
     for node in large.nodes.values():
         node.follows_store = False
     large.play(1)
-    turns = [node.peering.polling_turn() for node in large.nodes.values()]
+    turns = [node.peering.poll_slot() for node in large.nodes.values()]
     assert sum(turn is not None for turn in turns) == 9
 
 
@@ -411,13 +411,11 @@
     large = Fleet({"a": 20, "b": 20})
     large.play(SETTLED)
     name = next(
-        name
-        for name, node in large.nodes.items()
-        if node.peering.polling_turn() is None
+        name for name, node in large.nodes.items() if node.peering.poll_slot() is None
     )
     large.cut(name)
     large.play(LIFETIME.total_seconds())
-    assert large.nodes[name].peering.polling_turn() == Turn(0, 1)
+    assert large.nodes[name].peering.poll_slot() == Turn(0, 1)
 
 
 def test_bytes_of_a_gateway_do_not_grow_with_the_fleet():
@@ -484,5 +482,5 @@
     small, large = Fleet({"a": 3}), Fleet({"a": 40})
     small.play(SETTLED)
     large.play(SETTLED)
-    assert small.nodes["a-0"].peering.unseen_time() == timedelta(milliseconds=300)
-    assert large.nodes["a-0"].peering.unseen_time() >= timedelta(seconds=1.1)
+    assert small.nodes["a-0"].peering.propagation_time() == timedelta(milliseconds=300)
+    assert large.nodes["a-0"].peering.propagation_time() >= timedelta(seconds=1.1)
--- a/tests/gateway/test_polling.py
+++ b/tests/gateway/test_polling.py
@@ -20,8 +20,8 @@
 from sassafrasdale.coordination.stores import StoredValue
 from sassafrasdale.decisions.turns import Turn
 from sassafrasdale.gateway.dependencies import Dependency
-from sassafrasdale.gateway.following import COLLECTING, Follower
-from sassafrasdale.gateway.polling import TURNS_PER_DELAY, Polling
+from sassafrasdale.gateway.following import BATCH_DELAY, Follower
+from sassafrasdale.gateway.polling import SLOTS_PER_DELAY, Poller
 from sassafrasdale.gateway.usage import TrueTime
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.store import (
@@ -134,7 +134,7 @@
         self.follower = Follower(
             "p/", self.client, lambda revised: None, dependency, clock, rng
         )
-        self.polling = Polling(
+        self.polling = Poller(
             [self.follower], self.client, lambda: turn, TrueTime(clock), DELAY
         )
         self.tasks = [spawn(self.follower.run), spawn(self.polling.run)]
@@ -143,7 +143,7 @@
         """Take what another gateway knows later, as reports between gateways do."""
         since = self.follower.changed_revision
         if other.follower.changed_revision > since:
-            self.follower.take(other.follower.changes_since(since), since)
+            self.follower.apply_peer_values(other.follower.changes_since(since), since)
 
     def close(self):
         for task in self.tasks:
@@ -219,7 +219,7 @@
         assert (
             100
             <= gateway.client.polls
-            <= 60 / DELAY.total_seconds() * TURNS_PER_DELAY + 1
+            <= 60 / DELAY.total_seconds() * SLOTS_PER_DELAY + 1
         )
         gateway.close()
 
@@ -233,7 +233,7 @@
     a moment. The next change is confirmed; no call fails, and the swallowed watches are
     waited for. Only a question whose answer is due at once shows the change.
     """
-    before = COLLECTING - timedelta(milliseconds=10)
+    before = BATCH_DELAY - timedelta(milliseconds=10)
     for seed in range(10):
         for length_ms in (20, 100, 300):
             length = timedelta(milliseconds=length_ms)
@@ -323,7 +323,7 @@
         delays = []
         for tenths in range(1, 40, 3):
             store.confirm()
-            sleep(COLLECTING)
+            sleep(BATCH_DELAY)
             store.be_silent_for(timedelta(milliseconds=100))
             delays.append(in_force_after(store, clock, *fleet))
             sleep(timedelta(seconds=tenths / 10))
--- a/tests/gateway/test_quotas.py
+++ b/tests/gateway/test_quotas.py
@@ -10,7 +10,7 @@
 from sassafrasdale.decisions.quotas import FORGET
 from sassafrasdale.deployment import Bounds, Customer, RequestTraits
 from sassafrasdale.gateway.peer_states import REPORT, HeardGroup, Report, encode
-from sassafrasdale.gateway.quotas import USED_SLACK, Quotas, request_size
+from sassafrasdale.gateway.quotas import DEPTH_SLACK_FRACTION, Quotas, request_size
 from tests.gateway.fleets import Fleet, group_of, member
 
 SECOND = timedelta(seconds=1)
@@ -168,12 +168,12 @@
     """
     for number, quotas in enumerate(fleet):
         if number not in cut:
-            state = member(str(number), zone=str(number), spending=quotas.report())
+            state = member(str(number), zone=str(number), limit_usage=quotas.report())
             quotas.told = (group_of(state), clock.elapsed())
     for number, quotas in enumerate(fleet):
         if number in cut:
             continue
-        quotas.hear_groups(
+        quotas.receive_groups(
             [
                 HeardGroup(state, (clock.elapsed() - at).total_seconds())
                 for other, peer in enumerate(fleet)
@@ -241,13 +241,15 @@
         while old.admit(CUSTOMER, tokens(100)) is None:
             let_in += 100
         new = Quotas(bounds(), lambda: 2, clock, rng=Random(seed + 100))
-        new.hear_groups([HeardGroup(group_of(member("old", spending=old.report())))])
+        new.receive_groups(
+            [HeardGroup(group_of(member("old", limit_usage=old.report())))]
+        )
         let_in_anew = 0
         while new.admit(CUSTOMER, tokens(100)) is None:
             let_in_anew += 100
         assert let_in_anew <= CUSTOMER.burst / 2
         let_in += let_in_anew
-        depth = CUSTOMER.burst + USED_SLACK * bounds().quota_slack
+        depth = CUSTOMER.burst + DEPTH_SLACK_FRACTION * bounds().quota_slack
         assert let_in <= depth + CUSTOMER.burst / 2
 
 
@@ -259,8 +261,8 @@
         other = Quotas(bounds(), lambda: 2, clock, rng=Random(5))
         other.admit(CUSTOMER, tokens(10))
         quotas.admit(CUSTOMER, tokens(10))
-        state = member(f"front-{number}", spending=other.report())
-        quotas.hear_groups([HeardGroup(group_of(state))])
+        state = member(f"front-{number}", limit_usage=other.report())
+        quotas.receive_groups([HeardGroup(group_of(state))])
         clock.advance(FORGET / 5)
     assert len(quotas._limits["lab"]._groups) < 10
 
@@ -280,8 +282,8 @@
             bounds(110_000),
             node.peering.count,
             fleet.clock,
-            node.peering.told_spent,
-            node.peering.unseen_time,
+            node.peering.counted_spent,
+            node.peering.propagation_time,
             rng,
         )
         node.limits = quotas[name]
@@ -331,7 +333,7 @@
     for size in range(1, 400):
         quotas.admit(CUSTOMER, tokens(size))
         clock.advance(timedelta(milliseconds=7))
-        report = Report(member("a", spending=quotas.report()), 0)
+        report = Report(member("a", limit_usage=quotas.report()), 0)
         assert REPORT.decode(encode(report)) == report
 
 
@@ -352,9 +354,9 @@
         if step % 2 == 0:
             other.admit(CUSTOMER, tokens(100))
         states = [member(name) for name in others]
-        states.append(member("busy", spending=other.report()))
-        quotas.hear_groups([HeardGroup(group_of(*states, clock=clock))])
-        other.hear_groups([HeardGroup(group_of(*states[:-1], clock=clock))])
+        states.append(member("busy", limit_usage=other.report()))
+        quotas.receive_groups([HeardGroup(group_of(*states, clock=clock))])
+        other.receive_groups([HeardGroup(group_of(*states[:-1], clock=clock))])
     assert quotas.admit(CUSTOMER, tokens(10)) is None
     assert quotas.report()["lab"].used < 200
 
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -7,7 +7,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.decisions.aggregators import ordered
-from sassafrasdale.gateway.roster import FORGET, PASSED_OVER, Roster
+from sassafrasdale.gateway.roster import AVOID_TIME, RETENTION_TIME, Roster
 from tests.gateway.fleets import contact
 
 NAMES = ("b", "c", "d", "e")
@@ -30,36 +30,36 @@
     rosters = [Roster(contact(name), clock) for name in NAMES]
     for roster in rosters:
         roster.merge([contact(name) for name in NAMES])
-    assert len({roster.candidate("a").name for roster in rosters}) == 1
+    assert len({roster.aggregator_candidate("a").name for roster in rosters}) == 1
 
 
 def test_the_fastest_instances_go_first(roster):
     strong = replace(contact("e"), incarnation=2, power=2.15)
     roster.merge([strong])
-    assert roster.candidate("a").name == "e"
+    assert roster.aggregator_candidate("a").name == "e"
 
 
 def test_one_that_gave_no_answer_is_passed_over_for_a_while(roster, clock):
     first, second, *_ = ordered("a", dict.fromkeys(NAMES, 1.0))
-    roster.failed(contact(first), "no answer")
-    assert roster.candidate("a").name == second
-    clock.advance(PASSED_OVER)
-    assert roster.candidate("a").name == first
+    roster.record_failure(contact(first), "no answer")
+    assert roster.aggregator_candidate("a").name == second
+    clock.advance(AVOID_TIME)
+    assert roster.aggregator_candidate("a").name == first
 
 
 def test_one_that_speaks_is_no_longer_passed_over(roster):
     first, *_ = ordered("a", dict.fromkeys(NAMES, 1.0))
-    roster.failed(contact(first), "no answer")
-    roster.heard(contact(first))
-    assert roster.candidate("a").name == first
+    roster.record_failure(contact(first), "no answer")
+    roster.record_contact(contact(first))
+    assert roster.aggregator_candidate("a").name == first
 
 
 def test_leaving_ones_are_no_candidates(roster):
     for name in NAMES[1:]:
         roster.merge([contact(name, incarnation=1, leaving=True)])
-    assert roster.candidate("a").name == "b"
+    assert roster.aggregator_candidate("a").name == "b"
     roster.leave()
-    assert roster.candidate("a") is None
+    assert roster.aggregator_candidate("a") is None
 
 
 def test_a_restart_with_a_clock_set_back_is_taken_from_itself_only(roster):
@@ -67,7 +67,7 @@
     roster.merge([contact("c", incarnation=9)])
     roster.merge([contact("c", incarnation=4)])
     assert roster.get("c").incarnation == 9
-    roster.heard(contact("c", incarnation=4))
+    roster.record_contact(contact("c", incarnation=4))
     assert roster.get("c").incarnation == 4
 
 
@@ -87,8 +87,8 @@
 
 def test_gateways_that_nobody_hears_are_forgotten(roster, clock):
     clock.advance(timedelta(seconds=30))
-    roster.keep(["c"])
-    clock.advance(FORGET - timedelta(seconds=29))
-    roster.forget_old()
+    roster.mark_alive(["c"])
+    clock.advance(RETENTION_TIME - timedelta(seconds=29))
+    roster.remove_expired()
     assert roster.get("c") is not None
     assert roster.get("d") is None
