--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of gateways that tell each other of themselves, without a network."""
+"""Fleets of gateways that exchange reports in process, without a network."""
 
 from collections import Counter, deque
 from datetime import timedelta
@@ -40,13 +40,13 @@
 ) -> MemberState:
     """Return a gateway's state.
 
-    :param at: true time at which it was made.
+    :param at: cluster time of the state.
     """
     reading = ClockReading(at, at, 1.0)
     return MemberState(contact(name, zone, incarnation), reading, **fields)
 
 
-def spending(
+def limit_usage(
     demand: float = 0.0,
     spent: float = 0.0,
     *,
@@ -54,27 +54,27 @@
     used: float = 0.0,
     share: float = 0.0,
 ) -> LimitUsage:
-    """Return what a gateway says of a customer."""
+    """Return a gateway's usage of a customer's limit."""
     return LimitUsage(demand, spent, counted, used, share)
 
 
 def group_of(*states: MemberState, clock: Clock | None = None) -> GroupState:
-    """Return the sums over some gateways, the first of which makes them."""
+    """Return the totals over some gateways, the first of which is the aggregator."""
     group = Group(WORK_WINDOW, clock or ManualClock())
     for state in states:
         group.take(state)
     return group.sums(states[0].contact)
 
 
-class Heard:
-    """What a gateway was told by others."""
+class RecordingListener:
+    """Listener that records what a gateway receives."""
 
     def __init__(self, node: "Node | None" = None) -> None:
         self._node = node
         self.groups = ()
         self.clocks: dict[str, ClockReading] = {}
         self.revisions: dict[str, dict[str, int]] = {}
-        self.sends: dict[str, tuple[int, ...]] = {}
+        self.open_attempts: dict[str, tuple[int, ...]] = {}
 
     def receive_groups(self, groups) -> None:
         self.groups = groups
@@ -90,11 +90,11 @@
     def receive_open_attempts(
         self, member: Contact, open_attempts: tuple[int, ...]
     ) -> None:
-        self.sends[member.name] = open_attempts
+        self.open_attempts[member.name] = open_attempts
 
 
 class LocalCalls(PeerCalls):
-    """Calls that go straight to the other gateways of a fleet."""
+    """Calls that are dispatched directly to the other gateways of a fleet."""
 
     def __init__(self, fleet: "Fleet", name: str, roster: Roster, clock: Clock) -> None:
         super().__init__(roster, clock)
@@ -102,14 +102,14 @@
         self._name = name
 
     def _call(self, to: Contact, request: Request) -> Answer:
-        return self._fleet.carry(self._name, to.name, request)
+        return self._fleet.deliver(self._name, to.name, request)
 
 
 class Node:
     """One gateway of a fleet.
 
-    Its state is set by the test: ``loads``, ``spent``, ``revision``. With ``limits``,
-    it tells what these say, and they hear what the others tell.
+    Tests set its state: ``loads``, ``spent``, ``revision``. If ``limits`` is set, the
+    gateway reports the usage of these limits, and they receive the others' totals.
     """
 
     def __init__(self, fleet: "Fleet", name: str, zone: str, incarnation: int) -> None:
@@ -126,7 +126,7 @@
         self.follows_store = True
         self.limits: Quotas | None = None
         self.strikes = StrikeLedger()
-        self.heard = Heard(self)
+        self.received = RecordingListener(self)
         self.due_at = fleet.clock.elapsed()
         self.time = TrueTime(fleet.clock)
         own = contact(name, zone, incarnation)
@@ -140,7 +140,7 @@
             ),
             self.roster,
             UsageLedger(),
-            self.heard,
+            self.received,
             self.time,
             WORK_WINDOW,
             fleet.clock,
@@ -151,7 +151,7 @@
 
     def _state(self, own: Contact) -> MemberState:
         counted = self.peering.counted_spent("lab")
-        limit = spending(self.demand, self.spent, counted=counted, share=self.share)
+        limit = limit_usage(self.demand, self.spent, counted=counted, share=self.share)
         spent = {"lab": limit} if self.demand or self.spent else {}
         if self.limits is not None:
             spent = self.limits.report()
@@ -166,8 +166,8 @@
             follows_store=self.follows_store,
         )
 
-    def load_seen(self, endpoint: str) -> int:
-        """Return the tokens that the others have at an endpoint, as seen here."""
+    def known_load(self, endpoint: str) -> int:
+        """Return the other gateways' prefill tokens at an endpoint, as known here."""
         return sum(
             group.state.loads[endpoint].prefill_tokens
             for group in self.peering.in_touch()
@@ -187,17 +187,17 @@
         self.nodes: dict[str, Node] = {}
         self.down: set[str] = set()
         self.paused: set[str] = set()
-        # Pairs of names between which nothing passes, from the first to the second.
+        # Pairs of sender and receiver whose requests are lost.
         self.cuts: set[tuple[str, str]] = set()
         self.bytes: Counter[str] = Counter()
-        self.crossed = 0
+        self.cross_zone_bytes = 0
         self.calls: deque[tuple[str, str]] = deque(maxlen=10_000)
         for zone, count in zones.items():
             for number in range(count):
                 self.start(f"{zone}-{number}", zone)
 
     def start(self, name: str, zone: str, incarnation: int = 1) -> Node:
-        """Start a gateway that finds the running ones in the store."""
+        """Start a gateway that knows the running ones from the store."""
         node = self.nodes[name] = Node(self, name, zone, incarnation)
         self.down.discard(name)
         for other in self.nodes.values():
@@ -210,17 +210,17 @@
         self.down.update(names)
 
     def cut(self, name: str) -> None:
-        """Cut a gateway off from all others, both ways."""
+        """Partition a gateway from all others, in both directions."""
         for other in self.nodes:
             self.cuts |= {(name, other), (other, name)}
 
     def heal(self) -> None:
-        """Let everything pass again."""
+        """End all partitions and pauses."""
         self.cuts.clear()
         self.paused.clear()
 
-    def carry(self, sender: str, receiver: str, request: Request) -> Answer:
-        """Bring a request over, and its answer back."""
+    def deliver(self, sender: str, receiver: str, request: Request) -> Answer:
+        """Deliver a request, and return the response."""
         if receiver in self.down:
             raise NotConnected("refused")
         lost = {(sender, receiver), (receiver, sender)} & self.cuts
@@ -232,11 +232,11 @@
         self.bytes[sender] += size
         self.bytes[receiver] += size
         if self.nodes[sender].zone != self.nodes[receiver].zone:
-            self.crossed += size
+            self.cross_zone_bytes += size
         return answer
 
     def play(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, and run the gateways' rounds."""
         until = self.clock.elapsed() + timedelta(seconds=seconds)
         while self.clock.elapsed() < until:
             self.clock.advance(STEP)
@@ -246,12 +246,12 @@
                 if self.clock.elapsed() >= node.due_at:
                     node.peering.run_round()
                     node.due_at = self.clock.elapsed() + node.peering.interval
-            # Exchanges between aggregators run as tasks of their own.
+            # Exchanges between aggregators run as separate tasks.
             for _ in range(3):
                 sleep()
 
     def aggregators(self, zone: str) -> list[str]:
-        """Return the running gateways of a zone that sum up."""
+        """Return the running aggregators of a zone."""
         return [
             name
             for name, node in self.nodes.items()
@@ -262,12 +262,12 @@
 
 
 def no_rollouts(clock: Clock) -> Rollouts:
-    """Return the view of a gateway that knows of no roll-out."""
+    """Return the rollouts of a gateway that knows of none."""
     return Rollouts(0.1, lambda service: [], TrueTime(clock), clock, Random(1))
 
 
 def lone_peering(clock: Clock, rng: Random) -> Peering:
-    """Return the view of a gateway that has no others."""
+    """Return the peering of a gateway without peers."""
     roster = Roster(contact("front-a-1"), clock)
     own = LocalState(
         lambda own: member(own.name), dict, dict, lambda prefix, since: None
@@ -275,6 +275,13 @@
     time = TrueTime(clock)
     strikes = StrikeLinks(StrikeLedger(), roster.own.incarnation)
     context = PeerContext(
-        own, roster, UsageLedger(), Heard(), time, WORK_WINDOW, clock, strikes
+        own,
+        roster,
+        UsageLedger(),
+        RecordingListener(),
+        time,
+        WORK_WINDOW,
+        clock,
+        strikes,
     )
     return Peering(context, 1, rng, PeerCalls(roster, clock))
--- a/tests/gateway/test_groups.py
+++ b/tests/gateway/test_groups.py
@@ -1,4 +1,4 @@
-"""Sums that an aggregator makes of its members' reports."""
+"""Totals that an aggregator computes from its members' reports."""
 
 from datetime import timedelta
 
@@ -8,13 +8,13 @@
 from sassafrasdale.decisions.aggregators import FRESH, LIFETIME
 from sassafrasdale.gateway.groups import Group
 from sassafrasdale.gateway.peer_states import DutyClaim, EndpointLoad
-from tests.gateway.fleets import WORK_WINDOW, contact, member, spending
+from tests.gateway.fleets import WORK_WINDOW, contact, limit_usage, member
 
 OWN = contact("a")
 
 
-class Sums:
-    """A group whose members report by hand."""
+class ReportedGroup:
+    """A group whose members' reports are made by the test."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -24,7 +24,7 @@
         self.group.take(member(name, **fields))
 
     def spend(self, name, spent, *, counted=0.0, demand=0.0, share=0.0, incarnation=1):
-        limit = spending(demand, spent, counted=counted, share=share)
+        limit = limit_usage(demand, spent, counted=counted, share=share)
         self.take(name, incarnation=incarnation, limit_usage={"lab": limit})
 
     def sums(self, **options):
@@ -36,10 +36,10 @@
 
 @pytest.fixture
 def sums():
-    return Sums()
+    return ReportedGroup()
 
 
-def test_a_member_gets_the_sums_without_its_own(sums):
+def test_a_member_gets_the_totals_without_its_own(sums):
     sums.take("b", loads={"i": EndpointLoad(1, 10)})
     sums.take("c", loads={"i": EndpointLoad(2, 20), "j": EndpointLoad(1, 5)})
     assert sums.sums().loads == {"i": EndpointLoad(3, 30), "j": EndpointLoad(1, 5)}
@@ -47,7 +47,7 @@
     assert (sums.sums().gateways, sums.sums(without="c").gateways) == (2, 1)
 
 
-def test_spending_grows_by_what_members_have_spent_since(sums):
+def test_usage_grows_by_what_members_admitted_since(sums):
     sums.spend("b", 500, counted=500)
     sums.spend("c", 90, counted=90)
     assert sums.lab().spent == 0
@@ -57,50 +57,50 @@
     assert sums.lab(without="b").spent == 5
 
 
-def test_what_no_aggregator_has_counted_is_counted_by_the_next(sums):
-    """A customer would get what it spent while its gateway had no aggregator again."""
+def test_usage_that_no_aggregator_has_counted_is_counted_by_the_next(sums):
+    """Uncounted, a customer could use again what it used without an aggregator."""
     sums.spend("b", 800, counted=500)
     assert sums.lab().spent == 300
 
 
-def test_a_member_that_started_anew_counts_from_nothing(sums):
+def test_a_restarted_member_counts_from_zero(sums):
     sums.spend("b", 800, counted=800)
     sums.spend("b", 40, incarnation=2)
     assert sums.lab().spent == 40
 
 
-def test_what_was_given_back_is_taken_off(sums):
+def test_refunds_are_subtracted(sums):
     sums.spend("b", 800, counted=800)
     sums.spend("b", 300, counted=800)
     assert sums.lab().spent == -500
 
 
-def test_the_part_of_a_silent_member_is_set_aside(sums):
-    """It may be cut off and spend on; the others would divide its part."""
+def test_the_share_of_a_silent_member_is_reserved(sums):
+    """It may be partitioned and still use its share; the others must not divide it."""
     sums.spend("b", 0, demand=30, share=0.25)
     sums.spend("c", 0, demand=10, share=0.5)
     sums.clock.advance(FRESH / 2)
     sums.spend("c", 0, demand=10, share=0.5)
     sums.clock.advance(FRESH * 0.7)
-    told = sums.lab()
-    assert (told.demand, told.share, told.reserved) == (10, 0.5, 0.25)
+    totals = sums.lab()
+    assert (totals.demand, totals.share, totals.reserved) == (10, 0.5, 0.25)
     assert (sums.sums().gateways, sums.sums().silent) == (1, 1)
 
 
-def test_one_that_never_reported_may_have_an_even_part(sums):
+def test_a_gateway_that_never_reported_may_use_an_equal_share(sums):
     sums.spend("b", 0, demand=30, share=0.25)
-    told = sums.sums(listed={"b", "c", "d"}, gateway_count=10)
-    assert told.silent == 2
-    assert told.limit_usage["lab"].reserved == pytest.approx(0.2)
+    totals = sums.sums(listed={"b", "c", "d"}, gateway_count=10)
+    assert totals.silent == 2
+    assert totals.limit_usage["lab"].reserved == pytest.approx(0.2)
 
 
-def test_loads_of_members_that_are_gone_are_dropped(sums):
+def test_loads_of_expired_members_are_dropped(sums):
     sums.take("b", loads={"i": EndpointLoad(1, 10)})
     sums.clock.advance(LIFETIME + timedelta(seconds=1))
     assert sums.sums().loads == {}
 
 
-def test_the_work_of_a_silent_member_fades(sums):
+def test_the_engine_time_of_a_silent_member_decays(sums):
     sums.take("b", engine_time={"models": 2.0})
     sums.clock.advance(FRESH)
     assert sums.sums().engine_time == {"models": 2.0}
@@ -108,7 +108,7 @@
     assert 0.6 < sums.sums().engine_time["models"] < 0.9
 
 
-def test_the_duties_holder_with_the_highest_number_is_named(sums):
+def test_the_leader_with_the_highest_fencing_number_is_reported(sums):
     sums.take("b", duty=DutyClaim(4))
     sums.take("c", duty=DutyClaim(7))
     assert sums.sums().leader == DutyClaim(7)
@@ -116,14 +116,14 @@
     assert sums.sums().leader is None
 
 
-def test_what_all_have_told_and_the_oldest(sums):
+def test_completeness_and_the_oldest_incarnation(sums):
     sums.take("b", at=100.0, incarnation=5)
     sums.take("c", at=98.5, incarnation=3)
-    told = sums.sums()
-    assert (told.complete_since, told.oldest_incarnation) == (98.5, 3)
+    totals = sums.sums()
+    assert (totals.complete_since, totals.oldest_incarnation) == (98.5, 3)
 
 
-def test_counters_that_begin_anew_say_so(sums):
+def test_a_reset_changes_the_counter_id(sums):
     sums.spend("b", 900, counted=0)
     before = sums.sums().counter_id
     sums.group.reset()
@@ -131,7 +131,7 @@
     assert sums.sums().limit_usage == {}
 
 
-def test_times_for_a_token_are_averaged(sums):
+def test_prefill_times_are_averaged(sums):
     sums.take("b", prefill_times={"models": 1e-5})
     sums.take("c", prefill_times={"models": 3e-5})
     sums.take("d")
--- a/tests/gateway/test_peer_states.py
+++ b/tests/gateway/test_peer_states.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other."""
+"""Messages between gateways."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
     encode,
     loads_by_endpoint,
 )
-from tests.gateway.fleets import contact, group_of, member, spending
+from tests.gateway.fleets import contact, group_of, limit_usage, member
 
 SECOND = timedelta(seconds=1)
 
@@ -40,14 +40,14 @@
     }
 
 
-def test_messages_survive_the_way():
-    state = member("b", limit_usage={"lab": spending(3.0, 9.0, share=0.5)})
+def test_messages_survive_encoding():
+    state = member("b", limit_usage={"lab": limit_usage(3.0, 9.0, share=0.5)})
     report = Report(state, 7, (contact("c"),))
     assert REPORT.decode(encode(report)) == report
 
 
 def test_a_newer_version_may_add_fields():
-    """Gateways of two versions run side by side while all are replaced."""
+    """During a rolling restart, gateways get messages with fields they do not know."""
     written = encode(Report(member("b"), 7))
     longer = bytes([written[0] + 1]) + written[1:] + encode("a field of tomorrow")
     assert REPORT.decode(longer).roster_digest == 7
@@ -57,11 +57,11 @@
     "state",
     [
         member("b", loads={"i": EndpointLoad(-1, 0)}),
-        member("b", limit_usage={"lab": spending(share=1.5)}),
+        member("b", limit_usage={"lab": limit_usage(share=1.5)}),
         member("b", engine_time={"models": -1.0}),
     ],
 )
-def test_amounts_that_can_not_be_are_refused(state):
-    """A gateway that tells nonsense would empty the sums of all others."""
+def test_amounts_out_of_bounds_are_refused(state):
+    """A gateway that reports a negative amount would lower the totals of all others."""
     with pytest.raises(MessageMalformed):
         REPORT.decode(encode(Report(state, 0)))
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other, in fleets of many."""
+"""Exchange of state in fleets of gateways."""
 
 from datetime import timedelta
 
@@ -18,30 +18,30 @@
 from sassafrasdale.http.messages import Request
 from tests.gateway.fleets import Fleet, contact, member
 
-SETTLED = 4.0
+SETTLE_SECONDS = 4.0
 THREE_ZONES = {"a": 4, "b": 3, "c": 3}
 
 
 @pytest.fixture
 def fleet():
     fleet = Fleet(THREE_ZONES)
-    fleet.play(SETTLED)
+    fleet.play(SETTLE_SECONDS)
     return fleet
 
 
-def loaded(fleet: Fleet, name: str, tokens: int) -> None:
+def set_load(fleet: Fleet, name: str, tokens: int) -> None:
     fleet.nodes[name].loads = {"i-1": EndpointLoad(1, tokens)}
 
 
-def views(fleet: Fleet) -> dict[str, int]:
+def known_loads(fleet: Fleet) -> dict[str, int]:
     return {
-        name: node.load_seen("i-1")
+        name: node.known_load("i-1")
         for name, node in fleet.nodes.items()
         if name not in fleet.down
     }
 
 
-def sums_up(fleet: Fleet) -> set[str]:
+def aggregators_of(fleet: Fleet) -> set[str]:
     return {name for zone in fleet.zones for name in fleet.aggregators(zone)}
 
 
@@ -50,41 +50,41 @@
     assert {node.peering.count() for node in fleet.nodes.values()} == {10}
 
 
-def test_all_see_the_sum_of_the_others(fleet):
+def test_all_know_the_total_of_the_others(fleet):
     for number, name in enumerate(fleet.nodes):
-        loaded(fleet, name, 10**number)
+        set_load(fleet, name, 10**number)
     fleet.play(1)
     total = 1_111_111_111
-    seen = views(fleet)
+    seen = known_loads(fleet)
     assert seen == {name: total - 10**number for number, name in enumerate(fleet.nodes)}
 
 
 def test_a_killed_aggregator_is_replaced(fleet):
-    """Prompts would go to engines that are full, for as long as nobody sums up.
+    """Without an aggregator, prompts would go to engines that are full.
 
-    The gateway that sums up a zone is killed and does not come back. The others of
-    the zone find the next one, and the other zones hear of it.
+    The aggregator of a zone is killed for good. The zone's other gateways choose the
+    next one, and the other zones receive its updates.
     """
     [first] = fleet.aggregators("a")
     fleet.kill(first)
-    loaded(fleet, "b-1", 700)
+    set_load(fleet, "b-1", 700)
     fleet.play(1.5)
     assert len(fleet.aggregators("a")) == 1
-    seen = views(fleet)
+    seen = known_loads(fleet)
     assert {seen[name] for name in seen if name != "b-1"} == {700}
-    # The killed one counts until it is known that it is gone for good.
+    # The killed gateway counts until it is removed from the rosters.
     assert {fleet.nodes[name].peering.count() for name in seen} == {10}
 
 
 def test_a_paused_aggregator_is_replaced_and_comes_back(fleet):
-    """After it wakes, its members would be counted twice, or held to be silent.
+    """Its members would be counted twice or as silent after it resumes.
 
-    The gateway that sums up a zone is paused for four seconds. Its members report to
-    another one meanwhile; it wakes up with their old reports.
+    The aggregator of a zone is paused for four seconds and resumes with old reports of
+    its members, which have moved to another aggregator meanwhile.
     """
     [first] = fleet.aggregators("a")
     fleet.paused.add(first)
-    loaded(fleet, "a-1" if first != "a-1" else "a-2", 500)
+    set_load(fleet, "a-1" if first != "a-1" else "a-2", 500)
     fleet.play(4)
     fleet.heal()
     fleet.play(6)
@@ -92,28 +92,29 @@
     for node in fleet.nodes.values():
         assert node.peering.count() == 10
         assert sum(group.state.silent for group in node.peering.groups()) == 0
-    assert fleet.nodes["b-0"].load_seen("i-1") == 500
+    assert fleet.nodes["b-0"].known_load("i-1") == 500
 
 
 def test_a_gateway_that_does_not_reach_its_aggregator(fleet):
-    """It would send on what it knew last, and nobody would know its load.
+    """It would route by outdated loads, and nobody would know its own load.
 
-    Nothing passes between it and the gateway that sums up its zone; all others reach
-    both. It reports to the next one, which sums it up although it shouldn't be it.
+    It and the aggregator of its zone cannot reach each other; all others reach both.
+    It reports to the next candidate, which must aggregate it although it is not the
+    zone's preferred aggregator.
     """
     [first] = fleet.aggregators("a")
     cut = next(name for name in fleet.nodes if name.startswith("a") and name != first)
     fleet.cuts |= {(cut, first), (first, cut)}
-    loaded(fleet, cut, 300)
-    loaded(fleet, "c-2", 50)
+    set_load(fleet, cut, 300)
+    set_load(fleet, "c-2", 50)
     fleet.play(4)
-    assert fleet.nodes[cut].load_seen("i-1") == 50
-    assert fleet.nodes["b-0"].load_seen("i-1") == 350
-    assert fleet.nodes[first].load_seen("i-1") == 350
+    assert fleet.nodes[cut].known_load("i-1") == 50
+    assert fleet.nodes["b-0"].known_load("i-1") == 350
+    assert fleet.nodes[first].known_load("i-1") == 350
 
 
-def test_a_zone_that_is_cut_off_is_silent_for_the_others(fleet):
-    """Its gateways spend on, and the others would divide its part of each limit.
+def test_a_partitioned_zone_is_silent_for_the_others(fleet):
+    """Its gateways still use limits, so the others must not divide its share.
 
     All of a zone's gateways reach each other, but none of another zone.
     """
@@ -137,10 +138,10 @@
 
 
 def test_half_of_the_fleet_restarts_at_once(fleet):
-    """Limits and loads would go by gateways that no longer are.
+    """Limits and loads would still include gateways that no longer run.
 
-    Five of ten are killed, aggregators among them, and start again a second later
-    with other incarnations.
+    Five of ten gateways, aggregators among them, are killed and restart a second later
+    with new incarnations.
     """
     dead = [fleet.aggregators("a")[0], fleet.aggregators("b")[0], "a-3", "b-2", "c-1"]
     dead = list(dict.fromkeys(dead))
@@ -155,17 +156,17 @@
         assert sum(group.state.silent for group in node.peering.groups()) == 0
 
 
-def test_gateways_that_have_never_heard_of_each_other_find_together():
-    """A customer would get its limit once from each gateway that sums up alone.
+def test_gateways_that_start_at_once_find_each_other():
+    """A customer would get its limit once from each gateway that aggregates alone.
 
-    All start at the same moment, so the first ones see nobody in the store.
+    All start at the same moment, so the first ones find nobody in the store.
     """
     fleet = Fleet(THREE_ZONES)
-    fleet.play(SETTLED)
+    fleet.play(SETTLE_SECONDS)
     assert {node.peering.count() for node in fleet.nodes.values()} == {10}
 
 
-def test_a_leaving_aggregator_hands_over_before_it_is_gone(fleet):
+def test_a_leaving_aggregator_is_replaced_before_it_stops(fleet):
     [first] = fleet.aggregators("b")
     fleet.nodes[first].peering.leave()
     fleet.nodes[first].peering.tell_all()
@@ -177,26 +178,26 @@
     assert {node.peering.count() for node in living} == {9}
 
 
-def test_nonsense_is_refused_and_changes_nothing(fleet):
-    """A gateway that tells a load below nothing would make an engine look empty."""
+def test_invalid_reports_are_refused_and_change_nothing(fleet):
+    """A gateway that reports a negative load would make an engine look idle."""
     [first] = fleet.aggregators("a")
     node = fleet.nodes[first]
-    loaded(fleet, "b-0", 90)
+    set_load(fleet, "b-0", 90)
     fleet.play(1)
     state = member("a-9", loads={"i-1": EndpointLoad(1, -10_000)})
     bodies = [b"", b"\x00", encode(Report(state, 0))]
     for body in bodies:
         with pytest.raises(ValueError, match="."):
             node.peering._answer(Request("POST", REPORT_TARGET, body=body))
-    assert node.load_seen("i-1") == 90
+    assert node.known_load("i-1") == 90
 
 
-def test_an_old_report_does_not_bring_back_an_earlier_start(fleet):
-    """Sums would go by what a gateway had under way before it was killed.
+def test_an_old_report_does_not_restore_an_earlier_incarnation(fleet):
+    """Totals would include what a gateway had in flight before it was killed.
 
-    A report that was held up on its way arrives after the gateway's restart. It can't
-    be told from that of a restart with a clock set back, which must be taken; the next
-    report of the running one puts it right.
+    A delayed report arrives after the gateway's restart. It looks like the report of a
+    restart with an earlier clock, which must be accepted; the next report of the
+    running incarnation corrects it.
     """
     [first] = fleet.aggregators("a")
     name = next(other for other in fleet.nodes if other[0] == "a" and other != first)
@@ -209,14 +210,14 @@
     node.peering._answer(Request("POST", REPORT_TARGET, body=encode(old)))
     fleet.play(0.3)
     assert node.roster.get(name).incarnation == 2
-    assert node.load_seen("i-1") == 0
+    assert node.known_load("i-1") == 0
 
 
-def test_usage_is_whole_through_the_kill_of_an_aggregator(fleet):
-    """A customer's bill would lack what a killed zone's gateways had counted.
+def test_usage_is_complete_after_the_kill_of_an_aggregator(fleet):
+    """A customer's bill would lack what killed gateways had counted.
 
     A member and then its aggregator are killed. Another zone's aggregator has the
-    member's counts, and tells them to the next one of the zone.
+    member's counts, and sends them to the zone's next aggregator.
     """
     [first] = fleet.aggregators("a")
     dead = next(other for other in fleet.nodes if other[0] == "a" and other != first)
@@ -232,55 +233,55 @@
             assert node.peering.usage(7).counts == {"lab": 55}
 
 
-def test_usage_whose_transfer_had_no_answer_is_told_again(fleet):
-    """A customer's bill would lack an eighth: two windows of a zone were never told.
+def test_usage_whose_transfer_had_no_response_is_sent_again(fleet):
+    """A customer's bill lacked an eighth: two windows of a zone were never transferred.
 
-    An aggregator's answer, with the last counts of a window, came too late for the
-    one that had asked. Nothing in the window changed later, and nothing was sent again.
+    An aggregator's response with the last counts of a window came after the timeout.
+    The window did not change later, so its counts were not sent again.
     """
     [asking], [asked] = fleet.aggregators("a"), fleet.aggregators("b")
-    carry = fleet.carry
+    deliver = fleet.deliver
 
-    def lose(sender, receiver, request):
-        answer = carry(sender, receiver, request)
+    def lose_response(sender, receiver, request):
+        answer = deliver(sender, receiver, request)
         if sender in (asking, "c-0", "c-1", "c-2") and receiver == asked:
             raise AnswerTimeout("no answer in time")
         return answer
 
-    fleet.carry = lose
+    fleet.deliver = lose_response
     fleet.nodes[asked].usage = {7: {"lab": 5}}
     fleet.play(1.2)
-    fleet.carry = carry
-    fleet.play(SETTLED)
+    fleet.deliver = deliver
+    fleet.play(SETTLE_SECONDS)
     for node in fleet.nodes.values():
         assert node.peering.usage(7).counts == {"lab": 5}
 
 
-def test_usage_from_before_two_zones_met_is_told():
-    """A customer's bill would lack a zone's part of a window.
+def test_usage_from_before_two_zones_met_is_sent():
+    """A customer's bill would lack one zone's requests of a window.
 
-    Two zones start cut off from each other, and their gateways count requests. When the
-    cut heals, the first news between them must bring what was counted before.
+    Two zones start partitioned from each other, and their gateways count requests. When
+    the partition ends, the first update must carry what was counted before.
     """
     fleet = Fleet({"a": 2, "b": 2})
     fleet.cuts |= {(x, y) for x in fleet.nodes for y in fleet.nodes if x[0] != y[0]}
     for node in fleet.nodes.values():
         node.usage = {7: {"lab": 5}}
-    fleet.play(SETTLED)
+    fleet.play(SETTLE_SECONDS)
     fleet.heal()
-    fleet.play(SETTLED + 2)
+    fleet.play(SETTLE_SECONDS + 2)
     for node in fleet.nodes.values():
         assert node.peering.usage(7).counts == {"lab": 20}
 
 
-def test_usage_is_told_again_to_an_aggregator_that_restarted():
+def test_usage_is_sent_again_to_an_aggregator_that_restarted():
     """A customer's bill would lack what a zone had counted before the restart.
 
-    The aggregator restarts between two reports, under its name. Its members don't
-    notice a failure, and what they have told it is gone.
+    The aggregator restarts between two reports under the same name. Its members notice
+    no failure, and the rows that they had reported are lost.
     """
     fleet = Fleet({"a": 3})
-    fleet.play(SETTLED)
+    fleet.play(SETTLE_SECONDS)
     [first] = fleet.aggregators("a")
     for name, node in fleet.nodes.items():
         node.usage = {} if name == first else {7: {"lab": 5}}
@@ -290,16 +291,16 @@
     assert fleet.nodes[first].peering.usage(7).counts == {"lab": 10}
 
 
-def test_usage_tells_since_when_all_have_told(fleet):
-    """A window that is reported too soon lacks its last requests."""
+def test_usage_totals_state_up_to_when_they_are_complete(fleet):
+    """A window that is reported too early lacks its last requests."""
     now = fleet.nodes["a-0"].time.seconds
     for node in fleet.nodes.values():
         complete_since = node.peering.usage(1).complete_since
         assert now - 1.6 < complete_since <= now
 
 
-def test_a_holder_that_was_killed_is_not_believed_for_long(fleet):
-    """No orders would be given for seconds after the holder was killed."""
+def test_the_claim_of_a_killed_leader_expires(fleet):
+    """No orders would be given for seconds after the leader was killed."""
     fleet.nodes["c-1"].duty = DutyClaim(7)
     fleet.play(0.5)
     assert fleet.nodes["a-0"].peering.names_holder()
@@ -308,8 +309,8 @@
     assert not fleet.nodes["a-0"].peering.names_holder()
 
 
-def test_a_listed_gateway_that_was_never_heard_may_be_an_older_one():
-    """A gateway would take the duties before it has seen anything of the deployment."""
+def test_a_listed_gateway_that_never_reported_may_be_older():
+    """A gateway would become the leader before it knows anything of the deployment."""
     fleet = Fleet({"a": 1})
     node = fleet.nodes["a-0"]
     assert not node.peering.may_have_older(9)
@@ -317,9 +318,11 @@
     assert node.peering.may_have_older(9)
 
 
-def test_the_work_of_gateways_that_fell_silent_fades(fleet):
-    """Endpoints would be given back in the middle of a restart of all gateways."""
-    name = next(n for n in fleet.nodes if n[0] == "b" and n not in sums_up(fleet))
+def test_the_engine_time_of_silent_gateways_decays(fleet):
+    """Endpoints would be released during a restart of all gateways."""
+    name = next(
+        n for n in fleet.nodes if n[0] == "b" and n not in aggregators_of(fleet)
+    )
     fleet.nodes[name].engine_time = {"models": 2.0}
     fleet.play(1)
     node = fleet.nodes["a-0"]
@@ -329,25 +332,25 @@
     assert 0.5 < node.peering.work("models") < 1.0
 
 
-def test_newer_revisions_come_from_a_gateway_that_answers(fleet):
-    """A gateway that the store turns away would serve an old configuration."""
+def test_newer_revisions_come_from_a_connected_gateway(fleet):
+    """A gateway that the store refuses would keep an old configuration."""
     fleet.nodes["c-2"].revision = 12
     fleet.play(0.3)
     [aggregator] = fleet.aggregators("c")
     if aggregator != "c-2":
-        assert fleet.nodes[aggregator].heard.revisions["c-2"] == {"p/": 12}
+        assert fleet.nodes[aggregator].received.revisions["c-2"] == {"p/": 12}
     fleet.nodes[aggregator].revision = 12
     fleet.play(0.5)
-    assert fleet.nodes["c-1"].heard.revisions[aggregator] == {"p/": 12}
+    assert fleet.nodes["c-1"].received.revisions[aggregator] == {"p/": 12}
 
 
-def test_few_watch_the_store_and_others_step_in(fleet):
-    """Each change of the list would cost a call of each of two hundred gateways.
+def test_few_gateways_watch_the_store_and_others_replace_them(fleet):
+    """Each change of the list would cost a call by each of two hundred gateways.
 
-    Where none of those that watch is answered, the others must watch by themselves.
+    If none of the watching gateways gets responses, the others must watch themselves.
     """
     large = Fleet({"a": 20, "b": 20, "c": 20})
-    large.play(SETTLED)
+    large.play(SETTLE_SECONDS)
     watching = [n for n, node in large.nodes.items() if node.peering.should_watch()]
     assert len(watching) == 9
     for node in large.nodes.values():
@@ -356,9 +359,9 @@
     assert all(node.peering.should_watch() for node in large.nodes.values())
 
 
-def test_a_member_that_hears_nobody_watches_by_itself(fleet):
+def test_a_partitioned_member_watches_the_store_itself(fleet):
     large = Fleet({"a": 20, "b": 20})
-    large.play(SETTLED)
+    large.play(SETTLE_SECONDS)
     name = next(n for n, node in large.nodes.items() if not node.peering.should_watch())
     large.cut(name)
     large.play(LIFETIME.total_seconds())
@@ -368,48 +371,48 @@
 @pytest.mark.parametrize(
     "zones", [{"a": 20, "b": 20, "c": 20}, {"a": 3, "b": 3, "c": 2}, {"a": 1, "b": 1}]
 )
-def test_those_that_watch_ask_by_turns(zones):
-    """A change that a silence swallowed would wait until somebody asks by chance.
+def test_watching_gateways_have_distinct_poll_slots(zones):
+    """A change that all watches missed would be found only by chance.
 
-    Each has a turn of its own, and together they fill the round.
+    Each watching gateway has its own slot, and together they fill all slots.
     """
     large = Fleet(zones)
-    large.play(SETTLED)
-    turns = [node.peering.poll_slot() for node in large.nodes.values()]
-    taken = [turn for turn in turns if turn is not None]
-    assert sorted(turn.index for turn in taken) == list(range(len(taken)))
-    assert {turn.count for turn in taken} == {len(taken)}
+    large.play(SETTLE_SECONDS)
+    slots = [node.peering.poll_slot() for node in large.nodes.values()]
+    taken = [slot for slot in slots if slot is not None]
+    assert sorted(slot.index for slot in taken) == list(range(len(taken)))
+    assert {slot.count for slot in taken} == {len(taken)}
 
 
-def test_turns_of_a_zone_that_is_cut_off_are_left_out():
-    """Nobody would ask in the turns of gateways that can't tell what they find."""
+def test_a_partitioned_zone_has_no_poll_slots():
+    """Nobody would poll in the slots of gateways that cannot report what they find."""
     large = Fleet({"a": 3, "b": 3, "c": 3})
-    large.play(SETTLED)
+    large.play(SETTLE_SECONDS)
     cut_off = [name for name, node in large.nodes.items() if node.zone == "c"]
     for name in cut_off:
         large.cut(name)
     large.play(LIFETIME.total_seconds())
     others = [node for name, node in large.nodes.items() if name not in cut_off]
-    turns = [node.peering.poll_slot() for node in others]
-    assert sorted(turn.index for turn in turns) == list(range(6))
-    assert {turn.count for turn in turns} == {6}
+    slots = [node.peering.poll_slot() for node in others]
+    assert sorted(slot.index for slot in slots) == list(range(6))
+    assert {slot.count for slot in slots} == {6}
 
 
-def test_few_ask_the_store_in_an_outage():
-    """Two hundred gateways would press the store just as it comes back."""
+def test_few_gateways_poll_the_store_in_an_outage():
+    """Two hundred gateways would overload the store just as it recovers."""
     large = Fleet({"a": 20, "b": 20, "c": 20})
-    large.play(SETTLED)
+    large.play(SETTLE_SECONDS)
     for node in large.nodes.values():
         node.follows_store = False
     large.play(1)
-    turns = [node.peering.poll_slot() for node in large.nodes.values()]
-    assert sum(turn is not None for turn in turns) == 9
+    slots = [node.peering.poll_slot() for node in large.nodes.values()]
+    assert sum(slot is not None for slot in slots) == 9
 
 
-def test_a_gateway_that_hears_nobody_asks_in_every_turn():
-    """What its watch has missed, nobody else could tell it."""
+def test_a_partitioned_gateway_polls_in_every_slot():
+    """No other gateway could report a change that its watch has missed."""
     large = Fleet({"a": 20, "b": 20})
-    large.play(SETTLED)
+    large.play(SETTLE_SECONDS)
     name = next(
         name for name, node in large.nodes.items() if node.peering.poll_slot() is None
     )
@@ -419,47 +422,49 @@
 
 
 def test_bytes_of_a_gateway_do_not_grow_with_the_fleet():
-    """Links of 10 Mbit/s were full of what gateways tell each other.
+    """Reports between gateways saturated links of 10 Mbit/s.
 
-    Pattern: each gateway has work under way at three of thirty endpoints and tells it
-    a few times a second. The bytes of one that only reports depend on the endpoints
-    and customers, not on the fleet; those of one that sums up on its zone.
+    Workload: each gateway has requests at three of thirty endpoints and reports them a
+    few times a second. The traffic of a member depends on the number of endpoints and
+    customers, not of gateways; that of an aggregator depends on its zone.
     """
-    members = {}
-    most = {}
-    for each in (10, 60):
-        fleet = Fleet({"a": each, "b": each, "c": each})
+    member_rates = {}
+    aggregator_rates = {}
+    for zone_size in (10, 60):
+        fleet = Fleet({"a": zone_size, "b": zone_size, "c": zone_size})
         for number, node in enumerate(fleet.nodes.values()):
             node.loads = {
                 f"i-{(number * 3 + other) % 30}": EndpointLoad(2, 9000)
                 for other in range(3)
             }
             node.demand = node.spent = 100.0
-        fleet.play(SETTLED)
+        fleet.play(SETTLE_SECONDS)
         fleet.bytes.clear()
         fleet.play(5)
-        sums = sums_up(fleet)
-        members[each] = max(fleet.bytes[n] for n in fleet.nodes if n not in sums) / 5
-        most[each] = max(fleet.bytes[name] for name in sums) / 5
-    assert members[60] < 1.2 * members[10] < 20_000
-    assert most[60] < 250_000
+        sums = aggregators_of(fleet)
+        member_rates[zone_size] = (
+            max(fleet.bytes[n] for n in fleet.nodes if n not in sums) / 5
+        )
+        aggregator_rates[zone_size] = max(fleet.bytes[name] for name in sums) / 5
+    assert member_rates[60] < 1.2 * member_rates[10] < 20_000
+    assert aggregator_rates[60] < 250_000
 
 
-def test_clocks_of_others_are_passed_on(fleet):
-    """A gateway that starts would take one stepped clock for the time.
+def test_replies_carry_the_clocks_of_other_gateways(fleet):
+    """A starting gateway would adopt the time of a single stepped clock.
 
-    It hears its aggregator, which tells it the clocks of its members.
+    Its aggregator sends it the clock readings of the other members.
     """
     [first] = fleet.aggregators("a")
     name = next(other for other in fleet.nodes if other[0] == "a" and other != first)
     aggregator = fleet.nodes[first]
-    for other, reading in aggregator.heard.clocks.items():
+    for other, reading in aggregator.received.clocks.items():
         aggregator.time.hear(other, reading)
     fleet.play(0.3)
-    assert len(fleet.nodes[name].heard.clocks) >= 3
+    assert len(fleet.nodes[name].received.clocks) >= 3
 
 
-def test_a_contact_is_taken_over_only_from_a_later_start():
+def test_a_contact_is_replaced_only_by_a_later_incarnation():
     fleet = Fleet({"a": 2})
     node = fleet.nodes["a-0"]
     later = replace(contact("a-1"), incarnation=5, port=9)
@@ -469,8 +474,8 @@
 
 
 def test_paused_members_are_silent_but_counted(fleet):
-    """A gateway that is cut off spends its part of each limit on."""
-    name = next(n for n in fleet.nodes if n not in sums_up(fleet))
+    """A partitioned gateway still uses its share of each limit."""
+    name = next(n for n in fleet.nodes if n not in aggregators_of(fleet))
     fleet.paused.add(name)
     fleet.play(FRESH.total_seconds() + 1)
     other = next(node for n, node in fleet.nodes.items() if n[0] != name[0])
@@ -478,9 +483,9 @@
     assert sum(group.state.silent for group in other.peering.groups()) == 1
 
 
-def test_the_time_until_news_is_everywhere_grows_with_the_pause():
+def test_the_propagation_time_grows_with_the_report_interval():
     small, large = Fleet({"a": 3}), Fleet({"a": 40})
-    small.play(SETTLED)
-    large.play(SETTLED)
+    small.play(SETTLE_SECONDS)
+    large.play(SETTLE_SECONDS)
     assert small.nodes["a-0"].peering.propagation_time() == timedelta(milliseconds=300)
     assert large.nodes["a-0"].peering.propagation_time() >= timedelta(seconds=1.1)
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -1,4 +1,4 @@
-"""The gateways that are known, and who of a zone should be its aggregator."""
+"""Known gateways, and the preferred aggregator of each zone."""
 
 from datetime import timedelta
 
@@ -26,7 +26,7 @@
     return roster
 
 
-def test_all_name_the_same_candidate(clock):
+def test_all_gateways_choose_the_same_candidate(clock):
     rosters = [Roster(contact(name), clock) for name in NAMES]
     for roster in rosters:
         roster.merge([contact(name) for name in NAMES])
@@ -39,7 +39,7 @@
     assert roster.aggregator_candidate("a").name == "e"
 
 
-def test_one_that_gave_no_answer_is_passed_over_for_a_while(roster, clock):
+def test_an_unresponsive_gateway_is_avoided_for_a_while(roster, clock):
     first, second, *_ = ordered("a", dict.fromkeys(NAMES, 1.0))
     roster.record_failure(contact(first), "no answer")
     assert roster.aggregator_candidate("a").name == second
@@ -47,14 +47,14 @@
     assert roster.aggregator_candidate("a").name == first
 
 
-def test_one_that_speaks_is_no_longer_passed_over(roster):
+def test_a_gateway_that_sends_is_no_longer_avoided(roster):
     first, *_ = ordered("a", dict.fromkeys(NAMES, 1.0))
     roster.record_failure(contact(first), "no answer")
     roster.record_contact(contact(first))
     assert roster.aggregator_candidate("a").name == first
 
 
-def test_leaving_ones_are_no_candidates(roster):
+def test_leaving_gateways_are_no_candidates(roster):
     for name in NAMES[1:]:
         roster.merge([contact(name, incarnation=1, leaving=True)])
     assert roster.aggregator_candidate("a").name == "b"
@@ -62,8 +62,12 @@
     assert roster.aggregator_candidate("a") is None
 
 
-def test_a_restart_with_a_clock_set_back_is_taken_from_itself_only(roster):
-    """A restarted gateway would be called at its old address for good."""
+def test_a_restart_with_an_earlier_clock_is_taken_from_the_gateway_only(roster):
+    """Ignoring it would keep the gateway's old address forever.
+
+    A lower incarnation from another gateway is outdated; from the gateway itself it
+    means that its clock was set back.
+    """
     roster.merge([contact("c", incarnation=9)])
     roster.merge([contact("c", incarnation=4)])
     assert roster.get("c").incarnation == 9
@@ -71,7 +75,7 @@
     assert roster.get("c").incarnation == 4
 
 
-def test_digests_differ_where_the_zone_does(roster, clock):
+def test_digests_differ_if_the_known_gateways_of_the_zone_differ(roster, clock):
     same = Roster(contact("c"), clock)
     same.merge([contact(name) for name in NAMES])
     assert roster.digest() == same.digest()
@@ -85,7 +89,7 @@
     assert roster.digest() == before
 
 
-def test_gateways_that_nobody_hears_are_forgotten(roster, clock):
+def test_gateways_that_nobody_receives_from_are_removed(roster, clock):
     clock.advance(timedelta(seconds=30))
     roster.mark_alive(["c"])
     clock.advance(RETENTION_TIME - timedelta(seconds=29))
