--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_following.py
@@ -1,4 +1,4 @@
-"""Following the store through outages, lost history and peers."""
+"""Followers of the store during outages, after lost history, and with peers."""
 
 from datetime import timedelta
 from random import Random
@@ -17,7 +17,7 @@
 
 
 class Store:
-    """A store whose answers a test lines up."""
+    """A store with responses that the test prepares."""
 
     def __init__(self):
         self.snapshots = []
@@ -55,7 +55,7 @@
     )
 
 
-def test_a_listing_then_changes(store, follower, seen):
+def test_a_listing_is_followed_by_changes(store, follower, seen):
     store.snapshots = [Snapshot((item("p/a", b"1", 3),), 10)]
     store.changes = [
         Changes((Change("p/b", 12, b"2"), Change("p/a", 13, None)), 14),
@@ -71,10 +71,10 @@
     assert len(seen) == 2
 
 
-def test_a_departure_in_a_lost_history_is_found(store, follower, seen):
-    """Requests would go on to an endpoint that has left.
+def test_a_deletion_in_a_lost_history_is_found(store, follower, seen):
+    """Requests would still go to an endpoint that has left.
 
-    The entry goes while the watch is cut and the history is dropped.
+    Its registration is deleted while the watch is down, and the history is compacted.
     """
     store.snapshots = [
         Snapshot((item("p/a", b"1", 3), item("p/b", b"1", 4)), 10),
@@ -89,7 +89,7 @@
     assert seen[-1].deleted == {"p/a"}
 
 
-def test_what_a_peer_knows_later_is_taken(store, follower, seen):
+def test_later_values_of_a_peer_are_applied(store, follower, seen):
     store.snapshots = [Snapshot((item("p/a", b"1", 3),), 10)]
     follower.step()
     follower.replace_all({"p/a": b"2"}, 15, 14)
@@ -97,11 +97,11 @@
     assert follower.changed_revision == 14
 
 
-def test_it_never_goes_back(store, follower, seen):
-    """A configuration that was in force would be replaced by an older one.
+def test_older_values_are_never_applied(store, follower, seen):
+    """The current configuration would be replaced by an older one.
 
-    A peer that was cut off for a while still has the older values, and a watch
-    that waited through it brings changes that are known by now.
+    A peer that was partitioned still has older values, and a watch that waited
+    meanwhile returns changes that are already known.
     """
     store.snapshots = [Snapshot((item("p/a", b"1", 3),), 10)]
     store.changes = [Changes((Change("p/a", 12, b"2"),), 12)]
@@ -113,18 +113,18 @@
     assert len(seen) == 2
 
 
-def test_a_first_listing_is_no_news_to_peers(store, follower):
-    """All gateways would fetch everything from each one that starts.
+def test_a_first_listing_is_no_change_for_peers(store, follower):
+    """All gateways would fetch all values from each gateway that starts.
 
-    The store has moved on since the last change below the prefix; a gateway that
-    lists now knows no more than those that watched.
+    The store's revision has risen since the last change below the prefix. A gateway
+    that lists now knows no more than those that watched.
     """
     store.snapshots = [Snapshot((item("p/a", b"1", 3),), 500)]
     follower.step()
     assert follower.changed_revision == 3
 
 
-def test_a_failing_store_is_not_asked_in_a_rush(store, follower):
+def test_a_failed_watch_raises(store, follower):
     store.snapshots = [Snapshot((), 10)]
     store.changes = [StoreNotReached("down")]
     follower.step()
@@ -132,46 +132,46 @@
         follower.step()
 
 
-def listed(store, follower, *items, revision=10):
-    """Read a listing of the store."""
+def list_values(store, follower, *items, revision=10):
+    """Have the follower list values of the store."""
     store.snapshots = [Snapshot(tuple(items), revision)]
     follower.step()
 
 
-def another(seen):
+def new_follower(seen):
     clock = ManualClock()
     return Follower(
         "p/", None, seen.append, Dependency("store", clock), clock, Random(1)
     )
 
 
-def test_a_peer_gets_only_what_has_changed(store, follower):
-    """Each change of the list would send the whole of it to forty gateways."""
-    listed(store, follower, item("p/a", b"1", 3), item("p/b", b"2", 4))
+def test_a_peer_gets_only_the_changes(store, follower):
+    """Each change would send the whole list to forty gateways."""
+    list_values(store, follower, item("p/a", b"1", 3), item("p/b", b"2", 4))
     store.changes = [Changes((Change("p/b", 12, b"3"), Change("p/a", 13, None)), 14)]
     follower.step()
-    told = follower.changes_since(10)
-    assert not told.is_whole
-    assert (told.values, told.deleted) == ({"p/b": b"3"}, {"p/a": 13})
+    sent = follower.changes_since(10)
+    assert not sent.is_whole
+    assert (sent.values, sent.deleted) == ({"p/b": b"3"}, {"p/a": 13})
     assert follower.changes_since(13).values == {}
 
 
-def test_a_peer_that_is_far_behind_gets_everything(store, follower):
-    """What was deleted before this gateway's listing isn't known by its key."""
-    listed(store, follower, item("p/a", b"1", 3))
-    told = follower.changes_since(2)
-    assert told.is_whole
-    assert told.values == {"p/a": b"1"}
+def test_a_peer_that_is_far_behind_gets_all_values(store, follower):
+    """Keys that were deleted before this gateway's listing are unknown to it."""
+    list_values(store, follower, item("p/a", b"1", 3))
+    sent = follower.changes_since(2)
+    assert sent.is_whole
+    assert sent.values == {"p/a": b"1"}
 
 
-def test_nothing_is_told_before_anything_is_known(follower):
+def test_a_peer_gets_nothing_before_the_first_listing(follower):
     assert follower.changes_since(0) is None
 
 
-def test_changes_of_a_peer_are_taken(store, follower):
-    listed(store, follower, item("p/a", b"1", 3), item("p/b", b"2", 4))
+def test_changes_from_a_peer_are_applied(store, follower):
+    list_values(store, follower, item("p/a", b"1", 3), item("p/b", b"2", 4))
     seen = []
-    other = another(seen)
+    other = new_follower(seen)
     other.apply_peer_values(follower.changes_since(0), 0)
     store.changes = [Changes((Change("p/c", 12, b"3"), Change("p/a", 13, None)), 14)]
     follower.step()
@@ -181,26 +181,25 @@
     assert other.changed_revision == 13
 
 
-def test_an_answer_that_was_overtaken_changes_nothing(store, follower):
-    """A gateway would go back to an endpoint that has left.
+def test_an_outdated_response_changes_nothing(store, follower):
+    """A gateway would list an endpoint again that has left.
 
-    Two peers are asked, and the answer of the one that has followed less far comes
-    last.
+    Two peers respond, the one with the older revision last.
     """
-    listed(store, follower, item("p/a", b"1", 3))
+    list_values(store, follower, item("p/a", b"1", 3))
     early = follower.changes_since(0)
     store.changes = [Changes((Change("p/a", 13, None),), 14)]
     follower.step()
-    other = another([])
+    other = new_follower([])
     other.apply_peer_values(follower.changes_since(0), 0)
     other.apply_peer_values(early, 0)
     assert other.values == {}
 
 
-def test_changes_go_on_from_one_peer_to_the_next(store, follower):
-    """A gateway that took changes from a peer tells them to others in turn."""
-    listed(store, follower, item("p/a", b"1", 3))
-    middle, last = another([]), another([])
+def test_changes_are_passed_on_from_peer_to_peer(store, follower):
+    """A gateway that applied changes from a peer can send them to other peers."""
+    list_values(store, follower, item("p/a", b"1", 3))
+    middle, last = new_follower([]), new_follower([])
     middle.apply_peer_values(follower.changes_since(0), 0)
     last.apply_peer_values(middle.changes_since(0), 0)
     for revision, change in (
@@ -214,13 +213,13 @@
     since = last.changed_revision
     last.apply_peer_values(middle.changes_since(since), since)
     assert last.values == middle.values == {"p/b": b"2"}
-    told = middle.changes_since(12)
-    assert (told.is_whole, told.deleted) == (False, {"p/a": 13})
+    sent = middle.changes_since(12)
+    assert (sent.is_whole, sent.deleted) == (False, {"p/a": 13})
 
 
-def test_deleted_keys_are_not_kept_for_good(store, follower):
-    """A gateway would grow with each endpoint that ever was."""
-    listed(store, follower, item("p/a", b"1", 3))
+def test_deleted_keys_are_not_kept_forever(store, follower):
+    """A gateway's memory would grow with each endpoint that ever existed."""
+    list_values(store, follower, item("p/a", b"1", 3))
     for number in range(MAX_DELETED_KEYS + 10):
         change = Change(f"p/{number}", 20 + number, None)
         store.changes = [Changes((change,), 20 + number)]
@@ -229,8 +228,8 @@
     assert follower.changes_since(15).is_whole
 
 
-def test_a_gateway_that_need_not_watch_asks_the_store_once(store):
-    """Each change would cost a call of each of two hundred gateways."""
+def test_a_gateway_that_need_not_watch_only_lists(store):
+    """Each change would cost a call by each of two hundred gateways."""
     clock = ManualClock()
     follower = Follower(
         "p/",
@@ -248,10 +247,10 @@
     assert follower.revision == 10
 
 
-def test_a_loss_and_its_end_are_told_once(store):
-    """An engineer sees the store regained while one prefix still waits for an answer.
+def test_a_loss_and_its_end_are_logged_once(store):
+    """The logs would say that the store responds while one prefix is still outdated.
 
-    Other calls of the gateway are answered again; only the prefix's own lines tell
+    The gateway's other calls get responses again. Only the prefix's own log lines say
     that its values may be outdated, and for how long.
     """
     clock = SystemClock()
@@ -265,5 +264,5 @@
         wait_for(lambda: follower.revision == 11, "not followed again")
         sleep(timedelta(milliseconds=300))
         task.kill()
-    told = [rec.message for rec in logs.records if rec.channel == "following"]
-    assert told == ["store not followed", "store followed again"]
+    messages = [rec.message for rec in logs.records if rec.channel == "following"]
+    assert messages == ["store not followed", "store followed again"]
--- a/tests/gateway/test_following_model.py
+++ b/tests/gateway/test_following_model.py
@@ -1,4 +1,4 @@
-"""Model of followers of one prefix: any order of changes, faults and peers' news."""
+"""Model of followers of one prefix: any order of changes, faults and peer updates."""
 
 from random import Random
 
@@ -19,16 +19,16 @@
 
 
 class Store:
-    """A store that keeps its whole past, and may answer late, stale or not at all."""
+    """A store that keeps all revisions, and may respond late, stale or not at all."""
 
     def __init__(self):
         self.states = [{}]
         self.written = [{}]
         self.changes = []
-        self.kept_from = 0
+        self.oldest_revision = 0
         self.behind = 0
         self.fails = False
-        self.meanwhile = lambda: None
+        self.during_watch = lambda: None
 
     @property
     def revision(self):
@@ -45,8 +45,8 @@
         self.changes.append(Change(key, self.revision, value))
 
     def snapshot(self, prefix):
-        self._answer()
-        revision = max(self.revision - self.behind, self.kept_from)
+        self._respond()
+        revision = max(self.revision - self.behind, self.oldest_revision)
         written = self.written[revision]
         values = tuple(
             StoredValue(key, value, written[key], written[key])
@@ -55,20 +55,20 @@
         return Snapshot(values, revision)
 
     def follow(self, prefix, after, limit):
-        self._answer()
-        if after < self.kept_from:
+        self._respond()
+        if after < self.oldest_revision:
             raise StoreHistoryLost("dropped")
         changes = Changes(tuple(self.changes[after:]), self.revision)
-        self.meanwhile()
+        self.during_watch()
         return changes
 
-    def _answer(self):
+    def _respond(self):
         if self.fails:
             raise StoreNotReached("down")
 
 
 class Following(RuleBasedStateMachine):
-    """Followers of one store that also take each other's values."""
+    """Followers of one store that also apply each other's values."""
 
     def __init__(self):
         super().__init__()
@@ -86,7 +86,7 @@
             )
             for number in range(FOLLOWERS)
         ]
-        self.reached = [0] * FOLLOWERS
+        self.last_revisions = [0] * FOLLOWERS
         self.copies = []
 
     @rule(key=KEYS, value=st.binary(min_size=1, max_size=1))
@@ -100,10 +100,10 @@
 
     @rule()
     def drop_history(self):
-        self.store.kept_from = self.store.revision
+        self.store.oldest_revision = self.store.revision
 
     @rule(behind=st.integers(0, 3), fails=st.booleans())
-    def trouble(self, behind, fails):
+    def set_faults(self, behind, fails):
         self.store.behind, self.store.fails = behind, fails
 
     @rule(number=NUMBERS)
@@ -117,21 +117,21 @@
             pass
 
     @rule(number=NUMBERS, peer=NUMBERS, key=KEYS, value=st.binary(max_size=1))
-    def step_while_a_peer_brings_news(self, number, peer, key, value):
-        # A watch's answer is slow; a peer hears of a later change and tells it.
+    def step_while_a_peer_sends_a_change(self, number, peer, key, value):
+        # The watch's response is slow, and a peer sends a later change meanwhile.
 
-        def meanwhile():
-            self.store.meanwhile = lambda: None
+        def change_and_send():
+            self.store.during_watch = lambda: None
             self.store.change(key, value)
             self.step(peer)
-            self.take(number, peer)
+            self.apply_peer_values(number, peer)
 
-        self.store.meanwhile = meanwhile
+        self.store.during_watch = change_and_send
         self.step(number)
-        self.store.meanwhile = lambda: None
+        self.store.during_watch = lambda: None
 
     @rule(number=NUMBERS, peer=NUMBERS)
-    def take(self, number, peer):
+    def apply_peer_values(self, number, peer):
         source = self.fleet[peer]
         if number != peer and source.revision:
             self.fleet[number].replace_all(
@@ -140,26 +140,26 @@
 
     @rule(peer=NUMBERS)
     def copy(self, peer):
-        """Begin an answer to a peer that takes long to arrive."""
+        """Begin a response to a peer that takes long to arrive."""
         source = self.fleet[peer]
         copied = (dict(source.values), source.revision, source.changed_revision)
         self.copies.append(copied)
 
     @rule(number=NUMBERS)
-    def take_an_old_copy(self, number):
+    def apply_an_old_copy(self, number):
         if self.copies:
             self.fleet[number].replace_all(*self.copies.pop(0))
 
     @invariant()
-    def each_holds_what_the_store_held(self):
+    def each_holds_a_past_state_of_the_store(self):
         for number, follower in enumerate(self.fleet):
             assert follower.values == self.store.states[follower.revision]
             assert follower.changed_revision <= follower.revision
-            assert follower.revision >= self.reached[number]
-            self.reached[number] = follower.revision
+            assert follower.revision >= self.last_revisions[number]
+            self.last_revisions[number] = follower.revision
 
     def teardown(self):
-        """After the trouble, all come to what the store holds."""
+        """After the faults, all followers converge on the store's values."""
         self.store.behind, self.store.fails = 0, False
         for number, follower in enumerate(self.fleet):
             for _ in range(3):
--- a/tests/gateway/test_polling.py
+++ b/tests/gateway/test_polling.py
@@ -1,7 +1,8 @@
 """Changes that the store confirms around its outages, in virtual time.
 
-The worst case for a promise of two seconds: no peer tells anything, calls that are sent
-into a silence are never answered, and watches that waited as it began are lost too.
+The worst case for the promised two seconds: peers send nothing, calls made while the
+store is unresponsive never get a response, and watches that were waiting when it became
+unresponsive are lost too.
 """
 
 from datetime import timedelta
@@ -33,44 +34,44 @@
 )
 from tests.gateway.virtual_time import run_in_virtual_time
 
-# What the deployment promises.
+# Promised time within which a change takes effect.
 DELAY = timedelta(seconds=2)
 STEP = timedelta(milliseconds=10)
 ALONE = Turn(0, 1)
 
 
 class Store:
-    """A store that falls silent: what it then has or gets is never answered.
+    """A store that may become unresponsive: it then loses pending and new calls.
 
-    :ivar error: what calls end with now; none while they are answered.
+    :ivar error: error that calls raise now; None while they get responses.
     """
 
     def __init__(self):
         self.changes = [Change("p/a", 1, b"1")]
         self.error = None
-        self.silences = 0
-        self.kept_from = 0
+        self.outages = 0
+        self.oldest_revision = 0
 
-    def fall_silent(self, error=StoreAnswerLost):
-        """Answer nothing, or refuse all calls at once with another error."""
+    def become_unresponsive(self, error=StoreAnswerLost):
+        """Send no responses, or with another error, refuse all calls at once."""
         self.error = error
-        self.silences += 1
+        self.outages += 1
 
-    def be_silent_for(self, length, error=StoreAnswerLost):
-        """Answer nothing for a while, or refuse all calls with another error."""
-        self.fall_silent(error)
+    def be_unresponsive_for(self, length, error=StoreAnswerLost):
+        """Send no responses for a while, or with another error, refuse all calls."""
+        self.become_unresponsive(error)
         sleep(length)
         self.error = None
 
     def confirm(self):
-        """Take a change, and return its revision."""
+        """Confirm a change, and return its revision."""
         revision = len(self.changes) + 1
         self.changes.append(Change("p/a", revision, b"%d" % revision))
         return revision
 
 
 class Client:
-    """One gateway's client of the store."""
+    """One gateway's client for the store."""
 
     def __init__(self, store, clock):
         self._store = store
@@ -94,15 +95,15 @@
 
     def follow(self, prefix, after, limit):
         store = self._store
-        silences, drops = store.silences, self._drops
-        swallowed = store.error is StoreAnswerLost
+        outages, drops = store.outages, self._drops
+        lost = store.error is StoreAnswerLost
         until = self._clock.elapsed() + limit
         while self._clock.elapsed() < until + WATCH_MARGIN:
             if self._drops != drops:
                 raise StoreWatchDropped("dropped")
             if store.error not in (None, StoreAnswerLost):
                 raise store.error("refused")
-            if store.silences == silences and not swallowed:
+            if store.outages == outages and not lost:
                 changes = self._since(after)
                 if changes.events or self._clock.elapsed() >= until:
                     return changes
@@ -111,7 +112,7 @@
 
     def _since(self, after):
         changes = self._store.changes
-        if after < self._store.kept_from:
+        if after < self._store.oldest_revision:
             raise StoreHistoryLost("dropped")
         return Changes(tuple(changes[after:]), len(changes))
 
@@ -125,9 +126,9 @@
 
 
 class Gateway:
-    """What one gateway has for following the store."""
+    """The components of one gateway that follow the store."""
 
-    def __init__(self, store, clock, seed, turn=ALONE):
+    def __init__(self, store, clock, seed, slot=ALONE):
         rng = Random(seed)
         self.client = Client(store, clock)
         dependency = Dependency("store", clock, self.client.drop_watches)
@@ -135,12 +136,12 @@
             "p/", self.client, lambda revised: None, dependency, clock, rng
         )
         self.polling = Poller(
-            [self.follower], self.client, lambda: turn, TrueTime(clock), DELAY
+            [self.follower], self.client, lambda: slot, TrueTime(clock), DELAY
         )
         self.tasks = [spawn(self.follower.run), spawn(self.polling.run)]
 
-    def take_from(self, other):
-        """Take what another gateway knows later, as reports between gateways do."""
+    def fetch_from(self, other):
+        """Apply what another gateway knows later, as reports between gateways do."""
         since = self.follower.changed_revision
         if other.follower.changed_revision > since:
             self.follower.apply_peer_values(other.follower.changes_since(since), since)
@@ -150,29 +151,31 @@
             task.kill()
 
 
-def in_force_after(store, clock, *gateways):
-    """Have the store take a change, and return how long until all know it."""
+def delay_of_change(store, clock, *gateways):
+    """Have the store confirm a change, and return the time until all know it."""
     revision = store.confirm()
     confirmed_at = clock.elapsed()
-    while any(one.follower.changed_revision < revision for one in gateways):
+    while any(gateway.follower.changed_revision < revision for gateway in gateways):
         sleep(STEP)
     return clock.elapsed() - confirmed_at
 
 
-def play(length, before=timedelta(seconds=1), error=StoreAnswerLost, seed=1):
-    """Return how long a change takes that is confirmed just after a silence.
+def delay_after_outage(
+    length, before=timedelta(seconds=1), error=StoreAnswerLost, seed=1
+):
+    """Return the delay of a change that is confirmed just after an outage.
 
-    :param before: time from the last change to the silence.
+    :param before: time from the last change to the outage.
     """
 
     def scenario(clock):
         store = Store()
         gateway = Gateway(store, clock, seed)
         sleep(timedelta(seconds=1))
-        in_force_after(store, clock, gateway)
+        delay_of_change(store, clock, gateway)
         sleep(before)
-        store.be_silent_for(length, error)
-        delay = in_force_after(store, clock, gateway)
+        store.be_unresponsive_for(length, error)
+        delay = delay_of_change(store, clock, gateway)
         gateway.close()
         return delay
 
@@ -186,34 +189,34 @@
     refuses=st.booleans(),
     seed=st.integers(0, 99),
 )
-def test_a_change_after_a_silence_is_in_force_in_time(length, before, refuses, seed):
-    """A confirmed route is refused, or a leaving endpoint gets requests.
+def test_a_change_after_an_outage_takes_effect_in_time(length, before, refuses, seed):
+    """A confirmed route would be refused, or a leaving endpoint would get requests.
 
-    Whenever the silence begins after the last change, and however long it is, one call
-    or several were sent into it; the change is confirmed as soon as it ends.
+    The outage begins any time after the last change and has any length, so that one or
+    more calls are lost in it. The change is confirmed as soon as it ends.
     """
     error = StoreNotReached if refuses else StoreAnswerLost
     length, before = timedelta(seconds=length), timedelta(seconds=before)
-    assert play(length, before, error, seed) <= DELAY
+    assert delay_after_outage(length, before, error, seed) <= DELAY
 
 
 @pytest.mark.parametrize("error", [StoreAnswerLost, StoreNotReached])
 @pytest.mark.parametrize("length_ms", [600, 1000, 1400, 6500])
 def test_most_of_the_delay_is_left(length_ms, error):
-    """Gateways that don't watch hear of it half a second after those that do."""
+    """Gateways that do not watch get the change half a second after those that do."""
     length = timedelta(milliseconds=length_ms)
     for seed in range(10):
-        assert play(length, error=error, seed=seed) <= DELAY / 2
+        assert delay_after_outage(length, error=error, seed=seed) <= DELAY / 2
 
 
-def test_an_outage_is_not_pressed():
-    """Two hundred gateways ask at once for as long as the store is out of reach."""
+def test_polls_are_limited_in_an_outage():
+    """Two hundred gateways would poll at once while the store is unreachable."""
 
     def scenario(clock):
         store = Store()
         gateway = Gateway(store, clock, 1)
         sleep(timedelta(seconds=1))
-        store.fall_silent()
+        store.become_unresponsive()
         gateway.client.polls = 0
         sleep(timedelta(seconds=60))
         assert (
@@ -226,84 +229,84 @@
     run_in_virtual_time(scenario)
 
 
-def test_a_moment_of_silence_swallows_no_change():
-    """A confirmed route is refused for six seconds after a silence of a tenth of one.
+def test_no_change_is_missed_after_a_short_outage():
+    """A confirmed route was refused for six seconds after an outage of 0.1 s.
 
-    A change wakes all gateways' watches; they ask anew just as the store is silent for
-    a moment. The next change is confirmed; no call fails, and the swallowed watches are
-    waited for. Only a question whose answer is due at once shows the change.
+    A change ends the watches of all gateways, and the store is unresponsive just when
+    they send new ones. The next change is confirmed. No call fails, and the gateways
+    wait for the lost watches. Only a poll, whose response is due at once, shows it.
     """
     before = BATCH_DELAY - timedelta(milliseconds=10)
     for seed in range(10):
         for length_ms in (20, 100, 300):
             length = timedelta(milliseconds=length_ms)
-            assert play(length, before, seed=seed) <= DELAY
+            assert delay_after_outage(length, before, seed=seed) <= DELAY
 
 
-def test_after_an_outage_changes_come_at_once_again():
-    """Each change would wait for somebody's turn until the watch ends by itself.
+def test_after_an_outage_changes_arrive_at_once_again():
+    """Each change would wait for a poll slot until the watch times out.
 
-    Nothing has changed in the outage, so no question brings what the watch has missed;
-    that one of them was not answered and a later one is tells of it.
+    Nothing changed during the outage, so no poll shows that the watch is lost. A poll
+    without a response, followed by one with a response, does.
     """
 
     def scenario(clock):
         store = Store()
-        gateway = Gateway(store, clock, 1, turn=Turn(0, 8))
+        gateway = Gateway(store, clock, 1, slot=Turn(0, 8))
         sleep(timedelta(seconds=2.5))
-        store.be_silent_for(timedelta(seconds=2.5))
+        store.be_unresponsive_for(timedelta(seconds=2.5))
         sleep(timedelta(seconds=4))
-        delay = in_force_after(store, clock, gateway)
+        delay = delay_of_change(store, clock, gateway)
         gateway.close()
         return delay
 
     assert run_in_virtual_time(scenario) <= timedelta(milliseconds=200)
 
 
-def test_after_a_swallowed_watch_changes_come_at_once_again():
-    """Each change would wait for somebody's turn until the watch ends by itself."""
+def test_after_a_lost_watch_changes_arrive_at_once_again():
+    """Each change would wait for a poll slot until the watch times out."""
 
     def scenario(clock):
         store = Store()
-        gateway = Gateway(store, clock, 1, turn=Turn(0, 8))
+        gateway = Gateway(store, clock, 1, slot=Turn(0, 8))
         sleep(timedelta(seconds=1))
-        store.be_silent_for(timedelta(milliseconds=100))
-        in_force_after(store, clock, gateway)
+        store.be_unresponsive_for(timedelta(milliseconds=100))
+        delay_of_change(store, clock, gateway)
         sleep(timedelta(seconds=1))
-        delay = in_force_after(store, clock, gateway)
+        delay = delay_of_change(store, clock, gateway)
         gateway.close()
         return delay
 
     assert run_in_virtual_time(scenario) <= timedelta(milliseconds=200)
 
 
-def test_a_question_that_meets_a_lost_history_reads_everything_anew():
-    """A departure would stay unknown until the swallowed watch ends by itself.
+def test_a_poll_that_finds_a_lost_history_causes_a_new_listing():
+    """A deletion would stay unknown until the lost watch times out.
 
-    A change comes in a silence that swallows the watch, and the history is dropped
-    with it; a question by turns is the first to hear of that.
+    A change is made during an outage in which the watch is lost, and the history is
+    dropped with it. A poll is the first call to get that error.
     """
 
     def scenario(clock):
         store = Store()
         gateway = Gateway(store, clock, 1)
         sleep(timedelta(seconds=1))
-        store.be_silent_for(timedelta(milliseconds=100))
-        store.kept_from = len(store.changes) + 1
-        delay = in_force_after(store, clock, gateway)
+        store.be_unresponsive_for(timedelta(milliseconds=100))
+        store.oldest_revision = len(store.changes) + 1
+        delay = delay_of_change(store, clock, gateway)
         gateway.close()
         return delay
 
     assert run_in_virtual_time(scenario) <= DELAY
 
 
-def test_by_turns_a_fleet_follows_through_any_silence():
-    """Eight gateways' callers are refused until the first of them happens to ask.
+def test_a_fleet_with_poll_slots_gets_changes_after_any_outage():
+    """Eight gateways' callers would be refused until one of them happens to poll.
 
-    All watches are swallowed at once. One gateway's question finds the change; the
-    others have it after three reports of 300 ms, by way of the one that sums up.
+    All watches are lost at once. One gateway's poll finds the change, and the others
+    get it within three reports of 300 ms, through the aggregator.
     """
-    report_pause = timedelta(milliseconds=300)
+    report_interval = timedelta(milliseconds=300)
 
     def scenario(clock):
         store = Store()
@@ -313,10 +316,10 @@
         def report():
             while True:
                 for gateway in members:
-                    aggregator.take_from(gateway)
-                sleep(report_pause)
+                    aggregator.fetch_from(gateway)
+                sleep(report_interval)
                 for gateway in members:
-                    gateway.take_from(aggregator)
+                    gateway.fetch_from(aggregator)
 
         reports = spawn(report)
         sleep(timedelta(seconds=1))
@@ -324,8 +327,8 @@
         for tenths in range(1, 40, 3):
             store.confirm()
             sleep(BATCH_DELAY)
-            store.be_silent_for(timedelta(milliseconds=100))
-            delays.append(in_force_after(store, clock, *fleet))
+            store.be_unresponsive_for(timedelta(milliseconds=100))
+            delays.append(delay_of_change(store, clock, *fleet))
             sleep(timedelta(seconds=tenths / 10))
         reports.kill()
         for gateway in fleet:
