--- a/tests/gateway/test_metering.py
+++ b/tests/gateway/test_metering.py
@@ -1,4 +1,4 @@
-"""The usage report: one count for each window, whoever sends it."""
+"""The usage report: the same counts for each window, whichever gateway sends it."""
 
 import json
 
@@ -18,12 +18,12 @@
 
 
 class Store:
-    """One key, whose writes may lose their answers."""
+    """A store of one key, whose responses to writes may be lost."""
 
     def __init__(self):
         self.held = None
         self.revision = 0
-        self.loses_answers = False
+        self.loses_responses = False
 
     def get(self, key):
         return self.held
@@ -34,26 +34,26 @@
             return Swap(False, 0, self.held)
         self.revision += 1
         self.held = StoredValue(key, value, self.revision, 1)
-        if self.loses_answers:
+        if self.loses_responses:
             raise StoreAnswerLost("lost")
         return Swap(True, self.revision)
 
 
 class Platform:
-    """Takes usage reports, and tells which were sent."""
+    """Records the usage reports that were sent."""
 
     def __init__(self):
         self.reports = []
-        self.losing = False
+        self.loses_responses = False
 
     def report_usage(self, window, counts, number):
         self.reports.append((window, dict(counts), number))
-        if self.losing:
+        if self.loses_responses:
             raise DutyCallFailed("no answer")
 
 
 class World:
-    """Two gateways that may hold the duty, one after the other."""
+    """Two gateways that are leaders one after the other."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -62,7 +62,7 @@
         self.platform = Platform()
         self.leases = [Lease(3), Lease(0)]
         self.totals = [{"lab": 10}, {"lab": 7}]
-        self.told_until = 0.0
+        self.complete_since = 0.0
         self.reporters = [self.reporter(number) for number in (0, 1)]
 
     def reporter(self, number):
@@ -70,7 +70,7 @@
             self.leases[number],
             self.platform,
             DutyRecord(self.store, USAGE_RECORD, USAGE_FORM),
-            lambda window: UsageTotal(self.totals[number], self.told_until),
+            lambda window: UsageTotal(self.totals[number], self.complete_since),
             self.time,
             self.clock,
             WINDOW,
@@ -78,21 +78,21 @@
         )
 
 
-def test_a_window_is_reported_once_it_is_whole():
+def test_a_window_is_reported_once_it_is_complete():
     world = World()
     world.reporters[0].step()
     assert world.platform.reports == []
-    under_way = int(world.time.seconds // 5)
+    current = int(world.time.seconds // 5)
     world.clock.advance(7 * SECOND)
     for _ in range(10):
         world.reporters[0].step()
     windows = [window for window, _, _ in world.platform.reports]
     assert windows == sorted(set(windows))
-    assert windows[-1] == under_way
+    assert windows[-1] == current
     assert [counts for _, counts, _ in world.platform.reports][-1] == {"lab": 10}
 
 
-def test_what_is_sent_was_written_down_first():
+def test_counts_are_recorded_before_they_are_sent():
     world = World()
     world.clock.advance(7 * SECOND)
     world.reporters[0].step()
@@ -100,18 +100,18 @@
     assert json.loads(world.store.held.value) == {str(window): counts}
 
 
-def test_a_later_holder_sends_the_same_counts():
+def test_a_later_leader_sends_the_same_counts():
     """The platform would get two different counts for one window.
 
-    The first holder writes its counts down, sends them, and gets no answer; then
-    it loses the duty. The next one has heard of fewer requests.
+    The first leader records its counts, sends them, and gets no response; then it loses
+    the lease. The next leader knows of fewer requests.
     """
     world = World()
-    world.platform.losing = True
+    world.platform.loses_responses = True
     world.clock.advance(7 * SECOND)
     with pytest.raises(DutyCallFailed):
         world.reporters[0].step()
-    world.platform.losing = False
+    world.platform.loses_responses = False
     world.leases[0].number, world.leases[1].number = 0, 4
     world.reporters[1].step()
     first, second = world.platform.reports
@@ -119,20 +119,21 @@
     assert second[2] == 4
 
 
-def test_nothing_is_sent_if_the_write_has_no_answer():
-    """The same, where the write's answer is lost: it may have landed or not."""
+def test_nothing_is_sent_if_the_write_has_no_response():
+    """Without a response, it is unknown whether the write has succeeded."""
     world = World()
-    world.store.loses_answers = True
+    world.store.loses_responses = True
     world.clock.advance(7 * SECOND)
     with pytest.raises(StoreAnswerLost):
         world.reporters[0].step()
     assert world.platform.reports == []
 
 
-def test_a_holder_that_was_paused_does_not_overwrite_the_record():
-    """A gateway freezes between reading the record and writing it.
+def test_a_paused_leader_does_not_overwrite_the_record():
+    """The platform would get two different counts for one window.
 
-    Another one reports the window meanwhile; the frozen one wakes and goes on.
+    A leader is paused between reading the record and writing it. Another one reports
+    the window meanwhile, and the first one resumes.
     """
     world = World()
     world.clock.advance(7 * SECOND)
@@ -145,28 +146,28 @@
     assert len(world.platform.reports) == 1
 
 
-def test_a_holder_reports_what_ended_before_it_started():
-    """A window would be missed at each restart of the holder.
+def test_a_leader_reports_windows_that_ended_before_it_started():
+    """A window would be missed at each restart of the leader.
 
-    The holder restarts just after the end of a window, and the duty goes to a
-    gateway that has started a moment ago; the others have told it their counts.
+    The leader restarts just after the end of a window, and a gateway that has just
+    started becomes the leader; the others have reported their counts to it.
     """
     world = World()
     world.clock.advance(6 * SECOND)
     ended = int(world.time.seconds // 5) - 1
-    young = world.reporter(0)
-    young.step()
+    new_reporter = world.reporter(0)
+    new_reporter.step()
     assert world.platform.reports == []
     world.clock.advance(3 * SECOND)
     while ended not in [window for window, _, _ in world.platform.reports]:
-        young.step()
+        new_reporter.step()
     assert len(world.platform.reports) <= 3
 
 
-def test_windows_that_are_overdue_are_passed_over_at_once():
+def test_overdue_windows_are_skipped_at_once():
     """Windows would be lost that could still be reported in time.
 
-    A gateway gets the duty after a long outage, with many old windows behind.
+    A gateway becomes the leader after a long outage, with many overdue windows.
     """
     world = World()
     world.clock.advance(62 * SECOND)
@@ -176,11 +177,11 @@
     assert end + 10 >= world.time.seconds
 
 
-def test_a_window_is_reported_as_soon_as_all_have_told_their_counts():
-    """A window's usage would be lost that had ended well before all were killed.
+def test_a_window_is_reported_as_soon_as_all_have_reported_their_counts():
+    """The usage of a window would be lost that ended well before all were killed.
 
-    All gateways are killed two seconds after a window's end. All counts were with the
-    holder half a second after it.
+    All gateways are killed two seconds after a window's end. The leader had all counts
+    half a second after it.
     """
     world = World()
     world.clock.advance(11 * SECOND)
@@ -191,6 +192,6 @@
         world.clock.advance(SECOND / 4)
     world.reporters[0].step()
     before = len(world.platform.reports)
-    world.told_until = end + 0.4
+    world.complete_since = end + 0.4
     world.reporters[0].step()
     assert len(world.platform.reports) == before + 1 > reported
--- a/tests/gateway/test_quotas.py
+++ b/tests/gateway/test_quotas.py
@@ -1,4 +1,4 @@
-"""Customers' limits over several gateways."""
+"""Customers' rate limits over several gateways."""
 
 from datetime import timedelta
 from random import Random
@@ -14,7 +14,7 @@
 from tests.gateway.fleets import Fleet, group_of, member
 
 SECOND = timedelta(seconds=1)
-# Steps of 10 ms: when gateways are cut off, and when the demand moves to other ones.
+# Steps of 10 ms: when gateways are partitioned, and when demand moves to other ones.
 CUT, MOVED, END = 600, 700, 2000
 CUSTOMER = Customer("lab", frozenset(), 1000, 500, counts_tokens=True, plain_tokens=50)
 
@@ -47,7 +47,7 @@
     assert quotas.admit(Customer("x", frozenset()), tokens(10**9)) is None
 
 
-def test_a_refusal_tells_when_to_come_back():
+def test_a_refusal_says_when_to_retry():
     clock = ManualClock()
     quotas = Quotas(bounds(), lambda: 1, clock, rng=Random(5))
     assert quotas.admit(CUSTOMER, tokens(2000)) is None
@@ -57,28 +57,28 @@
     assert quotas.admit(CUSTOMER, tokens(10)) is None
 
 
-def test_what_did_not_run_is_given_back():
+def test_requests_that_did_not_run_are_refunded():
     quotas = Quotas(bounds(), lambda: 1, ManualClock(), rng=Random(5))
     quotas.admit(CUSTOMER, tokens(2000))
     quotas.restore(CUSTOMER, tokens(2000))
     assert quotas.admit(CUSTOMER, tokens(10)) is None
 
 
-def _spent(gateways: int, exchanging: bool, weights: list[float]) -> float:
-    """Return the tokens let in within 8 s at five times the limit."""
+def _admitted_tokens(gateways: int, exchanging: bool, weights: list[float]) -> float:
+    """Return the tokens admitted within 8 s at five times the limit."""
     clock = ManualClock()
     fleet = [
         Quotas(bounds(), lambda: gateways, clock, rng=Random(5))
         for _ in range(gateways)
     ]
     spent = 0.0
-    debts = [0.0] * gateways
+    backlogs = [0.0] * gateways
     for step in range(1600):
         clock.advance(timedelta(milliseconds=10))
         for number, quotas in enumerate(fleet):
-            debts[number] += 50 * weights[number]
-            while debts[number] >= 20:
-                debts[number] -= 20
+            backlogs[number] += 50 * weights[number]
+            while backlogs[number] >= 20:
+                backlogs[number] -= 20
                 if quotas.admit(CUSTOMER, tokens(20)) is None and step >= 800:
                     spent += 20
         if exchanging and step % 40 == 0:
@@ -86,30 +86,30 @@
     return spent
 
 
-def test_parts_add_up_to_the_limit():
+def test_shares_add_up_to_the_limit():
     """A customer would get a multiple of its limit through many gateways.
 
     Its requests arrive unevenly at nine gateways, at five times its limit.
     """
     weights = [0.4, 0.2, 0.1, 0.1, 0.1, 0.05, 0.05, 0.0, 0.0]
-    spent = _spent(9, True, weights)
+    spent = _admitted_tokens(9, True, weights)
     assert 0.9 * 8000 < spent < 1.1 * 8000 + 500
 
 
-def test_gateways_that_hear_nobody_stay_within_the_limit():
-    """A customer would get its limit once from each gateway that is cut off.
+def test_gateways_without_contact_stay_within_the_limit():
+    """A customer would get its limit once from each partitioned gateway.
 
-    No reports pass between the gateways; each has an even part.
+    No reports pass between the gateways; each uses an equal share.
     """
-    spent = _spent(9, False, [1 / 9] * 9)
+    spent = _admitted_tokens(9, False, [1 / 9] * 9)
     assert spent < 1.1 * 8000 + 500
 
 
 def test_a_customer_below_its_limit_is_served_wherever_it_comes():
-    """A customer would be refused though it asks for an eighth of its limit.
+    """A customer would be refused at an eighth of its limit.
 
-    It asks for a few things at once, and then nothing for a while. Its requests
-    reached one gateway for a while and now come to another one.
+    It sends a few requests at once, and then none for a while. All of them reach one
+    gateway at first, and later another one.
     """
     clock = ManualClock()
     fleet = [Quotas(bounds(), lambda: 4, clock, rng=Random(5)) for _ in range(4)]
@@ -134,12 +134,12 @@
 )
 @example(cut={0, 1, 2}, hot=[0.1] * 6, later=[1, 1, 1, 0, 0, 0])
 @example(cut={0, 1, 2}, hot=[0.1] * 6, later=[1] * 6)
-def test_limits_hold_through_cuts(cut, hot, later):
-    """A customer would get several times its limit through gateways that are cut off.
+def test_limits_hold_in_partitions(cut, hot, later):
+    """A customer would get several times its limit through partitioned gateways.
 
-    Some gateways lose touch with all others, which is noticed some time later.
-    Meanwhile the customer's demand moves, at many times its limit; each cut-off
-    gateway sees only its own part of it, and the others don't see that part.
+    Some gateways lose contact with all others, which is detected some time later.
+    Meanwhile the customer's demand, at many times its limit, moves to other gateways.
+    A partitioned gateway knows only its own demand, which the others do not know.
     """
     clock = ManualClock()
     fleet = [Quotas(bounds(), lambda: 6, clock, rng=Random(5)) for _ in range(6)]
@@ -161,15 +161,15 @@
 
 
 def _exchange(fleet, clock, cut=frozenset()):
-    """Tell each gateway the sums of the others, one group a gateway.
+    """Give each gateway the totals of the others, one group per gateway.
 
-    :param cut: numbers of gateways that nothing reaches; what they told last is told
-        on with its age.
+    :param cut: numbers of the partitioned gateways; the others still get their last
+        totals, with the age.
     """
     for number, quotas in enumerate(fleet):
         if number not in cut:
             state = member(str(number), zone=str(number), limit_usage=quotas.report())
-            quotas.told = (group_of(state), clock.elapsed())
+            quotas.last_totals = (group_of(state), clock.elapsed())
     for number, quotas in enumerate(fleet):
         if number in cut:
             continue
@@ -178,16 +178,16 @@
                 HeardGroup(state, (clock.elapsed() - at).total_seconds())
                 for other, peer in enumerate(fleet)
                 if other != number
-                for state, at in [peer.told]
+                for state, at in [peer.last_totals]
             ]
         )
 
 
 def _refused_share(sizes, weights, rate, burst):
-    """Return the part of a customer's requests that eight gateways refuse.
+    """Return the fraction of a customer's requests that eight gateways refuse.
 
-    :param sizes: tokens of each request; one comes every 100 ms.
-    :param weights: part of the requests that each gateway gets.
+    :param sizes: tokens of each request; one arrives every 100 ms.
+    :param weights: fraction of the requests that each gateway gets.
     """
     clock = ManualClock()
     rng = Random(7)
@@ -204,57 +204,57 @@
     return refused / len(sizes)
 
 
-def test_large_prompts_within_the_limit_are_let_in_at_any_gateway():
-    """A customer at half of its limit was refused 6.5 of 100 requests.
+def test_large_prompts_within_the_limit_are_admitted_at_any_gateway():
+    """A customer at half of its limit had 6.5 of 100 requests refused.
 
-    Pattern: few requests, sizes with a heavy tail (most of 1,000 to 1,600 tokens, one
-    in twelve of 50,000), spread unevenly over eight gateways. With a fixed part of the
-    limit, the gateway that took a large prompt refused all that came in the seconds
-    after. Some 54,000 tokens a second are asked of 109,000.
+    Workload: few requests with heavy-tailed sizes (most of 1,000 to 1,600 tokens, one
+    in twelve of 50,000), spread unevenly over eight gateways. With a fixed share of
+    the limit, a gateway that admitted a large prompt refused all requests of the next
+    seconds. The demand is about 54,000 tokens a second of 109,000.
     """
     sizes = [50_000 if step % 12 == 7 else 1000 + step % 2000 for step in range(600)]
     weights = [0.3, 0.2, 0.15, 0.1, 0.1, 0.1, 0.05, 0.0]
     assert _refused_share(sizes, weights, rate=109_000, burst=110_000) == 0.0
 
 
-def test_a_customer_far_over_its_limit_is_held_to_it_by_all_gateways_together():
+def test_all_gateways_together_enforce_the_limit_of_a_customer_far_over_it():
     """A customer at three times its limit would slow down all the others.
 
-    Pattern: the same sizes and demand, of which 18,000 tokens a second are allowed.
+    Workload: the same sizes and demand, with a limit of 18,000 tokens a second.
     """
     sizes = [50_000 if step % 12 == 7 else 1000 + step % 2000 for step in range(600)]
     share = _refused_share(sizes, [1 / 8] * 8, rate=18_000, burst=20_000)
     assert share > 0.4
 
 
-def test_a_gateway_that_starts_takes_over_what_its_peers_count_as_used():
+def test_a_starting_gateway_adopts_the_used_amount_of_its_peers():
     """A customer that has just used up its limit would get a second one.
 
-    It spends its limit through one gateway, and then reaches one that has just
-    started and has heard of that gateway once. What it lets in is no more than half of
-    a burst, and both together no more than that beyond the limit.
+    It uses up its limit at one gateway, and then reaches one that has just started and
+    received one report. That one admits at most half a burst, and both together exceed
+    the limit by no more than that.
     """
     for seed in range(20):
         clock = ManualClock()
         old = Quotas(bounds(), lambda: 2, clock, rng=Random(seed))
-        let_in = 0
+        admitted = 0
         while old.admit(CUSTOMER, tokens(100)) is None:
-            let_in += 100
+            admitted += 100
         new = Quotas(bounds(), lambda: 2, clock, rng=Random(seed + 100))
         new.receive_groups(
             [HeardGroup(group_of(member("old", limit_usage=old.report())))]
         )
-        let_in_anew = 0
+        admitted_by_new = 0
         while new.admit(CUSTOMER, tokens(100)) is None:
-            let_in_anew += 100
-        assert let_in_anew <= CUSTOMER.burst / 2
-        let_in += let_in_anew
+            admitted_by_new += 100
+        assert admitted_by_new <= CUSTOMER.burst / 2
+        admitted += admitted_by_new
         depth = CUSTOMER.burst + DEPTH_SLACK_FRACTION * bounds().quota_slack
-        assert let_in <= depth + CUSTOMER.burst / 2
+        assert admitted <= depth + CUSTOMER.burst / 2
 
 
-def test_aggregators_that_are_gone_for_good_are_forgotten():
-    """A gateway would grow with each aggregator that was ever replaced."""
+def test_expired_aggregators_are_removed():
+    """A gateway's memory would grow with each aggregator that was ever replaced."""
     clock = ManualClock()
     quotas = Quotas(bounds(), lambda: 2, clock, rng=Random(5))
     for number in range(50):
@@ -267,11 +267,11 @@
     assert len(quotas._limits["lab"]._groups) < 10
 
 
-def _rate_let_in(gateways_by_zone, demand, seconds=24.0):
-    """Return what a fleet lets in a second of one customer, and the part refused.
+def _admitted_rate(gateways_by_zone, demand, seconds=24.0):
+    """Return the rate a fleet admits of one customer, and the fraction refused.
 
     Gateways report to their zone's aggregator as in the program; each of them gets
-    the customer's requests now and then.
+    some of the customer's requests.
     """
     fleet = Fleet(gateways_by_zone)
     customer = Customer("lab", frozenset(), 29_000, 29_000, counts_tokens=True)
@@ -287,46 +287,46 @@
             rng,
         )
         node.limits = quotas[name]
-    let_in = refused = asked = 0
+    admitted = refused = asked = 0
     fleet.play(3)
-    debt = 0.0
+    backlog = 0.0
     while fleet.clock.elapsed().total_seconds() < seconds:
         fleet.play(0.1)
-        debt += demand * 0.1
-        while debt > 0:
+        backlog += demand * 0.1
+        while backlog > 0:
             size = rng.choice([900, 1800, 2400, 9000, 30_000])
-            debt -= size
+            backlog -= size
             name = rng.choice(list(quotas))
             pause = quotas[name].admit(customer, tokens(size))
             if fleet.clock.elapsed().total_seconds() > 8:
                 asked += 1
                 refused += pause is not None
-                let_in += size if pause is None else 0
-    return let_in / (seconds - 8), refused / asked
+                admitted += size if pause is None else 0
+    return admitted / (seconds - 8), refused / asked
 
 
-def test_sixty_gateways_keep_one_limit_together():
+def test_sixty_gateways_share_one_limit():
     """A customer within its limit would be refused by gateways it seldom reaches.
 
-    Pattern: 60 gateways in three zones; each sees a sixtieth of a customer's prompts
+    Workload: 60 gateways in three zones; each gets a sixtieth of a customer's prompts
     of 900 to 30,000 tokens, about three a second, at four fifths of the limit.
     """
-    _, refused = _rate_let_in({"a": 20, "b": 20, "c": 20}, 0.8 * 29_000)
+    _, refused = _admitted_rate({"a": 20, "b": 20, "c": 20}, 0.8 * 29_000)
     assert refused == 0.0
 
 
-def test_sixty_gateways_hold_a_customer_that_asks_seven_times_its_limit():
-    """It would slow all others down."""
-    rate, _ = _rate_let_in({"a": 20, "b": 20, "c": 20}, 7.5 * 29_000)
+def test_sixty_gateways_limit_a_customer_at_seven_times_its_limit():
+    """It would slow down all others."""
+    rate, _ = _admitted_rate({"a": 20, "b": 20, "c": 20}, 7.5 * 29_000)
     window, allowed = 8 * rate, (8 * 29_000 + 29_000) * 1.1 + 110_000
     assert 0.8 * 8 * 29_000 < window < 0.9 * allowed
 
 
-def test_what_a_gateway_tells_of_its_part_is_believed():
-    """A report with a figure out of its bounds is refused whole, as nonsense.
+def test_reported_shares_are_within_their_bounds():
+    """A report with a value out of bounds is refused as a whole.
 
-    A customer comes to one gateway only, whose part of the limit is the whole of it:
-    rounding must not bring it past that.
+    A customer reaches only one gateway, whose share is the whole limit: rounding must
+    not make it larger than that.
     """
     clock = ManualClock()
     quotas = Quotas(bounds(), lambda: 1, clock, rng=Random(5))
@@ -340,9 +340,9 @@
 def test_a_limit_fills_up_where_a_customer_is_seldom_seen():
     """A customer at half of its limit would be refused for ten seconds after a restart.
 
-    Its first request meets a gateway that has heard none of the others, and takes the
-    limit to fill up by an even part only. The next comes eight seconds later; what the
-    others let in meanwhile was counted, what filled up was not.
+    Its first request reaches a gateway without reports from others, which refills the
+    limit at an equal share only. The next request comes eight seconds later: what the
+    others admitted meanwhile was counted, and the refill was not.
     """
     clock = ManualClock()
     quotas = Quotas(bounds(), lambda: 10, clock, rng=Random(5))
@@ -362,10 +362,10 @@
 
 
 def test_the_first_requests_after_a_restart_of_all_gateways():
-    """Callers who waited out a restart would be refused far within their limit.
+    """Callers that waited during a restart would be refused far below their limit.
 
-    All gateways were killed. The first that serves knows that there are five others and
-    has heard none. What a limit may lack from before is missing from its part, too.
+    All gateways were killed. The first to serve knows that there are five others and
+    has no report from them. Usage from before the restart also lowers its share.
     """
     clock = ManualClock()
     quotas = Quotas(bounds(110_000), lambda: 6, clock, rng=Random(5))
--- a/tests/gateway/virtual_time.py
+++ b/tests/gateway/virtual_time.py
@@ -1,4 +1,4 @@
-"""Tasks of the green scheduler in virtual time: minutes pass in milliseconds."""
+"""Green threads in virtual time: minutes pass in milliseconds."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -12,7 +12,7 @@
 
 
 class VirtualHub(BaseHub):
-    """Hub without sockets that goes on to the next timer at once."""
+    """Hub without sockets that advances to the next timer at once."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -27,7 +27,7 @@
 
 
 class VirtualClock:
-    """Clock of the virtual hub that runs in this thread."""
+    """Clock of this thread's virtual hub."""
 
     def now(self) -> datetime:
         return datetime(2026, 1, 1, tzinfo=UTC) + self.elapsed()
@@ -37,9 +37,10 @@
 
 
 def run_in_virtual_time(scenario: Callable[[VirtualClock], Result]) -> Result:
-    """Return what a scenario returns, run with all tasks that it starts.
+    """Run a scenario with all tasks that it starts, and return its result.
 
-    Hubs belong to threads, so other tests keep theirs.
+    Hubs belong to threads, so it runs in a thread of its own and other tests keep their
+    hub.
     """
 
     def run() -> Result:
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -1,4 +1,4 @@
-"""A gateway's serving path over real sockets, with scripted endpoints."""
+"""A gateway's request path over real sockets, with scripted endpoints."""
 
 import json
 import socket
@@ -45,7 +45,7 @@
 
 
 def plain(body: bytes = b"done", status: str = "200 OK", extra: str = "") -> Script:
-    """Return a script that answers each request whole."""
+    """Return a script that responds to each request with a complete body."""
 
     def script(sock: socket.socket, request: bytes) -> None:
         head = (
@@ -63,12 +63,12 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Return a part of a chunked body."""
+    """Return one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def stream_head(request: bytes) -> bytes:
-    """Return the head of a stream's answer."""
+    """Return the response headers of a stream."""
     return (
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         f"Request-Id: {header(request, 'request-id')}\r\n"
@@ -77,9 +77,9 @@
 
 
 class ScriptedEndpoint:
-    """An endpoint that answers each request by a script, in turn.
+    """An endpoint that handles each request by the next script.
 
-    :param scripts: what is done with each request; the last goes on.
+    :param scripts: handlers for successive requests; the last one is repeated.
     """
 
     def __init__(self, *scripts: Script) -> None:
@@ -103,11 +103,11 @@
 
 
 class CrashingEndpoint:
-    """An endpoint that ends as it runs a request, and takes no connections since.
+    """An endpoint that crashes during a request, and then refuses connections.
 
-    :param crashes: tells at each request whether to end; it is answered otherwise.
-    :param events: events that each run hands out before, counted on from the last one
-        that the caller has.
+    :param crashes: returns for each request whether to crash; else it gets a response.
+    :param events: events that each run sends before, numbered on from the last one that
+        the caller has.
     """
 
     def __init__(
@@ -148,10 +148,10 @@
 
 
 class DarkEndpoint:
-    """An endpoint whose instance loses power as it has read its first request.
+    """An endpoint whose instance loses power after it has read its first request.
 
-    Its connections stay open and silent, and new ones get no answer: the queue of the
-    listening socket is full.
+    Its connections stay open without data, and new ones are not accepted, since the
+    backlog of the listening socket is full.
     """
 
     def __init__(self) -> None:
@@ -178,7 +178,7 @@
 
 
 class World:
-    """The serving path of one gateway.
+    """The request path of one gateway.
 
     :param last_end: elapsed time by which new requests must end.
     :param changed: fields of the configuration.
@@ -258,7 +258,7 @@
         endpoint: ScriptedEndpoint | CrashingEndpoint,
         version: str = "",
     ) -> None:
-        """List an endpoint."""
+        """Register an endpoint."""
         self.directory.put(
             Endpoint(
                 name,
@@ -272,11 +272,11 @@
         )
 
     def caller(self) -> RawCaller:
-        """Return a new connection of a caller."""
+        """Return a new caller connection."""
         return RawCaller(self.address)
 
     def ask(self, data: bytes) -> bytes:
-        """Return the answer to one request that ends its connection."""
+        """Return the response to one request that closes its connection."""
         caller = self.caller()
         caller.send(data)
         return caller.read()
@@ -285,7 +285,7 @@
 def request(
     path: str, request_id: str = "r-1", *, method: str = "POST", **headers: str
 ) -> bytes:
-    """Return a raw request of the customer lab-a that ends its connection."""
+    """Return a raw request of the customer lab-a that closes its connection."""
     lines = [
         f"{method} {path} HTTP/1.1",
         "Host: labs.example",
