--- a/src/sassafrasdale/gateway/aggregating.py
+++ b/src/sassafrasdale/gateway/aggregating.py
@@ -79,7 +79,7 @@
         self._peer_groups: dict[str, _PeerGroup] = {}
         # Known aggregators, and when each was last confirmed to be one.
         self._aggregators: dict[str, timedelta] = {}
-        self._under_way: set[str] = set()
+        self._exchanging: set[str] = set()
         self._last_search_at: dict[str, timedelta] = {}
         self._contacted_at: dict[str, timedelta] = {}
         self._gateway_count = 1
@@ -136,7 +136,7 @@
         return [
             spawn(self._exchange, contact)
             for contact in self._exchange_targets()
-            if contact.name not in self._under_way
+            if contact.name not in self._exchanging
             and (include_recent or self._is_due(contact.name))
         ]
 
@@ -160,7 +160,7 @@
             self._contacted_at[contact.name] = now
         return due[:MAX_CONTACTED_AT_ONCE]
 
-    def answer_report(self, report: Report) -> ReportReply:
+    def handle_report(self, report: Report) -> ReportReply:
         """Record a member's report, and return the state of the other gateways."""
         state = report.state
         name = state.contact.name
@@ -191,7 +191,7 @@
             strikes=strikes.news_for(name),
         )
 
-    def answer_update(
+    def handle_update(
         self, update: GroupUpdate, reports_to: str
     ) -> GroupUpdate | Redirect:
         """Apply another aggregator's update, and return this one's.
@@ -211,13 +211,13 @@
         :param concise: whether to omit the counts that only aggregators need.
         """
         now = self._clock.elapsed()
-        own = HeardGroup(self._sums(without=name, concise=concise))
+        own = HeardGroup(self._totals(without=name, concise=concise))
         others = [
             HeardGroup(other.state, (now - other.received_at).total_seconds())
             for other in self._peer_groups.values()
         ]
         if concise:
-            others = [other.without_trial_counts() for other in others]
+            others = [other.without_canary_counts() for other in others]
         return (own, *others)
 
     def usage(self, window: int) -> UsageTotal:
@@ -245,7 +245,7 @@
             if self._roster.get(name) is None:
                 del self._peer_groups[name]
 
-    def _sums(self, without: str = "", *, concise: bool = False) -> GroupState:
+    def _totals(self, without: str = "", *, concise: bool = False) -> GroupState:
         own = self._roster.own
         return self._group.sums(
             own,
@@ -285,8 +285,8 @@
             if now - self._last_search_at.get(zone, -SEARCH_INTERVAL) < SEARCH_INTERVAL:
                 continue
             self._last_search_at[zone] = now
-            if (first := self._roster.aggregator_candidate(zone)) is not None:
-                found.append(first)
+            if (candidate := self._roster.aggregator_candidate(zone)) is not None:
+                found.append(candidate)
         return found
 
     def _is_due(self, name: str) -> bool:
@@ -298,30 +298,30 @@
         )
 
     def _exchange(self, contact: Contact) -> None:
-        self._under_way.add(contact.name)
+        self._exchanging.add(contact.name)
         try:
             update = self._update_for(contact)
-            answer = self._calls.send(contact, NEWS_TARGET, update, GROUP_UPDATE)
-            match answer:
+            response = self._calls.send(contact, NEWS_TARGET, update, GROUP_UPDATE)
+            match response:
                 case GroupUpdate():
-                    self._apply_update(answer)
+                    self._apply_update(response)
                 case Redirect():
-                    self._follow_redirect(contact, answer.aggregator)
+                    self._follow_redirect(contact, response.aggregator)
                 case _:
                     self._aggregators.pop(contact.name, None)
         finally:
-            self._under_way.discard(contact.name)
+            self._exchanging.discard(contact.name)
 
-    def _follow_redirect(self, asked: Contact, aggregator: Contact) -> None:
+    def _follow_redirect(self, redirecting: Contact, aggregator: Contact) -> None:
         """Replace a gateway by the aggregator that its redirect names."""
-        self._aggregators.pop(asked.name, None)
-        self._peer_groups.pop(asked.name, None)
+        self._aggregators.pop(redirecting.name, None)
+        self._peer_groups.pop(redirecting.name, None)
         if aggregator.name != self._roster.own.name:
             self._roster.merge([aggregator])
             self._aggregators[aggregator.name] = self._clock.elapsed()
 
     def _update_for(self, receiver: Contact) -> GroupUpdate:
-        sums = self._sums()
+        totals = self._totals()
         other = self._peer_groups.get(receiver.name)
         rows = self._usage_rows_for(other)
         same_zone = receiver.zone == self._roster.own.zone
@@ -329,10 +329,10 @@
             sender=self._roster.own,
             time=self._context.time.reading(),
             revisions=self._context.local_state.revisions(),
-            group=sums,
+            group=totals,
             aggregators=tuple(self._other_aggregators(receiver.name)),
             usage=rows or (),
-            usage_complete_since=None if rows is None else sums.complete_since,
+            usage_complete_since=None if rows is None else totals.complete_since,
             usage_version=self._context.ledger.version,
             usage_received=0 if other is None else other.usage_received,
             members=tuple(self._group.in_touch) if same_zone else (),
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -147,13 +147,13 @@
                 members, without, len(missing), 1 / gateway_count
             ),
             engine_time=self._engine_time(members.values(), now),
-            leader=_holder(in_touch),
+            leader=_leader(in_touch),
             oldest_incarnation=min(starts, default=0),
             complete_since=_complete_since(in_touch),
             follows_store=any(member.state.follows_store for member in in_touch),
             prefill_times=_prefill_times(in_touch),
             counting_s=(now - self._counting_since).total_seconds(),
-            trials=_trials(members.values(), concise=concise),
+            trials=_canary_results(members.values(), concise=concise),
         )
 
     def _limit_usage(
@@ -165,7 +165,7 @@
     ) -> dict[str, GroupLimitUsage]:
         now = self._clock.elapsed()
         excluded = self._members.get(without)
-        sums = {}
+        totals = {}
         for customer in self._customers():
             demand = used = share = reserved = 0.0
             for member in members.values():
@@ -180,8 +180,8 @@
             if excluded is not None:
                 spent -= excluded.counted[customer]
             reserved += equal_share * missing
-            sums[customer] = GroupLimitUsage(demand, spent, used, share, reserved)
-        return sums
+            totals[customer] = GroupLimitUsage(demand, spent, used, share, reserved)
+        return totals
 
     def _customers(self) -> set[str]:
         return set().union(
@@ -220,14 +220,16 @@
     }
 
 
-def _trials(members: Iterable[_Member], *, concise: bool) -> tuple[TrialNews, ...]:
+def _canary_results(
+    members: Iterable[_Member], *, concise: bool
+) -> tuple[TrialNews, ...]:
     reported = tuple(news for member in members for news in member.state.trials)
     if not reported:
         return ()
     return summed(without_rows(reported) if concise else reported)
 
 
-def _holder(in_touch: Iterable[_Member]) -> DutyClaim | None:
+def _leader(in_touch: Iterable[_Member]) -> DutyClaim | None:
     claims = [member.state.duty for member in in_touch if member.state.duty is not None]
     return max(claims, key=lambda claim: claim.fencing_number, default=None)
 
--- a/src/sassafrasdale/gateway/parts.py
+++ b/src/sassafrasdale/gateway/parts.py
@@ -176,7 +176,7 @@
             settings.bounds,
             self.peering.count,
             clock,
-            self.peering.counted_spent,
+            self.peering.counted_usage,
             self.peering.propagation_time,
             self._rng,
         )
--- a/src/sassafrasdale/gateway/peer_calls.py
+++ b/src/sassafrasdale/gateway/peer_calls.py
@@ -134,13 +134,13 @@
         """
         request = Request("POST", target, body=encode(message))
         try:
-            answer = self._call(contact, request)
-            if answer.status == 409:
-                return REDIRECT.decode(answer.body)
-            if answer.status != 200:
-                self._roster.record_failure(contact, f"status {answer.status}")
+            response = self._call(contact, request)
+            if response.status == 409:
+                return REDIRECT.decode(response.body)
+            if response.status != 200:
+                self._roster.record_failure(contact, f"status {response.status}")
                 return None
-            return decoder.decode(answer.body)
+            return decoder.decode(response.body)
         except (HttpError, MessageMalformed) as error:
             self._roster.record_failure(contact, str(error))
             return None
@@ -159,10 +159,10 @@
         """Return the endpoint assigned by a dispatcher; None if the call failed."""
         request = Request("POST", ASK_TARGET, body=encode(ask))
         try:
-            answer = self._client(contact, self._ask_clients, ASK_TIMEOUT).call(
+            response = self._client(contact, self._ask_clients, ASK_TIMEOUT).call(
                 request, ASK_TIMEOUT
             )
-            return ASSIGNED.decode(answer.body) if answer.status == 200 else None
+            return ASSIGNED.decode(response.body) if response.status == 200 else None
         except (HttpError, MessageMalformed) as error:
             log.debug("assignment request failed", peer=contact.name, why=str(error))
             return None
@@ -187,8 +187,8 @@
         self, contact: Contact, target: str, decoder: Decoder[Decoded]
     ) -> Decoded | None:
         try:
-            answer = self._call(contact, Request("GET", target))
-            return decoder.decode(answer.body) if answer.status == 200 else None
+            response = self._call(contact, Request("GET", target))
+            return decoder.decode(response.body) if response.status == 200 else None
         except (HttpError, MessageMalformed) as error:
             log.info("call to peer failed", peer=contact.name, why=str(error))
             return None
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -183,7 +183,7 @@
         """Time since they were received."""
         return timedelta(seconds=self.age_s)
 
-    def without_trial_counts(self) -> "HeardGroup":
+    def without_canary_counts(self) -> "HeardGroup":
         """Return a copy without the canary counts, which only aggregators need."""
         if not self.state.trials:
             return self
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -218,17 +218,17 @@
     def _zone_watchers(self) -> list[str]:
         """Return the gateways of this zone that watch the store, in order."""
         own = self._roster.own
-        powers = {
+        cpu_shares = {
             contact.name: contact.power
             for contact in self._roster.in_zone(own.zone)
             if not self._roster.is_avoided(contact.name)
         }
-        powers[own.name] = own.power
-        return watchers(own.zone, powers, self._zones)
+        cpu_shares[own.name] = own.power
+        return watchers(own.zone, cpu_shares, self._zones)
 
-    def counted_spent(self, customer: str) -> float:
+    def counted_usage(self, customer: str) -> float:
         """Return how much of this gateway's limit usage an aggregator has counted."""
-        return self._reporter.counted_spent(customer)
+        return self._reporter.counted_usage(customer)
 
     def usage(self, window: int) -> UsageTotal:
         """Return the known counts of a window for all gateways.
@@ -273,7 +273,7 @@
                 return
 
     def leave(self) -> None:
-        """Mark this gateway as shutting down; another one aggregates from now on."""
+        """Mark this gateway as shutting down, so that another one aggregates."""
         self._roster.leave()
 
     def tell_all(self) -> None:
@@ -298,16 +298,16 @@
     def answer(self, connection: ServerConnection, request: Request) -> None:
         """Respond to another gateway's request."""
         try:
-            answer = self._answer(request)
+            response = self._handle(request)
         except (MessageMalformed, ValueError) as error:
             log.warning("malformed message", target=request.target, why=str(error))
-            answer = Answer(400)
-        connection.answer(answer.status, answer.headers, answer.body)
+            response = Answer(400)
+        connection.answer(response.status, response.headers, response.body)
 
-    def _answer(self, request: Request) -> Answer:
+    def _handle(self, request: Request) -> Answer:
         target = request.target
         if target == REPORT_TARGET:
-            reply = self._aggregator.answer_report(REPORT.decode(request.body))
+            reply = self._aggregator.handle_report(REPORT.decode(request.body))
             return Answer(200, body=encode(reply))
         if target == ASK_TARGET:
             assigned = self._context.listener.assign(ASK.decode(request.body))
@@ -318,7 +318,7 @@
             self._context.listener.receive_attempt_report(NOTES.decode(request.body))
             return Answer(200)
         if target == NEWS_TARGET:
-            return self._answer_update(request)
+            return self._handle_update(request)
         if target.startswith(USAGE_TARGET):
             total = self._aggregator.usage(int(target.removeprefix(USAGE_TARGET)))
             return Answer(200, body=encode(total))
@@ -328,10 +328,12 @@
             return Answer(404) if values is None else Answer(200, body=encode(values))
         return Answer(404)
 
-    def _answer_update(self, request: Request) -> Answer:
+    def _handle_update(self, request: Request) -> Answer:
         update = GROUP_UPDATE.decode(request.body)
-        answer = self._aggregator.answer_update(update, self._reporter.aggregator)
-        return Answer(409 if isinstance(answer, Redirect) else 200, body=encode(answer))
+        response = self._aggregator.handle_update(update, self._reporter.aggregator)
+        return Answer(
+            409 if isinstance(response, Redirect) else 200, body=encode(response)
+        )
 
     def _aggregate(self) -> None:
         if not self.is_aggregator:
--- a/src/sassafrasdale/gateway/quotas.py
+++ b/src/sassafrasdale/gateway/quotas.py
@@ -41,7 +41,7 @@
 # first half second were refused, and retried late.
 INITIAL_SLACK_FRACTION = 0.25
 # Fraction of the slack that all gateways may admit before they know of each other.
-UNSEEN_SLACK_FRACTION = 0.15
+UNREPORTED_SLACK_FRACTION = 0.15
 # Fraction of the slack that a rise of demand may use until all gateways know of it.
 RISE_SLACK_FRACTION = 0.5
 
@@ -113,12 +113,12 @@
         left = limit.left(self._depth(customer), available.fraction, now)
         share = self._share(customer, available, now)
         if not self._has_room(customer, limit, left, share, available):
-            rise = self._unseen_demand(customer, limit, share)
+            rise = self._unreported_demand(customer, limit, share)
             fraction = passing_part(left, rate, available.demand + rise)
             propagation_time = self._propagation_time()
             refill = share * rate * propagation_time.total_seconds()
-            unseen = limit.unseen(now, propagation_time)
-            if left <= 0 and not fits_unseen(amount, unseen, refill):
+            unreported = limit.unseen(now, propagation_time)
+            if left <= 0 and not fits_unseen(amount, unreported, refill):
                 fraction = 0.0
             if not self._thinning(customer.name).lets_in(fraction):
                 return time_to_return(left, rate, available.demand)
@@ -134,11 +134,11 @@
         available: _AvailableLimit,
     ) -> bool:
         propagation_time = self._propagation_time()
-        covered = self._slack(customer) * UNSEEN_SLACK_FRACTION * share
-        unseen = limit.unseen(self._clock.elapsed(), propagation_time) - covered
-        return has_room(left, available.demand, share, unseen, propagation_time)
+        covered = self._slack(customer) * UNREPORTED_SLACK_FRACTION * share
+        unreported = limit.unseen(self._clock.elapsed(), propagation_time) - covered
+        return has_room(left, available.demand, share, unreported, propagation_time)
 
-    def _unseen_demand(
+    def _unreported_demand(
         self, customer: Customer, limit: SharedLimit, share: float
     ) -> float:
         now = self._clock.elapsed()
--- a/src/sassafrasdale/gateway/reporting.py
+++ b/src/sassafrasdale/gateway/reporting.py
@@ -41,7 +41,7 @@
         self._aggregator_incarnation = 0
         self._aggregator_digest = 0
         self._reported_rows: dict[int, dict[str, int]] = {}
-        self._counted_spent: dict[str, float] = {}
+        self._counted_usage: dict[str, float] = {}
         self._interval: timedelta | None = None
 
     @property
@@ -59,14 +59,14 @@
         former, self._aggregator = self._aggregator, ""
         return former
 
-    def counted_spent(self, customer: str) -> float:
+    def counted_usage(self, customer: str) -> float:
         """Return how much of this gateway's limit usage an aggregator has counted."""
-        return self._counted_spent.get(customer, 0.0)
+        return self._counted_usage.get(customer, 0.0)
 
     def mark_counted(self, state: MemberState) -> None:
         """Record that a state was counted, by this or another aggregator."""
         for customer, usage in state.limit_usage.items():
-            self._counted_spent[customer] = usage.spent
+            self._counted_usage[customer] = usage.spent
 
     def report_to(self, contact: Contact) -> bool:
         """Report to an aggregator, and return whether it replied."""
--- a/src/sassafrasdale/gateway/roster.py
+++ b/src/sassafrasdale/gateway/roster.py
@@ -83,8 +83,8 @@
         if own.zone == zone and not own.leaving:
             known[own.name] = own
         now = self._clock.elapsed()
-        powers = {name: contact.power for name, contact in known.items()}
-        for name in ordered(zone, powers):
+        cpu_shares = {name: contact.power for name, contact in known.items()}
+        for name in ordered(zone, cpu_shares):
             if self._avoided_until.get(name, now) <= now:
                 return known[name]
         return None
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -150,7 +150,7 @@
         self.peering = Peering(context, len(fleet.zones), Random(name), calls)
 
     def _state(self, own: Contact) -> MemberState:
-        counted = self.peering.counted_spent("lab")
+        counted = self.peering.counted_usage("lab")
         limit = limit_usage(self.demand, self.spent, counted=counted, share=self.share)
         spent = {"lab": limit} if self.demand or self.spent else {}
         if self.limits is not None:
@@ -227,13 +227,13 @@
         if lost or receiver in self.paused:
             raise AnswerTimeout("no answer in time")
         self.calls.append((sender, receiver))
-        answer = self.nodes[receiver].peering._answer(request)
-        size = len(request.body) + len(answer.body)
+        response = self.nodes[receiver].peering._handle(request)
+        size = len(request.body) + len(response.body)
         self.bytes[sender] += size
         self.bytes[receiver] += size
         if self.nodes[sender].zone != self.nodes[receiver].zone:
             self.cross_zone_bytes += size
-        return answer
+        return response
 
     def play(self, seconds: float) -> None:
         """Advance the clock, and run the gateways' rounds."""
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -188,7 +188,7 @@
     bodies = [b"", b"\x00", encode(Report(state, 0))]
     for body in bodies:
         with pytest.raises(ValueError, match="."):
-            node.peering._answer(Request("POST", REPORT_TARGET, body=body))
+            node.peering._handle(Request("POST", REPORT_TARGET, body=body))
     assert node.known_load("i-1") == 90
 
 
@@ -207,7 +207,7 @@
     fleet.start(name, "a", incarnation=2)
     fleet.play(2)
     node = fleet.nodes[first]
-    node.peering._answer(Request("POST", REPORT_TARGET, body=encode(old)))
+    node.peering._handle(Request("POST", REPORT_TARGET, body=encode(old)))
     fleet.play(0.3)
     assert node.roster.get(name).incarnation == 2
     assert node.known_load("i-1") == 0
@@ -243,10 +243,10 @@
     deliver = fleet.deliver
 
     def lose_response(sender, receiver, request):
-        answer = deliver(sender, receiver, request)
+        response = deliver(sender, receiver, request)
         if sender in (asking, "c-0", "c-1", "c-2") and receiver == asked:
             raise AnswerTimeout("no answer in time")
-        return answer
+        return response
 
     fleet.deliver = lose_response
     fleet.nodes[asked].usage = {7: {"lab": 5}}
--- a/tests/gateway/test_quotas.py
+++ b/tests/gateway/test_quotas.py
@@ -282,7 +282,7 @@
             bounds(110_000),
             node.peering.count,
             fleet.clock,
-            node.peering.counted_spent,
+            node.peering.counted_usage,
             node.peering.propagation_time,
             rng,
         )
