--- a/src/sassafrasdale/gateway/following.py
+++ b/src/sassafrasdale/gateway/following.py
@@ -248,7 +248,8 @@
         if revision < self._revision:
             return
         known_revisions = revisions or {}
-        # A key that was rewritten with the same value counts as changed.
+        # A key that was rewritten with the same value counts as changed, since the new
+        # write may have a meaning of its own.
         written = {
             key: value
             for key, value in values.items()
--- a/src/sassafrasdale/gateway/metering.py
+++ b/src/sassafrasdale/gateway/metering.py
@@ -42,7 +42,8 @@
     :param lease: the leader's lease.
     :param client: client for the platform's duty calls.
     :param record: stored counts, written before they are sent.
-    :param total: returns all gateways' counts of a window.
+    :param total: returns all gateways' counts of a window, and up to when these are
+        complete.
     :param window: length of a window.
     :param delay: time after a window within which its report is due.
     """
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -62,8 +62,8 @@
 def test_a_killed_aggregator_is_replaced(fleet):
     """Without an aggregator, prompts would go to engines that are full.
 
-    The aggregator of a zone is killed for good. The zone's other gateways choose the
-    next one, and the other zones receive its updates.
+    The aggregator of a zone is killed and does not restart. The zone's other gateways
+    choose the next one, and the other zones receive its updates.
     """
     [first] = fleet.aggregators("a")
     fleet.kill(first)
