--- a/src/sassafrasdale/gateway/metering.py
+++ b/src/sassafrasdale/gateway/metering.py
@@ -82,7 +82,7 @@
             except LeaseNotHeld:
                 continue
             except StoreError as error:
-                log.warning("writing usage record failed", why=str(error))
+                log.warning("usage not recorded", why=str(error))
             except DutyCallFailed as error:
                 log.warning("usage report not confirmed", why=error.message)
             except DutyCallRefused as error:
