--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of gateways that tell each other of themselves, without a network."""
+"""Fleets of gateways that exchange reports in process, without a network."""
 
 from collections import Counter, deque
 from datetime import timedelta
@@ -7,14 +7,14 @@
 from sassafrasdale.clock import Clock, ManualClock
 from sassafrasdale.decisions.quarantine import StrikeLedger
 from sassafrasdale.gateway.groups import Group
-from sassafrasdale.gateway.peer_calls import OwnState, PeerCalls, Shared
+from sassafrasdale.gateway.peer_calls import LocalState, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
     Contact,
     DutyClaim,
     EndpointLoad,
     GroupState,
+    LimitUsage,
     MemberState,
-    Spending,
 )
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.quotas import Quotas
@@ -40,59 +40,61 @@
 ) -> MemberState:
     """Return a gateway's state.
 
-    :param at: true time at which it was made.
+    :param at: cluster time of the state.
     """
     reading = ClockReading(at, at, 1.0)
     return MemberState(contact(name, zone, incarnation), reading, **fields)
 
 
-def spending(
+def limit_usage(
     demand: float = 0.0,
     spent: float = 0.0,
     *,
-    told: float = 0.0,
+    counted: float = 0.0,
     used: float = 0.0,
     share: float = 0.0,
-) -> Spending:
-    """Return what a gateway says of a customer."""
-    return Spending(demand, spent, told, used, share)
+) -> LimitUsage:
+    """Return a gateway's usage of a customer's limit."""
+    return LimitUsage(demand, spent, counted, used, share)
 
 
 def group_of(*states: MemberState, clock: Clock | None = None) -> GroupState:
-    """Return the sums over some gateways, the first of which makes them."""
+    """Return the totals over some gateways, the first of which is the aggregator."""
     group = Group(WORK_WINDOW, clock or ManualClock())
     for state in states:
         group.take(state)
     return group.sums(states[0].contact)
 
 
-class Heard:
-    """What a gateway was told by others."""
+class RecordingListener:
+    """Listener that records what a gateway receives."""
 
     def __init__(self, node: "Node | None" = None) -> None:
         self._node = node
         self.groups = ()
         self.clocks: dict[str, ClockReading] = {}
         self.revisions: dict[str, dict[str, int]] = {}
-        self.sends: dict[str, tuple[int, ...]] = {}
+        self.open_attempts: dict[str, tuple[int, ...]] = {}
 
-    def hear_groups(self, groups) -> None:
+    def receive_groups(self, groups) -> None:
         self.groups = groups
         if self._node is not None and self._node.limits is not None:
-            self._node.limits.hear_groups(groups)
+            self._node.limits.receive_groups(groups)
 
-    def hear_clock(self, name: str, reading: ClockReading) -> None:
+    def receive_clock(self, name: str, reading: ClockReading) -> None:
         self.clocks[name] = reading
 
-    def hear_revisions(self, peer: str, revisions: dict[str, int]) -> None:
+    def receive_revisions(self, peer: str, revisions: dict[str, int]) -> None:
         self.revisions[peer] = revisions
 
-    def hear_sends(self, member: Contact, open_sends: tuple[int, ...]) -> None:
-        self.sends[member.name] = open_sends
+    def receive_open_attempts(
+        self, member: Contact, open_attempts: tuple[int, ...]
+    ) -> None:
+        self.open_attempts[member.name] = open_attempts
 
 
-class WiredCalls(PeerCalls):
-    """Calls that go straight to the other gateways of a fleet."""
+class LocalCalls(PeerCalls):
+    """Calls that are dispatched directly to the other gateways of a fleet."""
 
     def __init__(self, fleet: "Fleet", name: str, roster: Roster, clock: Clock) -> None:
         super().__init__(roster, clock)
@@ -100,14 +102,14 @@
         self._name = name
 
     def _call(self, to: Contact, request: Request) -> Answer:
-        return self._fleet.carry(self._name, to.name, request)
+        return self._fleet.deliver(self._name, to.name, request)
 
 
 class Node:
     """One gateway of a fleet.
 
-    Its state is set by the test: ``loads``, ``spent``, ``revision``. With ``limits``,
-    it tells what these say, and they hear what the others tell.
+    Tests set its state: ``loads``, ``spent``, ``revision``. If ``limits`` is set, the
+    gateway reports the usage of these limits, and they receive the others' totals.
     """
 
     def __init__(self, fleet: "Fleet", name: str, zone: str, incarnation: int) -> None:
@@ -118,19 +120,19 @@
         self.demand = 0.0
         self.share = 0.0
         self.revision = 0
-        self.work: dict[str, float] = {}
+        self.engine_time: dict[str, float] = {}
         self.duty: DutyClaim | None = None
         self.usage: dict[int, dict[str, int]] = {}
         self.follows_store = True
         self.limits: Quotas | None = None
         self.strikes = StrikeLedger()
-        self.heard = Heard(self)
+        self.received = RecordingListener(self)
         self.due_at = fleet.clock.elapsed()
         self.time = TrueTime(fleet.clock)
         own = contact(name, zone, incarnation)
         self.roster = Roster(own, fleet.clock)
-        shared = Shared(
-            OwnState(
+        context = PeerContext(
+            LocalState(
                 self._state,
                 lambda: {"p/": self.revision},
                 lambda: {number: dict(held) for number, held in self.usage.items()},
@@ -138,18 +140,18 @@
             ),
             self.roster,
             UsageLedger(),
-            self.heard,
+            self.received,
             self.time,
             WORK_WINDOW,
             fleet.clock,
             StrikeLinks(self.strikes, incarnation),
         )
-        calls = WiredCalls(fleet, name, self.roster, fleet.clock)
-        self.peering = Peering(shared, len(fleet.zones), Random(name), calls)
+        calls = LocalCalls(fleet, name, self.roster, fleet.clock)
+        self.peering = Peering(context, len(fleet.zones), Random(name), calls)
 
     def _state(self, own: Contact) -> MemberState:
-        told = self.peering.told_spent("lab")
-        limit = spending(self.demand, self.spent, told=told, share=self.share)
+        counted = self.peering.counted_usage("lab")
+        limit = limit_usage(self.demand, self.spent, counted=counted, share=self.share)
         spent = {"lab": limit} if self.demand or self.spent else {}
         if self.limits is not None:
             spent = self.limits.report()
@@ -158,16 +160,16 @@
             self.time.reading(),
             revisions={"p/": self.revision},
             loads=dict(self.loads),
-            spending=spent,
-            work=dict(self.work),
+            limit_usage=spent,
+            engine_time=dict(self.engine_time),
             duty=self.duty,
             follows_store=self.follows_store,
         )
 
-    def load_seen(self, endpoint: str) -> int:
-        """Return the tokens that the others have at an endpoint, as seen here."""
+    def known_load(self, endpoint: str) -> int:
+        """Return the other gateways' prefill tokens at an endpoint, as known here."""
         return sum(
-            group.state.loads[endpoint].unread_tokens
+            group.state.loads[endpoint].prefill_tokens
             for group in self.peering.in_touch()
             if endpoint in group.state.loads
         )
@@ -185,17 +187,17 @@
         self.nodes: dict[str, Node] = {}
         self.down: set[str] = set()
         self.paused: set[str] = set()
-        # Pairs of names between which nothing passes, from the first to the second.
+        # Pairs of sender and receiver whose requests are lost.
         self.cuts: set[tuple[str, str]] = set()
         self.bytes: Counter[str] = Counter()
-        self.crossed = 0
+        self.cross_zone_bytes = 0
         self.calls: deque[tuple[str, str]] = deque(maxlen=10_000)
         for zone, count in zones.items():
             for number in range(count):
                 self.start(f"{zone}-{number}", zone)
 
     def start(self, name: str, zone: str, incarnation: int = 1) -> Node:
-        """Start a gateway that finds the running ones in the store."""
+        """Start a gateway that knows the running ones from the store."""
         node = self.nodes[name] = Node(self, name, zone, incarnation)
         self.down.discard(name)
         for other in self.nodes.values():
@@ -208,33 +210,33 @@
         self.down.update(names)
 
     def cut(self, name: str) -> None:
-        """Cut a gateway off from all others, both ways."""
+        """Partition a gateway from all others, in both directions."""
         for other in self.nodes:
             self.cuts |= {(name, other), (other, name)}
 
     def heal(self) -> None:
-        """Let everything pass again."""
+        """End all partitions and pauses."""
         self.cuts.clear()
         self.paused.clear()
 
-    def carry(self, sender: str, receiver: str, request: Request) -> Answer:
-        """Bring a request over, and its answer back."""
+    def deliver(self, sender: str, receiver: str, request: Request) -> Answer:
+        """Deliver a request, and return the response."""
         if receiver in self.down:
             raise NotConnected("refused")
         lost = {(sender, receiver), (receiver, sender)} & self.cuts
         if lost or receiver in self.paused:
             raise AnswerTimeout("no answer in time")
         self.calls.append((sender, receiver))
-        answer = self.nodes[receiver].peering._answer(request)
-        size = len(request.body) + len(answer.body)
+        response = self.nodes[receiver].peering._handle(request)
+        size = len(request.body) + len(response.body)
         self.bytes[sender] += size
         self.bytes[receiver] += size
         if self.nodes[sender].zone != self.nodes[receiver].zone:
-            self.crossed += size
-        return answer
+            self.cross_zone_bytes += size
+        return response
 
     def play(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock, and run the gateways' rounds."""
         until = self.clock.elapsed() + timedelta(seconds=seconds)
         while self.clock.elapsed() < until:
             self.clock.advance(STEP)
@@ -242,14 +244,14 @@
                 if node.name in self.down | self.paused:
                     continue
                 if self.clock.elapsed() >= node.due_at:
-                    node.peering.round()
-                    node.due_at = self.clock.elapsed() + node.peering.pause
-            # Exchanges between aggregators run as tasks of their own.
+                    node.peering.run_round()
+                    node.due_at = self.clock.elapsed() + node.peering.interval
+            # Exchanges between aggregators run as separate tasks.
             for _ in range(3):
                 sleep()
 
     def aggregators(self, zone: str) -> list[str]:
-        """Return the running gateways of a zone that sum up."""
+        """Return the running aggregators of a zone."""
         return [
             name
             for name, node in self.nodes.items()
@@ -260,17 +262,26 @@
 
 
 def no_rollouts(clock: Clock) -> Rollouts:
-    """Return the view of a gateway that knows of no roll-out."""
+    """Return the rollouts of a gateway that knows of none."""
     return Rollouts(0.1, lambda service: [], TrueTime(clock), clock, Random(1))
 
 
 def lone_peering(clock: Clock, rng: Random) -> Peering:
-    """Return the view of a gateway that has no others."""
+    """Return the peering of a gateway without peers."""
     roster = Roster(contact("front-a-1"), clock)
-    own = OwnState(lambda own: member(own.name), dict, dict, lambda prefix, since: None)
+    own = LocalState(
+        lambda own: member(own.name), dict, dict, lambda prefix, since: None
+    )
     time = TrueTime(clock)
     strikes = StrikeLinks(StrikeLedger(), roster.own.incarnation)
-    shared = Shared(
-        own, roster, UsageLedger(), Heard(), time, WORK_WINDOW, clock, strikes
+    context = PeerContext(
+        own,
+        roster,
+        UsageLedger(),
+        RecordingListener(),
+        time,
+        WORK_WINDOW,
+        clock,
+        strikes,
     )
-    return Peering(shared, 1, rng, PeerCalls(roster, clock))
+    return Peering(context, 1, rng, PeerCalls(roster, clock))
