--- a/src/sassafrasdale/requests/__init__.py
+++ b/src/sassafrasdale/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of one request."""
+"""Processing of requests, from admission to outcome."""
--- a/src/sassafrasdale/requests/claim_records.py
+++ b/src/sassafrasdale/requests/claim_records.py
@@ -1,4 +1,4 @@
-"""What the store keeps of a non-idempotent request."""
+"""Records of claims on non-idempotent requests, as the store holds them."""
 
 import json
 from base64 import b64encode
@@ -12,15 +12,16 @@
 from sassafrasdale.coordination.exceptions import StoredValueMalformed
 
 CLAIMS_PREFIX = "sassafrasdale/claims/"
-MAX_KEPT_BODY_BYTES = 256 * 1024
+MAX_STORED_BODY_BYTES = 256 * 1024
 
 
 class ClaimState(StrEnum):
-    """How far the one execution of a request has come.
+    """State of the single execution of a request.
 
-    ``CLAIMED``: its holder may run it, or has. ``ANSWERED``: it ran and the answer
-    is kept. ``UNKNOWN``: it may have run and no answer came. ``NOT_RUN``: it never
-    ran and the holder gave it up, so it may be claimed again.
+    ``CLAIMED``: its holder may run it or has run it. ``ANSWERED``: it ran and the
+    response is stored. ``UNKNOWN``: it may have run and no response came.
+    ``NOT_RUN``: it never ran and the holder released the claim, so it may be
+    claimed again.
     """
 
     CLAIMED = "claimed"
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """Names the one execution of a non-idempotent request."""
+    """Identifies the single execution of a non-idempotent request."""
 
     service: str
     customer: str
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """An endpoint's answer as a retry gets it."""
+    """Response of an endpoint, as returned to a retry."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -57,12 +58,12 @@
 class ClaimRecord:
     """Value of a claim in the store.
 
-    :param claim_id: id of the attempt that made it; no two attempts share one.
-    :param fingerprint: digest of the request, to tell another one with this key.
-    :param holder: name of the entry that made the attempt.
-    :param state: how far the execution has come.
-    :param answer: the answer, if ``state`` is answered.
-    :param body_dropped: whether the answer's body was too large to keep.
+    :param claim_id: unique id of the attempt that made the claim.
+    :param fingerprint: digest of the request, to detect another one with this key.
+    :param holder: entry process that made the attempt.
+    :param state: state of the execution.
+    :param answer: the response, if ``state`` is answered.
+    :param body_dropped: whether the response's body was too large to store.
     """
 
     claim_id: str
@@ -73,15 +74,15 @@
     body_dropped: bool = False
 
     def with_answer(self, answer: StoredAnswer) -> "ClaimRecord":
-        """Return the record of the execution that ended with ``answer``."""
-        dropped = len(answer.body) > MAX_KEPT_BODY_BYTES
+        """Return the record of an execution whose response is ``answer``."""
+        dropped = len(answer.body) > MAX_STORED_BODY_BYTES
         kept = replace(answer, body=b"") if dropped else answer
         return replace(
             self, state=ClaimState.ANSWERED, answer=kept, body_dropped=dropped
         )
 
     def to_json(self) -> bytes:
-        """Return the record as the store keeps it."""
+        """Return the record as stored."""
         fields: dict[str, Any] = {
             "claim_id": self.claim_id,
             "fingerprint": self.fingerprint,
@@ -99,14 +100,14 @@
 
     @classmethod
     def from_json(cls, value: bytes) -> "ClaimRecord":
-        """Return the record that ``value`` holds.
+        """Parse a stored value.
 
-        :raises StoredValueMalformed: if it holds something else.
+        :raises StoredValueMalformed: if the value is not a claim record.
         """
         try:
             model = _StoredClaim.model_validate_json(value)
         except ValidationError as error:
-            raise StoredValueMalformed(f"not a claim: {error}") from error
+            raise StoredValueMalformed(f"malformed claim record: {error}") from error
         return cls(
             claim_id=model.claim_id,
             fingerprint=model.fingerprint,
@@ -127,7 +128,7 @@
 
 
 class _StoredClaim(BaseModel):
-    """A claim as the store may hold it; fields to come are ignored."""
+    """Schema of a stored claim; fields of later versions are ignored."""
 
     claim_id: str
     fingerprint: str
@@ -139,11 +140,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A granted claim: its holder, and nobody else, may run the request once.
+    """A granted claim: only its holder may run the request, once.
 
-    :param key: names the execution.
-    :param record: what the store holds.
-    :param mod_revision: revision at which the store holds it.
+    :param key: identifies the execution.
+    :param record: the stored record.
+    :param mod_revision: the store's modification revision of the record.
     """
 
     key: ClaimKey
--- a/src/sassafrasdale/requests/claim_repairs.py
+++ b/src/sassafrasdale/requests/claim_repairs.py
@@ -1,4 +1,4 @@
-"""Writes the outcome of a claim, and finishes in the background what was lost."""
+"""Writes outcomes of claims to the store, retrying failures in the background."""
 
 from collections import deque
 from collections.abc import Callable
@@ -17,21 +17,22 @@
 from sassafrasdale.requests.claim_records import ClaimRecord
 from sassafrasdale.requests.retention import RetentionLease
 
-WRITE_ATTEMPTS = 3
+MAX_WRITES = 3
 MAX_PENDING = 2_000
 MAX_PENDING_BYTES = 16 * 1024 * 1024
-GIVE_UP_AFTER = timedelta(minutes=15)
-FIRST_PAUSE = timedelta(milliseconds=250)
-LONGEST_PAUSE = timedelta(seconds=5)
+MAX_PENDING_AGE = timedelta(minutes=15)
+INITIAL_BACKOFF = timedelta(milliseconds=250)
+MAX_BACKOFF = timedelta(seconds=5)
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    """What the store should hold of an attempt that has ended.
+class ClaimOutcome:
+    """Final record of an attempt, to be written to the store.
 
     :param path: key of the claim in the store.
-    :param record: what it should hold; its state is final for the attempt.
-    :param expected: revision that the attempt's last write left, or was made over.
+    :param record: the record to write; its state is final for the attempt.
+    :param expected: revision of the attempt's last write, or the revision which
+        that write expected.
     """
 
     path: str
@@ -41,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    outcome: Outcome
+    outcome: ClaimOutcome
     size: int
-    give_up_at: timedelta
+    expires_at: timedelta
 
 
-class ClaimRepairer:
-    """Task that writes outcomes, again and again while the store is out.
+class OutcomeWriter:
+    """Background task that writes outcomes and retries them during a store outage.
 
-    The backlog is bounded by count, by bytes and by age. What falls out of it
-    stays claimed in the store: retries are told "unknown", never run.
+    The backlog is bounded by count, bytes and age. An outcome dropped from it stays
+    claimed in the store: retries get the outcome "unknown" and never run.
 
     :param store: the platform's store.
     :param clock: source of elapsed time.
-    :param retention: gives the lease to attach outcomes to.
+    :param retention: provides the lease to attach outcomes to.
     :param start: starts a function as a task.
     """
 
@@ -81,98 +82,99 @@
 
     @property
     def dropped(self) -> int:
-        """Number of outcomes given up because the backlog was full or they aged."""
+        """Number of outcomes dropped because the backlog was full or they expired."""
         return self._dropped
 
-    def write_or_post(self, outcome: Outcome) -> bool:
-        """Write ``outcome`` now, or leave it to the task if the store fails.
+    def write_or_queue(self, outcome: ClaimOutcome) -> bool:
+        """Write ``outcome`` now, or queue it for the task if the store fails.
 
-        :returns: whether it is written.
+        :returns: whether it was written.
         """
         try:
             self.write(outcome)
         except StoreError:
-            self.post(outcome)
+            self.queue(outcome)
             return False
         return True
 
-    def post(self, outcome: Outcome) -> None:
-        """Leave ``outcome`` to the task."""
+    def queue(self, outcome: ClaimOutcome) -> None:
+        """Queue ``outcome`` for the background task."""
         size = len(outcome.record.to_json())
         self._pending.append(
-            _Pending(outcome, size, self._clock.elapsed() + GIVE_UP_AFTER)
+            _Pending(outcome, size, self._clock.elapsed() + MAX_PENDING_AGE)
         )
         self._pending_bytes += size
-        while self._is_too_large():
-            self._pop()
+        while self._is_over_limit():
+            self._drop_oldest()
             self._dropped += 1
         self._start()
 
     def run_once(self) -> None:
-        """Try the oldest outcome of the backlog.
+        """Write the oldest outcome of the backlog.
 
         :raises StoreError: if the store fails; the outcome stays in the backlog.
         """
         if not self._pending:
             return
         oldest = self._pending[0]
-        if self._clock.elapsed() >= oldest.give_up_at:
-            self._pop()
+        if self._clock.elapsed() >= oldest.expires_at:
+            self._drop_oldest()
             self._dropped += 1
             return
         self.write(oldest.outcome)
         if self._pending and self._pending[0] is oldest:
-            self._pop()
+            self._drop_oldest()
 
-    def write(self, outcome: Outcome) -> None:
-        """Write ``outcome`` unless another attempt has claimed meanwhile.
+    def write(self, outcome: ClaimOutcome) -> None:
+        """Write ``outcome`` unless another attempt has claimed in the meantime.
 
-        Lost answers, and writes of the attempt that land late, are met by writing
-        over ``expected`` until the comparison fails: from then on the key has
-        moved on, and no earlier write of the attempt can land any more. If the
-        key then holds the attempt's own claim, that one is replaced.
+        A store response may be lost and an earlier write of the attempt may be
+        applied late. So the compare-and-swap against ``expected`` is repeated until
+        the comparison fails: the key's revision has then changed, and no earlier
+        write of the attempt can be applied any more. If the key holds the attempt's
+        own claim by then, that claim is replaced.
 
-        :raises StoreError: if the store does not confirm it.
+        :raises StoreError: if the store does not confirm the write.
         """
         expected = outcome.expected
         value = outcome.record.to_json()
-        lost: StoreError | None = None
-        for _ in range(WRITE_ATTEMPTS):
+        last_error: StoreError | None = None
+        for _ in range(MAX_WRITES):
             lease = self._retention.current()
             try:
-                swap = self._store.compare_and_swap(
+                swapped = self._store.compare_and_swap(
                     outcome.path, value, expected, lease=lease
                 )
             except StoreAnswerLost as error:
-                lost = error
+                last_error = error
                 continue
             except LeaseNotFound as error:
                 self._retention.forget(lease)
-                lost = error
+                last_error = error
                 continue
-            if swap or swap.current is None:
+            if swapped or swapped.current is None:
                 return
             try:
-                found = ClaimRecord.from_json(swap.current.value)
+                found = ClaimRecord.from_json(swapped.current.value)
             except StoredValueMalformed:
                 return
             if found.claim_id != outcome.record.claim_id:
                 return
             if found.state is outcome.record.state:
                 return
-            expected = swap.current.mod_revision
-        raise lost or StoreAnswerLost(f"{outcome.path} kept changing")
+            expected = swapped.current.mod_revision
+        raise last_error or StoreAnswerLost(f"{outcome.path} kept changing")
 
     def _run(self) -> None:
-        pause = FIRST_PAUSE
+        backoff = INITIAL_BACKOFF
         while self._pending:
             try:
                 self.run_once()
             except StoreError as error:
-                sleep(max(pause, error.retry_after or pause))
-                pause = min(pause * 2, LONGEST_PAUSE)
+                sleep(max(backoff, error.retry_after or backoff))
+                backoff = min(backoff * 2, MAX_BACKOFF)
             else:
-                pause = FIRST_PAUSE
+                backoff = INITIAL_BACKOFF
         self._running = False
 
     def _start(self) -> None:
@@ -181,10 +183,10 @@
         self._running = True
         self._start_task(self._run)
 
-    def _is_too_large(self) -> bool:
+    def _is_over_limit(self) -> bool:
         if len(self._pending) > MAX_PENDING:
             return True
         return self._pending_bytes > MAX_PENDING_BYTES and len(self._pending) > 1
 
-    def _pop(self) -> None:
+    def _drop_oldest(self) -> None:
         self._pending_bytes -= self._pending.popleft().size
--- a/src/sassafrasdale/requests/claimant.py
+++ b/src/sassafrasdale/requests/claimant.py
@@ -1,4 +1,4 @@
-"""Obtains the claim that a non-idempotent request needs before it is sent."""
+"""Obtains the claim required before a non-idempotent request is sent."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -28,16 +28,17 @@
 )
 
 RETRY_AFTER = timedelta(seconds=1)
-# Pause between two looks at a claim that another request holds.
-POLL = timedelta(milliseconds=250)
+# Interval for polling a claim that another request holds.
+POLL_INTERVAL = timedelta(milliseconds=250)
 
 
 @dataclass(frozen=True, slots=True)
-class Attempt:
-    """What identifies one attempt at a claim.
+class ClaimIdentity:
+    """Identifies one attempt to claim a request.
 
     :param claim_id: unique id of the attempt.
-    :param fingerprint: hash of what is asked, to tell a retry from a reuse.
+    :param fingerprint: hash of the request, to distinguish a retry from another
+        request with the same key.
     :param holder: this process.
     """
 
@@ -47,11 +48,11 @@
 
 
 class Claimant:
-    """Claims one call, or learns what became of its first execution.
+    """Claims one call, or finds the outcome of its first execution.
 
     :param call: the call; it has an idempotency key.
-    :param attempt: identifies this attempt.
-    :param is_alive: whether a holder is alive, as far as is known.
+    :param identity: identifies this attempt.
+    :param is_alive: whether a holder is considered alive.
     :param claims: the claims in the platform's store.
     :param clock: source of time.
     """
@@ -59,13 +60,13 @@
     def __init__(
         self,
         call: Call,
-        attempt: Attempt,
+        identity: ClaimIdentity,
         is_alive: Callable[[str], bool],
         claims: Claims,
         clock: Clock,
     ) -> None:
         self._call = call
-        self._attempt = attempt
+        self._identity = identity
         self._is_alive = is_alive
         self._claims = claims
         self._clock = clock
@@ -73,7 +74,7 @@
     def obtain(self) -> Claim | Outcome:
         """Return the claim, or the outcome if this attempt must not run.
 
-        :raises KeyReused: the key names another request.
+        :raises KeyReused: the key was used for another request.
         """
         try:
             claimed = self._claim()
@@ -82,38 +83,38 @@
         while isinstance(claimed, InProgress):
             if not self._is_alive(claimed.holder):
                 return Unknown("the entry that ran the request is gone", RETRY_AFTER)
-            if self._call.deadline - self._clock.elapsed() <= POLL:
+            if self._call.deadline - self._clock.elapsed() <= POLL_INTERVAL:
                 return Unknown("the request is still running", RETRY_AFTER)
-            sleep(POLL)
+            sleep(POLL_INTERVAL)
             try:
                 claimed = self._claim()
             except ClaimRefused as error:
-                # The store failed while another attempt held the claim, which
-                # may have run the request: "not run" would not be true.
+                # The store failed while another attempt held the claim. That
+                # attempt may have run the request, so "not run" would be wrong.
                 return Unknown(error.message, error.retry_after or RETRY_AFTER)
         return _result(claimed)
 
     def settle(self, claim: Claim, answer: Answered) -> None:
-        """Keep the answer for retries."""
+        """Store the response for retries."""
         stored = StoredAnswer(answer.status, answer.headers, answer.body)
         self._claims.settle(claim, stored)
 
     def abandon(self, claim: Claim) -> None:
-        """Give up a claim of which certainly nothing has run, and never will."""
+        """Release a claim whose request has not run and never will."""
         self._claims.abandon(claim)
 
     def mark_unknown(self, claim: Claim) -> None:
-        """Record that the request may have run and gave no answer."""
+        """Record that the request may have run and gave no response."""
         self._claims.mark_unknown(claim)
 
     def _claim(self) -> ClaimResult:
         call = self._call
-        attempt = self._attempt
+        identity = self._identity
         return self._claims.claim(
             ClaimKey(call.service, call.customer, call.idempotency_key),
-            attempt.fingerprint,
-            attempt.claim_id,
-            attempt.holder,
+            identity.fingerprint,
+            identity.claim_id,
+            identity.holder,
         )
 
 
--- a/src/sassafrasdale/requests/claims.py
+++ b/src/sassafrasdale/requests/claims.py
@@ -1,6 +1,6 @@
 """At-most-once execution of non-idempotent requests, by claims in the store.
 
-docs/AT-MOST-ONCE.md gives the reasoning and what a caller is told in each case.
+docs/AT-MOST-ONCE.md explains the design and which outcome a caller gets in each case.
 """
 
 from collections.abc import Callable
@@ -23,13 +23,13 @@
     ClaimState,
     StoredAnswer,
 )
-from sassafrasdale.requests.claim_repairs import ClaimRepairer, Outcome
+from sassafrasdale.requests.claim_repairs import ClaimOutcome, OutcomeWriter
 from sassafrasdale.requests.exceptions import ClaimRefused
 from sassafrasdale.requests.recent_claims import RecentClaims
 from sassafrasdale.requests.retention import RetentionLease
 
-CLAIM_ATTEMPTS = 4
-LOST_ANSWERS_BORNE = 1
+MAX_WRITES = 4
+MAX_LOST_RESPONSES = 1
 RETRY_AFTER = timedelta(seconds=1)
 
 __all__ = [
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The caller of ``claim`` alone may run the request, once."""
+    """Only the caller of ``claim`` may run the request, once."""
 
     claim: Claim
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The request ran earlier; this is its answer."""
+    """The request ran earlier; this is its response."""
 
     answer: StoredAnswer
 
@@ -70,12 +70,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeLost:
-    """The request may have run, and its answer is not to be had any more."""
+    """The request may have run, and its response is not available."""
 
 
 @dataclass(frozen=True, slots=True)
 class FingerprintMismatch:
-    """The key was used earlier for another request."""
+    """The key was used before for another request."""
 
 
 ClaimResult = Granted | Answered | InProgress | OutcomeLost | FingerprintMismatch
@@ -104,25 +104,25 @@
         self._store = store
         self._retention = RetentionLease(store, clock)
         self._recent = RecentClaims()
-        self._repairer = ClaimRepairer(store, clock, self._retention, start)
+        self._outcome_writer = OutcomeWriter(store, clock, self._retention, start)
 
     @property
-    def repairer(self) -> ClaimRepairer:
-        """Task that finishes writes which the store did not confirm."""
-        return self._repairer
+    def outcome_writer(self) -> OutcomeWriter:
+        """Background task that retries writes which the store did not confirm."""
+        return self._outcome_writer
 
     def claim(
         self, key: ClaimKey, fingerprint: str, claim_id: str, holder: str
     ) -> ClaimResult:
-        """Claim the one execution that ``key`` names.
+        """Claim the single execution that ``key`` identifies.
 
         :param fingerprint: digest of the request.
-        :param claim_id: id of this attempt, never used before.
-        :param holder: name of this entry.
+        :param claim_id: unique id of this attempt.
+        :param holder: this entry process.
         :raises ClaimRefused: if nothing was claimed; the request does not run.
         """
         record = ClaimRecord(claim_id, fingerprint, holder, ClaimState.CLAIMED)
-        attempt = _Attempt(key, record)
+        attempt = _ClaimAttempt(key, record)
         try:
             result = self._claim(attempt)
         except ClaimRefused:
@@ -135,88 +135,96 @@
         return result
 
     def settle(self, claim: Claim, answer: StoredAnswer) -> bool:
-        """Keep the answer of the execution, for retries of the request.
+        """Store the response of the execution, for retries of the request.
 
-        :returns: whether the store has confirmed it; else it is tried again in
-            the background.
+        :returns: whether the store has confirmed the write; if not, it is retried
+            in the background.
         """
-        return self._conclude(claim, claim.record.with_answer(answer))
+        return self._write_outcome(claim, claim.record.with_answer(answer))
 
     def abandon(self, claim: Claim) -> bool:
-        """Give up a claim of which certainly nothing has run, and never will.
+        """Release a claim whose request has not run and never will.
 
         :returns: whether the store has confirmed it.
         """
         self._recent.discard(claim.key.path)
-        return self._conclude(claim, replace(claim.record, state=ClaimState.NOT_RUN))
+        return self._write_outcome(
+            claim, replace(claim.record, state=ClaimState.NOT_RUN)
+        )
 
     def mark_unknown(self, claim: Claim) -> bool:
-        """Record that the execution may have happened and gave no answer.
+        """Record that the request may have run and gave no response.
 
         :returns: whether the store has confirmed it.
         """
-        return self._conclude(claim, replace(claim.record, state=ClaimState.UNKNOWN))
+        return self._write_outcome(
+            claim, replace(claim.record, state=ClaimState.UNKNOWN)
+        )
 
-    def _claim(self, attempt: "_Attempt") -> ClaimResult:
-        for _ in range(CLAIM_ATTEMPTS):
-            result = self._try(attempt)
+    def _claim(self, attempt: "_ClaimAttempt") -> ClaimResult:
+        for _ in range(MAX_WRITES):
+            result = self._write(attempt)
             if result is not None:
                 return result
         self._withdraw(attempt)
         raise ClaimRefused("the claim could not be made", retry_after=RETRY_AFTER)
 
-    def _try(self, attempt: "_Attempt") -> ClaimResult | None:
-        """Make one write; return None if it is worth another."""
+    def _write(self, attempt: "_ClaimAttempt") -> ClaimResult | None:
+        """Make one write; return None if another one should be made."""
         try:
             lease = self._retention.current()
         except StoreError as error:
-            raise self._refused(attempt, error) from error
+            raise self._withdraw_and_refuse(attempt, error) from error
         try:
-            swap = self._store.compare_and_swap(
+            swapped = self._store.compare_and_swap(
                 attempt.key.path, attempt.value, attempt.expected, lease=lease
             )
         except LeaseNotFound:
             self._retention.forget(lease)
             return None
         except StoreAnswerLost as error:
-            attempt.note_lost()
-            if attempt.lost_answers > LOST_ANSWERS_BORNE:
-                raise self._refused(attempt, error) from error
+            attempt.record_lost()
+            if attempt.lost_responses > MAX_LOST_RESPONSES:
+                raise self._withdraw_and_refuse(attempt, error) from error
             return None
         except StoreError as error:
-            raise self._refused(attempt, error) from error
-        if swap:
-            return Granted(Claim(attempt.key, attempt.record, swap.revision))
-        return attempt.interpret(swap)
-
-    def _refused(self, attempt: "_Attempt", error: StoreError) -> ClaimRefused:
+            raise self._withdraw_and_refuse(attempt, error) from error
+        if swapped:
+            return Granted(Claim(attempt.key, attempt.record, swapped.revision))
+        return attempt.interpret(swapped)
+
+    def _withdraw_and_refuse(
+        self, attempt: "_ClaimAttempt", error: StoreError
+    ) -> ClaimRefused:
         self._withdraw(attempt)
         return ClaimRefused(
             f"the claim could not be made: {error.message}",
             retry_after=error.retry_after or RETRY_AFTER,
         )
 
-    def _withdraw(self, attempt: "_Attempt") -> None:
-        """See to it that a lost write of ``attempt`` blocks nobody.
+    def _withdraw(self, attempt: "_ClaimAttempt") -> None:
+        """Queue a release in case a lost write of ``attempt`` is applied.
 
-        The request is not run by this attempt from here on, so a write that lands
-        late harms nothing but retries, which would find it claimed for ever.
+        This attempt no longer runs the request. A write of it that the store
+        applies late would leave the key claimed, and block every retry.
         """
-        if not attempt.in_doubt:
+        if not attempt.may_be_applied:
             return
         record = replace(attempt.record, state=ClaimState.NOT_RUN)
-        self._repairer.post(Outcome(attempt.key.path, record, attempt.expected))
+        self._outcome_writer.queue(
+            ClaimOutcome(attempt.key.path, record, attempt.expected)
+        )
 
-    def _conclude(self, claim: Claim, record: ClaimRecord) -> bool:
-        outcome = Outcome(claim.key.path, record, claim.mod_revision)
-        return self._repairer.write_or_post(outcome)
+    def _write_outcome(self, claim: Claim, record: ClaimRecord) -> bool:
+        outcome = ClaimOutcome(claim.key.path, record, claim.mod_revision)
+        return self._outcome_writer.write_or_queue(outcome)
 
 
-class _Attempt:
-    """One attempt at a claim, over several writes.
+class _ClaimAttempt:
+    """One attempt to claim a request, which may take several writes.
 
-    :param key: names the execution.
-    :param record: what the attempt writes.
+    :param key: identifies the execution.
+    :param record: the record that the attempt writes.
     """
 
     def __init__(self, key: ClaimKey, record: ClaimRecord) -> None:
@@ -224,29 +232,29 @@
         self.record = record
         self.value = record.to_json()
         self.expected = ABSENT
-        self.in_doubt = False
-        self.lost_answers = 0
+        self.may_be_applied = False
+        self.lost_responses = 0
 
-    def note_lost(self) -> None:
-        """Note that a write over ``expected`` may have landed, or still may."""
-        self.in_doubt = True
-        self.lost_answers += 1
+    def record_lost(self) -> None:
+        """Record that a write against ``expected`` may be applied, now or later."""
+        self.may_be_applied = True
+        self.lost_responses += 1
 
-    def interpret(self, swap: Swap) -> ClaimResult | None:
-        """Return what the store holds instead, or None if it can be replaced.
+    def interpret(self, swapped: Swap) -> ClaimResult | None:
+        """Interpret the record found instead; return None if it can be replaced.
 
-        That the write failed shows that the key has moved on from ``expected``.
-        So a lost write over ``expected`` has either landed, and is seen here, or
-        never will.
+        The failed comparison shows that the key is no longer at revision
+        ``expected``. So a lost write against ``expected`` either was applied, and is
+        found here, or can never be.
         """
-        current = swap.current
+        current = swapped.current
         if current is None:
-            self._expect(ABSENT)
+            self._set_expected(ABSENT)
             return None
         try:
             found = ClaimRecord.from_json(current.value)
         except StoredValueMalformed:
-            # The key is taken, and what by cannot be told: it must not run again.
+            # The key holds an unreadable value, so the request may have run already.
             return OutcomeLost()
         if found == self.record:
             return Granted(Claim(self.key, self.record, current.mod_revision))
@@ -265,9 +273,9 @@
             case ClaimState.ANSWERED | ClaimState.UNKNOWN:
                 return OutcomeLost()
             case ClaimState.NOT_RUN:
-                self._expect(current.mod_revision)
+                self._set_expected(current.mod_revision)
                 return None
 
-    def _expect(self, mod_revision: int) -> None:
+    def _set_expected(self, mod_revision: int) -> None:
         self.expected = mod_revision
-        self.in_doubt = False
+        self.may_be_applied = False
--- a/src/sassafrasdale/requests/dispatcher.py
+++ b/src/sassafrasdale/requests/dispatcher.py
@@ -13,9 +13,9 @@
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.green import GreenThread, current_task, interrupt, spawn
 from sassafrasdale.requests.claim_records import Claim
-from sassafrasdale.requests.claimant import Attempt, Claimant
+from sassafrasdale.requests.claimant import Claimant, ClaimIdentity
 from sassafrasdale.requests.claims import Claims
-from sassafrasdale.requests.exceptions import EntryStops
+from sassafrasdale.requests.exceptions import EntryStopping
 from sassafrasdale.requests.execution import IdempotentExecution
 from sassafrasdale.requests.gates import Gates
 from sassafrasdale.requests.generation import Generation
@@ -103,7 +103,7 @@
         outcome: Outcome | None = None
         try:
             outcome = self._enter_and_run(call)
-        except EntryStops as error:
+        except EntryStopping as error:
             # It may have been sent, and a keyed one be claimed.
             outcome = Unknown(error.message, STOP_RETRY_AFTER)
         finally:
@@ -119,7 +119,7 @@
         entry's. Without an answer a caller could not tell a stop from a loss.
         """
         for task in tuple(self._serving):
-            interrupt(task, EntryStops(STOPS))
+            interrupt(task, EntryStopping(STOPS))
         for generation in self._registry.running:
             # Its end is written to the store, which must not hold up the others.
             spawn(generation.abandon, STOPS)
@@ -246,8 +246,8 @@
         return self._hedgers[service]
 
     def _claimant(self, call: ServiceCall | ModelCall, digest: str) -> Claimant:
-        attempt = Attempt(self._unique_id(), digest, self._holder)
-        return Claimant(call.call, attempt, self.is_alive, self._claims, self._clock)
+        identity = ClaimIdentity(self._unique_id(), digest, self._holder)
+        return Claimant(call.call, identity, self.is_alive, self._claims, self._clock)
 
     def _placement(self, call: ModelCall) -> Placement:
         """Return how a generation finds its engines."""
--- a/src/sassafrasdale/requests/exceptions.py
+++ b/src/sassafrasdale/requests/exceptions.py
@@ -1,35 +1,35 @@
-"""Errors of a request's life. What a caller is told is an Outcome, not an error."""
+"""Errors while processing a request. A caller gets an Outcome, not an error."""
 
 from sassafrasdale.exceptions import SassafrasdaleError
 
 
 class RequestError(SassafrasdaleError):
-    """Base class of the errors of one request's life."""
+    """Base class of errors while processing a request."""
 
 
 class RequestNotHeld(RequestError):
-    """No request of that id is held here for that customer."""
+    """No request with that id is held for that customer."""
 
 
 class RequestIdTaken(RequestError):
-    """The request id already names another request."""
+    """The request id is already used by another request."""
 
 
 class KeyReused(RequestError):
-    """An idempotency key came back with another request."""
+    """The idempotency key was used before for another request."""
 
 
-class HandOverFaulty(RequestError):
-    """A hand-over of a peer can't be read."""
+class MalformedHandOver(RequestError):
+    """A peer sent a malformed hand-over."""
 
 
 class ClaimRefused(RequestError):
     """No claim was granted, and none will be: the request does not run."""
 
 
-class EndpointLeaves(RequestError):
-    """The endpoint is about to leave, and the request goes on elsewhere."""
+class EndpointLeaving(RequestError):
+    """The endpoint is about to leave; the request continues on another one."""
 
 
-class EntryStops(RequestError):
-    """The time of this entry is up, and the call is not answered."""
+class EntryStopping(RequestError):
+    """The entry is stopping before the call was answered."""
--- a/src/sassafrasdale/requests/generation.py
+++ b/src/sassafrasdale/requests/generation.py
@@ -32,7 +32,7 @@
 )
 from sassafrasdale.green import GreenThread, sleep, spawn
 from sassafrasdale.requests.course import Course
-from sassafrasdale.requests.exceptions import EndpointLeaves
+from sassafrasdale.requests.exceptions import EndpointLeaving
 from sassafrasdale.requests.gate import Gate
 from sassafrasdale.requests.placement import Placement, Progress
 from sassafrasdale.requests.structures import (
@@ -226,7 +226,7 @@
             return
         self._cancel()
         # The engine need not answer the cancel, so its stream is left from here.
-        self._thread.kill(EndpointLeaves(f"{endpoint.name} leaves"))
+        self._thread.kill(EndpointLeaving(f"{endpoint.name} leaves"))
 
     def begin_offer(self) -> Progress:
         """Stay where it is while another entry is offered it; return how far it is.
@@ -297,7 +297,7 @@
                     self._observe(endpoint, ok=True)
                     return self._answer()
                 self._go_on_after_break(endpoint, avoid)
-            except EndpointLeaves:
+            except EndpointLeaving:
                 self._course.go_on_elsewhere(endpoint, avoid)
             except Refused as error:
                 refusal = error
@@ -359,7 +359,7 @@
         except AnswerLost:
             self._course.sent = True
             raise
-        except EndpointLeaves:
+        except EndpointLeaving:
             # It may have been thrown after the first byte went out.
             self._course.sent = True
             raise
--- a/src/sassafrasdale/requests/handovers.py
+++ b/src/sassafrasdale/requests/handovers.py
@@ -13,7 +13,7 @@
 
 from sassafrasdale.clock import Clock, milliseconds
 from sassafrasdale.endpoints.engines import FromCache
-from sassafrasdale.requests.exceptions import HandOverFaulty
+from sassafrasdale.requests.exceptions import MalformedHandOver
 from sassafrasdale.requests.placement import Progress
 from sassafrasdale.requests.structures import Call, ModelCall
 from sassafrasdale.structures import Address
@@ -89,14 +89,14 @@
 def unpack(data: bytes, clock: Clock) -> Parcel:
     """Return the generation in ``data``.
 
-    :raises HandOverFaulty: it can't be read.
+    :raises MalformedHandOver: it can't be read.
     """
     try:
         message = _Message.model_validate_json(data)
         events = [base64.b64decode(event) for event in message.events]
         cache = _cache(message)
     except (ValidationError, ValueError) as error:
-        raise HandOverFaulty(f"the hand-over can't be read: {error}") from error
+        raise MalformedHandOver(f"the hand-over can't be read: {error}") from error
     about = Call(
         request_id=message.request_id,
         customer=message.customer,
--- a/src/sassafrasdale/requests/recent_claims.py
+++ b/src/sassafrasdale/requests/recent_claims.py
@@ -1,4 +1,4 @@
-"""Keys that this process has lately seen claimed."""
+"""Keys that this process has recently seen claimed."""
 
 from collections import OrderedDict
 
@@ -6,10 +6,10 @@
 
 
 class RecentClaims:
-    """Bounded set of the claims that were seen and not given up.
+    """Bounded set of claims that were seen and not released.
 
-    While the store is out, a retry cannot look its claim up. Without this memory
-    it would be told "not run" by the very entry that has run it.
+    During a store outage the claim of a retry cannot be looked up. Without this set
+    the entry that ran the request could report it as "not run".
     """
 
     def __init__(self) -> None:
@@ -19,12 +19,12 @@
         return path in self._paths
 
     def add(self, path: str) -> None:
-        """Remember ``path``, and forget the oldest if there are too many."""
+        """Add ``path``, and drop the oldest one if there are too many."""
         self._paths[path] = None
         self._paths.move_to_end(path)
         if len(self._paths) > MAX_KEYS:
             self._paths.popitem(last=False)
 
     def discard(self, path: str) -> None:
-        """Forget ``path``."""
+        """Remove ``path``."""
         self._paths.pop(path, None)
--- a/src/sassafrasdale/requests/retention.py
+++ b/src/sassafrasdale/requests/retention.py
@@ -1,4 +1,4 @@
-"""How long claims are kept: one lease of the store for many claims."""
+"""Retention of claims: many claims share one lease of the store."""
 
 from datetime import timedelta
 
@@ -12,12 +12,12 @@
 
 
 class RetentionLease:
-    """Gives the lease that claims of the present hour are attached to.
+    """Provides the lease to which the claims of the current hour are attached.
 
-    A process grants itself one lease an hour, whatever the number of claims. The
-    lease lasts ``USABLE_FOR`` longer than the retention, so that a claim made on
-    its last minute is still kept for ``RETENTION``. Each process has its own, so
-    that the retention does not depend on wall clocks that agree.
+    A process requests one lease an hour, whatever the number of claims. The lease
+    lasts ``USABLE_FOR`` longer than the retention, so that a claim attached just
+    before its replacement is still kept for ``RETENTION``. Each process has its own
+    lease, so that retention does not depend on synchronized wall clocks.
 
     :param store: the platform's store.
     :param clock: source of elapsed time.
@@ -27,14 +27,14 @@
         self._store = store
         self._clock = clock
         self._lease: Lease | None = None
-        self._asked_at = timedelta()
+        self._requested_at = timedelta()
 
     def current(self) -> Lease:
-        """Return a lease with at least ``RETENTION`` to go.
+        """Return a lease that lasts at least another ``RETENTION``.
 
-        :raises StoreError: if none is at hand and none could be granted.
+        :raises StoreError: if there is none and the store granted none.
         """
-        age = self._clock.elapsed() - self._asked_at
+        age = self._clock.elapsed() - self._requested_at
         if self._lease is not None and age < RENEW_AFTER:
             return self._lease
         try:
@@ -45,15 +45,15 @@
             return self._lease
 
     def forget(self, lease: Lease) -> None:
-        """Stop giving out ``lease``, which the store no longer knows."""
+        """Stop using ``lease``, which the store no longer has."""
         if self._lease == lease:
             self._lease = None
 
     def _renew(self) -> Lease:
-        # The age counts from before the call, since a slow answer's lease runs
-        # from an unknown moment after it.
-        asked_at = self._clock.elapsed()
+        # The age counts from before the call: the lease starts at an unknown time
+        # between the request and its response.
+        requested_at = self._clock.elapsed()
         lease = self._store.grant_lease(RETENTION + USABLE_FOR)
         self._lease = lease
-        self._asked_at = asked_at
+        self._requested_at = requested_at
         return lease
--- a/src/sassafrasdale/requests/structures.py
+++ b/src/sassafrasdale/requests/structures.py
@@ -1,4 +1,4 @@
-"""Data classes of one request's life: what was asked and how it ended."""
+"""Data classes of requests and their outcomes."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -7,15 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What a caller asked for, whichever service it is for.
-
-    :param request_id: id by which the caller resumes or fetches.
-    :param customer: who calls.
-    :param service: name of the service in the operators' text.
-    :param deadline: elapsed time of the entry's clock at which it must be answered.
-    :param priority: 0 goes first, 7 last.
-    :param idempotency_key: names the one execution of a non-idempotent request;
-        empty for an idempotent one.
+    """Properties that calls of all services have.
+
+    :param request_id: id by which the caller resumes a stream or fetches a response.
+    :param customer: the calling customer.
+    :param service: name of the service in the configuration.
+    :param deadline: elapsed time of the entry's clock by which it must be answered.
+    :param priority: from 0, the most urgent, to 7.
+    :param idempotency_key: identifies the single execution of a non-idempotent
+        request; empty for an idempotent one.
     """
 
     request_id: str
@@ -33,13 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A call of a plain service, passed through as it is.
+    """A call of a plain service, forwarded unchanged.
 
-    :param call: the caller's part.
+    :param call: the common properties.
     :param method: HTTP method.
     :param target: path and query at the endpoint.
-    :param headers: headers to pass on.
-    :param body: whole body.
+    :param headers: headers to forward.
+    :param body: complete body.
     """
 
     call: Call
@@ -53,12 +53,12 @@
 class ModelCall:
     """A call of a model service.
 
-    :param call: the caller's part.
+    :param call: the common properties.
     :param prompt: text of all messages, for prefix affinity.
     :param opening: messages up to and including the user's first; every turn of
         one conversation begins with them.
-    :param body: JSON body for the engine, already checked.
-    :param max_tokens: upper bound of the answer's length, in tokens.
+    :param body: JSON body for the engine, already validated.
+    :param max_tokens: maximum length of the response, in tokens.
     :param streamed: whether the caller wants server-sent events.
     """
 
@@ -71,7 +71,7 @@
 
 
 class OutcomeName(StrEnum):
-    """The three things a caller may be told."""
+    """Outcomes as reported to a caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -80,11 +80,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The endpoint's whole answer.
+    """The endpoint's complete response.
 
     :param status: HTTP status of the endpoint.
-    :param headers: headers to pass back.
-    :param body: whole body.
+    :param headers: headers to return to the caller.
+    :param body: complete body.
     """
 
     status: int
@@ -94,12 +94,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Nothing was sent, or the endpoint refused before it started.
+    """Nothing was sent, or the endpoint refused the request before running it.
 
-    :param reason: why, for the caller.
-    :param retry_after: when it is worth coming back.
-    :param limited: whether a limit of the customer's was met.
-    :param overloaded: whether endpoints refused it for want of room.
+    :param reason: the reason, for the caller.
+    :param retry_after: delay after which the caller should retry.
+    :param limited: whether a limit of the customer was reached.
+    :param overloaded: whether endpoints refused it for lack of capacity.
     """
 
     reason: str
@@ -110,10 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request was sent and its outcome cannot be told.
+    """The request was sent and its outcome is not known.
 
-    :param reason: why, for the caller.
-    :param retry_after: when it is worth asking again.
+    :param reason: the reason, for the caller.
+    :param retry_after: delay after which the caller should retry.
     """
 
     reason: str
@@ -124,7 +124,7 @@
 
 
 def end_event(outcome: Outcome) -> str:
-    """Return the event of the request's chart that ends it with ``outcome``."""
+    """Return the request statechart's event for ``outcome``."""
     match outcome:
         case Answered():
             return "answer"
--- a/src/sassafrasdale/requests/transfers.py
+++ b/src/sassafrasdale/requests/transfers.py
@@ -13,7 +13,7 @@
 from sassafrasdale.peers.structures import HandOver
 from sassafrasdale.requests.dispatcher import Dispatcher
 from sassafrasdale.requests.exceptions import (
-    HandOverFaulty,
+    MalformedHandOver,
     RequestIdTaken,
     RequestNotHeld,
 )
@@ -125,7 +125,7 @@
         except RequestIdTaken:
             # The same offer came twice, its first acknowledgement was lost.
             return self._holds_same(parcel)
-        except HandOverFaulty as error:
+        except MalformedHandOver as error:
             log.error("hand-over of {}: {}", handover.holder, error)
             return False
         self._metrics.handover_ended("taken")
--- a/tests/requests/__init__.py
+++ b/tests/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the requests layer."""
+"""Tests of request processing."""
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -1,11 +1,11 @@
-"""Claims against a store whose answers are lost and whose writes land late."""
+"""Claims on a store that loses responses and applies writes late."""
 
 from datetime import timedelta
 
 import pytest
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.requests.claim_records import MAX_KEPT_BODY_BYTES
+from sassafrasdale.requests.claim_records import MAX_STORED_BODY_BYTES
 from sassafrasdale.requests.claims import (
     Answered,
     ClaimKey,
@@ -44,11 +44,11 @@
     return claims.claim(KEY, fingerprint, claim_id, "entry-1")
 
 
-def test_key_with_slash_stays_one_part():
+def test_slash_in_key_is_escaped():
     assert KEY.path == "sassafrasdale/claims/certificates/authority/batch%2F17"
 
 
-def test_retry_gets_the_first_answer(claims):
+def test_retry_gets_the_first_response(claims):
     first = claim(claims, "a")
     assert isinstance(first, Granted)
     assert claim(claims, "b") == InProgress("entry-1", "a")
@@ -56,12 +56,12 @@
     assert claim(claims, "c") == Answered(ANSWER)
 
 
-def test_other_request_with_the_same_key_is_told(claims):
+def test_other_request_with_the_same_key_is_a_mismatch(claims):
     claim(claims, "a")
     assert claim(claims, "b", "another") == FingerprintMismatch()
 
 
-def test_abandoned_claim_can_be_claimed_again(claims):
+def test_released_claim_can_be_claimed_again(claims):
     claims.abandon(claim(claims, "a").claim)
     again = claim(claims, "b")
     assert again.claim.record.claim_id == "b"
@@ -74,19 +74,20 @@
     assert claim(claims, "b") == OutcomeLost()
 
 
-def test_body_too_large_to_keep_is_not_passed_off_as_whole(claims):
+def test_body_too_large_to_store_is_not_replayed(claims):
     first = claim(claims, "a")
-    body = b"x" * (MAX_KEPT_BODY_BYTES + 1)
+    body = b"x" * (MAX_STORED_BODY_BYTES + 1)
     claims.settle(first.claim, StoredAnswer(200, (), body))
     assert claim(claims, "b") == OutcomeLost()
 
 
 @pytest.mark.parametrize("fault", ["lost_after", "lost_before", "late"])
-def test_lost_answer_is_read_back_by_the_claim_id(claims, store, fault):
-    """A certificate is asked for; the store's answer to the claim is lost.
+def test_lost_response_is_recovered_by_the_claim_id(claims, store, fault):
+    """The store's response to a claim is lost.
 
-    Taken for a refusal, the caller is told "not run" and the key stays blocked;
-    taken for a grant, two entries may issue it. The attempt finds its own id.
+    Treated as a refusal, the caller gets "not run" and the key stays blocked;
+    treated as a grant, two entries may run the request. The attempt recognizes its
+    own claim id.
     """
     store.faults = [fault]
     assert isinstance(claim(claims, "a"), Granted)
@@ -95,66 +96,66 @@
     assert claim(claims, "b") == InProgress("entry-1", "a")
 
 
-def test_claim_given_up_in_doubt_blocks_no_retry(claims, store):
-    """The store takes a claim, then is out; the caller is told "not run".
+def test_claim_that_may_be_applied_blocks_no_retry(claims, store):
+    """A store outage follows a claim's write; the caller gets "not run".
 
-    The claim lands after that. Its retry through another entry would find it
-    held for ever by an attempt that has ended, were it not withdrawn.
+    The store applies the claim after that. Unless it is withdrawn, a retry through
+    another entry finds the key held by an attempt that has ended.
     """
     store.faults = ["late", "unreached"]
     with pytest.raises(ClaimRefused) as refusal:
         claim(claims, "a")
     assert refusal.value.retry_after > timedelta()
     store.land()
-    claims.repairer.run_once()
-    assert claims.repairer.pending == 0
+    claims.outcome_writer.run_once()
+    assert claims.outcome_writer.pending == 0
     assert isinstance(claim(claims, "b"), Granted)
 
 
-def test_withdrawal_keeps_a_late_claim_from_landing(claims, store):
-    """The claim is withdrawn before its delayed write lands.
+def test_withdrawal_prevents_a_late_claim(claims, store):
+    """The claim is withdrawn before its delayed write is applied.
 
-    If the withdrawal did nothing for an absent key, the write would land later
-    and block the key with nobody to withdraw it.
+    If the withdrawal wrote nothing for an absent key, the claim would be applied
+    later and block the key for good.
     """
     store.faults = ["late", "unreached"]
     with pytest.raises(ClaimRefused):
         claim(claims, "a")
-    claims.repairer.run_once()
+    claims.outcome_writer.run_once()
     store.land()
     assert isinstance(claim(claims, "b"), Granted)
 
 
-def test_withdrawal_leaves_a_later_claim_alone(claims, store):
+def test_withdrawal_does_not_overwrite_a_later_claim(claims, store):
     """A retry claims and runs before the first attempt's withdrawal is written.
 
-    A withdrawal that wrote over it would let a third attempt run it again.
+    A withdrawal that overwrote the retry's claim would allow a second execution.
     """
     store.faults = ["late", "unreached"]
     with pytest.raises(ClaimRefused):
         claim(claims, "a")
     assert isinstance(claim(claims, "b"), Granted)
-    claims.repairer.run_once()
+    claims.outcome_writer.run_once()
     store.land()
     assert claim(claims, "c") == InProgress("entry-1", "b")
 
 
-def test_outage_refuses_with_when_to_come_back(claims, store):
+def test_outage_refuses_with_retry_after(claims, store):
     store.faults = ["unreached"]
     with pytest.raises(ClaimRefused) as refusal:
         claim(claims, "a")
     assert refusal.value.retry_after == timedelta(milliseconds=100)
-    assert claims.repairer.pending == 0
+    assert claims.outcome_writer.pending == 0
 
 
-def test_settling_in_an_outage_is_finished_later(claims, store):
+def test_response_is_stored_after_an_outage(claims, store):
     first = claim(claims, "a")
     store.faults = ["late", "unreached", "unreached"]
     assert not claims.settle(first.claim, ANSWER)
     with pytest.raises(Exception, match="out"):
-        claims.repairer.run_once()
-    assert claims.repairer.pending == 1
-    claims.repairer.run_once()
+        claims.outcome_writer.run_once()
+    assert claims.outcome_writer.pending == 1
+    claims.outcome_writer.run_once()
     store.land()
     assert claim(claims, "b") == Answered(ANSWER)
 
@@ -171,36 +172,35 @@
     assert isinstance(claim(claims, "c"), Granted)
 
 
-def test_lease_that_the_store_forgot_is_replaced(claims, store):
+def test_lease_that_the_store_lost_is_replaced(claims, store):
     store.leases.clear()
     assert isinstance(claim(claims, "a"), Granted)
 
 
-def test_two_writes_a_request(claims, store):
+def test_two_writes_per_request(claims, store):
     before = store.writes
     claims.settle(claim(claims, "a").claim, ANSWER)
     assert store.writes - before == 2
 
 
 def test_retry_in_an_outage_through_the_entry_that_ran_it(claims, store):
-    """A certificate was issued; its answer never reached the caller, who retries.
+    """A request ran, its response was lost, and the caller retries in an outage.
 
-    The store is out by then. Told "not run", the caller would ask for another one
-    under a new key.
+    With the outcome "not run" the caller would repeat the request under a new key.
     """
     claims.settle(claim(claims, "a").claim, ANSWER)
     store.faults = ["unreached"]
     assert claim(claims, "b") == OutcomeLost()
 
 
-def test_retry_in_an_outage_of_what_was_given_up(claims, store):
+def test_retry_in_an_outage_of_a_released_claim(claims, store):
     claims.abandon(claim(claims, "a").claim)
     store.faults = ["unreached"]
     with pytest.raises(ClaimRefused):
         claim(claims, "b")
 
 
-def test_key_that_holds_something_else_never_runs(claims, store):
-    """The claim's key holds what a later version of the package wrote there."""
+def test_key_with_a_malformed_record_never_runs(claims, store):
+    """The key holds a value that a later version of the package wrote."""
     store.create(KEY.path, b'{"state": "paused"}')
     assert claim(claims, "a") == OutcomeLost()
--- a/tests/requests/test_claims_model.py
+++ b/tests/requests/test_claims_model.py
@@ -1,8 +1,8 @@
-"""Model check: claims under lost answers, late writes, crashes and freezes.
+"""Model check: claims under lost responses, late writes, crashes and pauses.
 
-Callers retry one key through several entries. In any order, entries
-stop between two calls of the store, or between the claim and the send, go on
-later or die there; the store's answers are lost and its writes land late.
+Callers retry one key through several entries. In any order, entries pause between
+two store calls, or between the claim and the attempt, and resume or crash; the store
+loses responses and applies writes late.
 """
 
 from uuid import uuid4
@@ -32,13 +32,13 @@
 
 
 class Attempt:
-    """One call of a caller through one entry, as the entry carries it out."""
+    """One call of a caller, as one entry processes it."""
 
     def __init__(self, model: "ClaimsModel", entry: int) -> None:
         self.entry = entry
         self.ran = False
         self.may_block = False
-        self.told: str | None = None
+        self.reply: str | None = None
         self.model = model
         self.claims = model.claims[entry]
         self.program = Program(self._run)
@@ -47,32 +47,32 @@
         try:
             result = self.claims.claim(KEY, "print", uuid4().hex, str(self.entry))
         except ClaimRefused:
-            self.told = "not run"
-            self.model.note_refusal(self.claims)
+            self.reply = "not run"
+            self.model.record_refusal(self.claims)
             return
         match result:
             case Granted(claim):
                 self._send(claim)
             case Answered(answer):
-                self._tell(answer)
+                self._reply(answer)
             case _:
-                self.told = "unknown"
+                self.reply = "unknown"
 
     def _send(self, claim) -> None:
         match wait():
             case None:
                 answer = self._execute()
-                self._tell(answer)
+                self._reply(answer)
                 self.claims.settle(claim, answer)
             case "unreached":
-                self.told = "not run"
+                self.reply = "not run"
                 self.claims.abandon(claim)
             case fault:
                 if fault == "lost_after":
                     self._execute()
                 if fault == "late":
                     self.model.store.late.append(self._execute)
-                self.told = "unknown"
+                self.reply = "unknown"
                 self.may_block = True
                 self.claims.mark_unknown(claim)
 
@@ -82,24 +82,24 @@
         self.model.runs += 1
         return StoredAnswer(200, (), uuid4().bytes)
 
-    def _tell(self, answer: StoredAnswer) -> None:
-        self.told = "answered"
-        self.model.answers.add(answer.body)
+    def _reply(self, answer: StoredAnswer) -> None:
+        self.reply = "answered"
+        self.model.responses.add(answer.body)
 
 
 class ClaimsModel(RuleBasedStateMachine):
-    """Entries that claim, send, settle and repair, stepped in any order."""
+    """Entries that claim, send and write outcomes, stepped in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.store = SteppedStore(ManualClock())
         self.claims = [self._new_claims() for _ in range(ENTRIES)]
-        self.repairs: dict[int, Program] = {}
+        self.outcome_writes: dict[int, Program] = {}
         self.attempts: list[Attempt] = []
         self.live: list[Attempt] = []
         self.runs = 0
         self.refused_after_run = False
-        self.answers: set[bytes] = set()
+        self.responses: set[bytes] = set()
 
     @rule(entry=entries, faults=several_faults)
     def call(self, entry, faults):
@@ -117,13 +117,15 @@
     def land(self, index):
         self.store.land(index % len(self.store.late))
 
-    @precondition(lambda self: any(claims.repairer.pending for claims in self.claims))
+    @precondition(
+        lambda self: any(claims.outcome_writer.pending for claims in self.claims)
+    )
     @rule(entry=entries, faults=several_faults)
-    def repair(self, entry, faults):
-        program = self.repairs.get(entry)
+    def write_outcome(self, entry, faults):
+        program = self.outcome_writes.get(entry)
         if program is None or program.done:
-            program = Program(lambda: self._repair(entry))
-            self.repairs[entry] = program
+            program = Program(lambda: self._write_outcome(entry))
+            self.outcome_writes[entry] = program
         program.step_all(faults)
 
     @rule(entry=entries, is_due=st.sampled_from((False, False, False, True)))
@@ -133,11 +135,11 @@
         for attempt in self.attempts:
             attempt.may_block |= attempt.entry == entry
         self.live = [item for item in self.live if item.entry != entry]
-        self.repairs.pop(entry, None)
+        self.outcome_writes.pop(entry, None)
         self.claims[entry] = self._new_claims()
 
-    def note_refusal(self, claims: Claims) -> None:
-        """Note whether the process that refuses a retry has run the request."""
+    def record_refusal(self, claims: Claims) -> None:
+        """Record whether the process that refuses a retry has run the request."""
         mine = [item for item in self.attempts if item.claims is claims]
         self.refused_after_run |= any(item.ran for item in mine)
 
@@ -150,25 +152,27 @@
         assert self.runs <= 1
 
     @invariant()
-    def not_run_is_true(self):
-        assert not any(item.ran and item.told == "not run" for item in self.attempts)
+    def not_run_is_correct(self):
+        assert not any(item.ran and item.reply == "not run" for item in self.attempts)
 
     @invariant()
-    def one_answer_a_key(self):
-        assert len(self.answers) <= 1
+    def one_response_per_key(self):
+        assert len(self.responses) <= 1
 
     def teardown(self):
-        """With the faults over, no attempt that was given up blocks the key."""
-        for program in [item.program for item in self.live] + [*self.repairs.values()]:
+        """Check that, after all faults, no withdrawn attempt blocks the key."""
+        for program in [item.program for item in self.live] + [
+            *self.outcome_writes.values()
+        ]:
             program.finish()
         for claims in self.claims:
-            while claims.repairer.pending:
-                claims.repairer.run_once()
+            while claims.outcome_writer.pending:
+                claims.outcome_writer.run_once()
         while self.store.late:
             self.store.land()
         self.runs_at_most_once()
-        self.not_run_is_true()
-        self.one_answer_a_key()
+        self.not_run_is_correct()
+        self.one_response_per_key()
         if not any(attempt.may_block for attempt in self.attempts):
             result = self.claims[0].claim(KEY, "print", uuid4().hex, "0")
             assert isinstance(result, Granted), result
@@ -180,9 +184,9 @@
     def _is_live(self, attempt: Attempt) -> bool:
         return attempt.claims in self.claims and not attempt.program.done
 
-    def _repair(self, entry: int) -> None:
+    def _write_outcome(self, entry: int) -> None:
         try:
-            self.claims[entry].repairer.run_once()
+            self.claims[entry].outcome_writer.run_once()
         except StoreError:
             return
 
--- a/tests/requests/test_homes_by_lease.py
+++ b/tests/requests/test_homes_by_lease.py
@@ -1,4 +1,4 @@
-"""Why claims are not kept by a home that holds a lease: it runs a request twice."""
+"""Why claims are not kept by a shard owner with a lease: requests may run twice."""
 
 from datetime import timedelta
 from random import Random
@@ -11,8 +11,8 @@
 TTL = timedelta(seconds=10)
 
 
-class LeaseHome:
-    """Home of a shard that remembers its keys, and sends while it has a permit."""
+class ShardOwner:
+    """Shard owner that keeps its keys in memory and sends while its lease permits."""
 
     def __init__(self, holder: LeaseHolder, runs: list[str]) -> None:
         self.holder = holder
@@ -20,7 +20,7 @@
         self._known: set[str] = set()
 
     def request(self, key: str) -> None:
-        """Run ``key`` unless this home has; it can be paused before the send."""
+        """Run ``key`` unless this owner has; it can be paused before sending."""
         if key in self._known:
             return
         self._known.add(key)
@@ -29,30 +29,30 @@
         self._runs.append(key)
 
 
-def test_paused_home_and_its_successor_both_run_a_request():
-    """A home checks its lease, and is paused before it sends the date hold.
+def test_paused_owner_and_its_successor_both_run_a_request():
+    """A shard owner checks its lease, and is paused before it sends a request.
 
-    The lease runs out. The new home waits out the old lease, knows nothing of the
-    key, and runs the caller's retry. Then the old home thaws and sends: two holds.
-    A plain service checks no fencing number, so nothing stops the second.
+    The lease expires. The new owner waits for that, does not know the key, and runs
+    the caller's retry. Then the old owner resumes and sends the request again. A
+    plain service checks no fencing number, so nothing prevents the second run.
     """
     clock = ManualClock()
     store = FakeStore(clock)
     runs: list[str] = []
-    homes = [
-        LeaseHome(LeaseHolder(store, "shard", name, clock, Random(1), TTL), runs)
+    owners = [
+        ShardOwner(LeaseHolder(store, "shard", name, clock, Random(1), TTL), runs)
         for name in ("entry-1", "entry-2")
     ]
-    _settle(homes[0].holder, clock)
-    paused = Program(lambda: homes[0].request("date-1"))
+    _acquire(owners[0].holder, clock)
+    paused = Program(lambda: owners[0].request("date-1"))
     clock.advance(TTL)
-    _settle(homes[1].holder, clock)
-    Program(lambda: homes[1].request("date-1")).finish()
+    _acquire(owners[1].holder, clock)
+    Program(lambda: owners[1].request("date-1")).finish()
     paused.finish()
     assert runs == ["date-1", "date-1"]
 
 
-def _settle(holder: LeaseHolder, clock: ManualClock) -> None:
+def _acquire(holder: LeaseHolder, clock: ManualClock) -> None:
     while holder.state != "holding":
         holder.step()
         clock.advance(TTL / 4)
--- a/tests/requests/test_transfers.py
+++ b/tests/requests/test_transfers.py
@@ -9,7 +9,7 @@
 from sassafrasdale.endpoints.directory import Directory
 from sassafrasdale.endpoints.engines import FromCache
 from sassafrasdale.peers.structures import HandOver
-from sassafrasdale.requests.exceptions import HandOverFaulty
+from sassafrasdale.requests.exceptions import MalformedHandOver
 from sassafrasdale.requests.handovers import pack, unpack
 from sassafrasdale.requests.placement import Progress
 from sassafrasdale.requests.registry import Registry
@@ -62,7 +62,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b"\xff"])
 def test_an_unreadable_parcel_is_refused(data):
-    with pytest.raises(HandOverFaulty):
+    with pytest.raises(MalformedHandOver):
         unpack(data, ManualClock())
 
 
