--- a/src/sassafrasdale/endpoints/directory.py
+++ b/src/sassafrasdale/endpoints/directory.py
@@ -29,12 +29,12 @@
     def __init__(self, instance: Instance, adapter: BaseAdapter) -> None:
         self._instance = instance
         self._adapter = adapter
-        self._life = Lifecycle(load_chart("endpoint"))
+        self._lifecycle = Lifecycle(load_chart("endpoint"))
         self._leaves_at: datetime | None = None
         self.in_flight = 0
         self.reported_load = 0
         self.reported_at: timedelta | None = None
-        self.own_at_report = 0
+        self.own_load_at_report = 0
 
     @property
     def name(self) -> str:
@@ -54,12 +54,12 @@
     @property
     def state(self) -> str:
         """State of the endpoint's chart."""
-        return self._life.state
+        return self._lifecycle.state
 
     @property
     def takes_work(self) -> bool:
         """Whether new work may go there."""
-        return self._life.state == "running"
+        return self._lifecycle.state == "running"
 
     @property
     def leaves_at(self) -> datetime | None:
@@ -71,18 +71,18 @@
 
         The list may say that an endpoint leaves before its notice says when.
         """
-        if not self._life.allows("notice"):
+        if not self._lifecycle.allows("notice"):
             news = self._leaves_at is None and leaves_at is not None
             self._leaves_at = self._leaves_at or leaves_at
-            return news and self._life.state == "leaving"
-        self._life.fire("notice")
+            return news and self._lifecycle.state == "leaving"
+        self._lifecycle.fire("notice")
         self._leaves_at = leaves_at
         return True
 
     def remove(self) -> None:
         """Forget the endpoint: the platform no longer lists it."""
-        if self._life.allows("delist"):
-            self._life.fire("delist")
+        if self._lifecycle.allows("delist"):
+            self._lifecycle.fire("delist")
 
     def report(self, load: int, own: int, now: timedelta) -> None:
         """Note the load that the endpoint reported.
@@ -93,7 +93,7 @@
         """
         self.reported_load = load
         self.reported_at = now
-        self.own_at_report = own
+        self.own_load_at_report = own
 
 
 class Directory:
--- a/src/sassafrasdale/requests/dispatcher.py
+++ b/src/sassafrasdale/requests/dispatcher.py
@@ -1,4 +1,4 @@
-"""Takes checked calls, runs them by their service's rules, keeps what is held."""
+"""Runs validated calls according to their service and the kind of request."""
 
 import json
 import random
@@ -34,21 +34,22 @@
     Unknown,
 )
 
-# When a call that a stop has cut short is worth asking again, through another entry.
+# Delay after which a caller should retry, through another entry, a call that a
+# stop interrupted.
 STOP_RETRY_AFTER = timedelta(seconds=1)
 STOPS = "this entry stops"
 
 
 class Dispatcher:
-    """Runs calls.
+    """Runs calls of plain and model services.
 
     :param name: name of this entry.
     :param selector: chooses endpoints.
-    :param gates: let requests into each service.
-    :param registry: keeps generations.
+    :param gates: admit requests to each service.
+    :param registry: holds generations.
     :param claims: claims of non-idempotent calls.
     :param ledger: counts how requests end.
-    :param is_alive: whether the entry of a name is alive, as far as is known.
+    :param is_alive: whether the entry of a given name is considered alive.
     :param clock: source of time.
     :param rng: source of claim ids.
     """
@@ -75,8 +76,8 @@
         self._is_entry_alive = is_alive
         self._clock = clock
         self._rng = rng
-        # A process that starts again under its name is another holder: it knows
-        # nothing of what the one before it sent.
+        # A process restarted under the same name is another holder: it does not
+        # know what its predecessor sent.
         self._holder = f"{name}/{self._unique_id()}"
         self._serving: set[GreenThread] = set()
         self._budgets: dict[str, RetryBudget] = {}
@@ -84,27 +85,27 @@
 
     @property
     def registry(self) -> Registry:
-        """The generations held."""
+        """The generations held here."""
         return self._registry
 
     @property
     def calls_running(self) -> int:
-        """Calls of plain services that are under way."""
+        """Number of running calls of plain services."""
         return len(self._serving)
 
     def serve(self, call: ServiceCall) -> Outcome:
-        """Run a call of a plain service and return how it ended.
+        """Run a call of a plain service and return its outcome.
 
-        :raises KeyReused: its idempotency key names another call.
+        :raises KeyReused: its idempotency key was used for another call.
         """
         began = self._ledger.begin(call.call)
         task = current_task()
         self._serving.add(task)
         outcome: Outcome | None = None
         try:
-            outcome = self._enter_and_run(call)
+            outcome = self._admit_and_run(call)
         except EntryStopping as error:
-            # It may have been sent, and a keyed one be claimed.
+            # It may have been sent, or claimed if it has an idempotency key.
             outcome = Unknown(error.message, STOP_RETRY_AFTER)
         finally:
             self._serving.discard(task)
@@ -112,16 +113,17 @@
         return outcome
 
     def give_up_all(self) -> None:
-        """Have every caller that is still waiting told what is known.
+        """Abort all running calls, so that every waiting caller gets an outcome.
 
-        A call of a plain service can't be handed over, as its answer comes on a
-        connection of this entry; nor a keyed model call, whose claim is this
-        entry's. Without an answer a caller could not tell a stop from a loss.
+        A call of a plain service can't be handed over, as its response comes on a
+        connection of this entry; nor a model call with an idempotency key, whose
+        claim this entry holds. Without a response a caller could not distinguish a
+        stop from a crash.
         """
         for task in tuple(self._serving):
             interrupt(task, EntryStopping(STOPS))
         for generation in self._registry.running:
-            # Its end is written to the store, which must not hold up the others.
+            # Its outcome may be written to the store, which must not delay the others.
             spawn(generation.abandon, STOPS)
 
     def generate(
@@ -130,10 +132,10 @@
         *,
         on_end: Callable[[Generation], None] = lambda generation: None,
     ) -> Generation:
-        """Start a model call and return it, held here.
+        """Start a model call and return its generation, held here.
 
         :param on_end: called when it has ended.
-        :raises RequestIdTaken: its id names another request.
+        :raises RequestIdTaken: its id is used by another request.
         """
         began = self._ledger.begin(call.call)
 
@@ -161,10 +163,11 @@
         return generation
 
     def generate_once(self, call: ModelCall) -> Generation | Outcome:
-        """Run a keyed model call at most once; return it, or its first outcome.
+        """Run a model call with an idempotency key at most once.
 
-        :raises KeyReused: its idempotency key names another call.
-        :raises RequestIdTaken: its id names another request.
+        :returns: its generation, or the outcome of its first execution.
+        :raises KeyReused: its idempotency key was used for another call.
+        :raises RequestIdTaken: its id is used by another request.
         """
         body = json.dumps(call.body, sort_keys=True).encode()
         claimant = self._claimant(call, xxh3_128_hexdigest(body))
@@ -172,7 +175,7 @@
         if not isinstance(obtained, Claim):
             return obtained
 
-        def conclude(generation: Generation) -> None:
+        def finish_claim(generation: Generation) -> None:
             match generation.outcome:
                 case Answered() as answered:
                     claimant.settle(obtained, answered)
@@ -182,15 +185,15 @@
                     claimant.mark_unknown(obtained)
 
         try:
-            return self.generate(call, on_end=conclude)
+            return self.generate(call, on_end=finish_claim)
         except BaseException:
             claimant.abandon(obtained)
             raise
 
     def take_over(self, call: ModelCall, progress: Progress) -> Generation:
-        """Hold a generation that another entry began.
+        """Continue a generation that another entry started.
 
-        :param progress: how far the earlier holder came.
+        :param progress: the previous holder's progress.
         :raises RequestIdTaken: it is held here already.
         """
         generation = Generation(
@@ -205,13 +208,13 @@
         return generation
 
     def is_alive(self, holder: str) -> bool:
-        """Return whether the process that made a claim may still run it."""
+        """Return whether the process that made a claim may still run the request."""
         name = holder.rpartition("/")[0]
         if name == self._name:
             return holder == self._holder
         return self._is_entry_alive(name)
 
-    def _enter_and_run(self, call: ServiceCall) -> Outcome:
+    def _admit_and_run(self, call: ServiceCall) -> Outcome:
         gate = self._gates.of(call.call.service)
         ticket = gate.enter(call.call)
         if isinstance(ticket, NotRun):
@@ -225,11 +228,11 @@
 
     def _execution(self, call: ServiceCall) -> IdempotentExecution | GuardedExecution:
         about = call.call
-        wanted = self._selector.wanted(about.service, about.deadline, about.priority)
+        query = self._selector.wanted(about.service, about.deadline, about.priority)
         observe = self._selector.observe
 
         def choose(avoid: frozenset[str]) -> Endpoint | None:
-            return self._selector.choose(wanted, avoid)
+            return self._selector.choose(query, avoid)
 
         if about.idempotent:
             budget = self._budgets.setdefault(about.service, RetryBudget())
@@ -250,8 +253,8 @@
         return Claimant(call.call, identity, self.is_alive, self._claims, self._clock)
 
     def _placement(self, call: ModelCall) -> Placement:
-        """Return how a generation finds its engines."""
-        wanted = self._selector.wanted(
+        """Return the means by which a generation finds its engines."""
+        query = self._selector.wanted(
             call.call.service,
             call.call.deadline,
             call.call.priority,
@@ -259,11 +262,11 @@
             opening=call.opening,
             max_tokens=call.max_tokens,
         )
-        watch = self._selector.watch(call.call.request_id)
+        tracker = self._selector.track(call.call.request_id)
         return Placement(
-            choose=lambda avoid: self._selector.choose(wanted, avoid, watch),
+            choose=lambda avoid: self._selector.choose(query, avoid, tracker),
             observe=self._selector.observe,
-            watch=watch,
+            tracker=tracker,
         )
 
     def _unique_id(self) -> str:
@@ -271,6 +274,6 @@
 
 
 def fingerprint(call: ServiceCall) -> str:
-    """Return a hash of what a call asks for, whoever asks and when."""
+    """Return a hash of a call's content, without its caller and time."""
     parts = (call.method.encode(), call.target.encode(), call.body)
     return xxh3_128_hexdigest(b"\0".join(parts))
--- a/src/sassafrasdale/requests/generation.py
+++ b/src/sassafrasdale/requests/generation.py
@@ -88,7 +88,7 @@
         self._call = call
         self._choose = placement.choose
         self._observe = placement.observe
-        self._watch = placement.watch
+        self._tracker = placement.tracker
         self._clock = clock
         self._gate = gate
         self._taken_over = progress is not None
@@ -96,7 +96,7 @@
         self._transcript = Transcript(progress.events)
         self._course = Course(call, self._transcript, progress)
         self._on_end = on_end
-        self._life = Lifecycle(load_chart("request"))
+        self._lifecycle = Lifecycle(load_chart("request"))
         self._outcome: Outcome | None = None
         self._thread: GreenThread | None = None
         self._reading = False
@@ -115,7 +115,7 @@
     @property
     def state(self) -> str:
         """State of the request's chart."""
-        return self._life.state
+        return self._lifecycle.state
 
     @property
     def outcome(self) -> Outcome | None:
@@ -190,7 +190,7 @@
         if isinstance(ticket, NotRun):
             self._end(ticket)
             return
-        self._life.fire("admit")
+        self._lifecycle.fire("admit")
         try:
             self._end(self._outcome_of_run())
         finally:
@@ -247,7 +247,7 @@
         if self.ended:
             return
         self._handed_over = True
-        self._life.fire("hand_over")
+        self._lifecycle.fire("hand_over")
         self._stop_reading()
         self._transcript.wake_readers()
 
@@ -337,10 +337,10 @@
         """Read the stream from ``endpoint``; return whether it came to its end."""
         self._course.runs_at(endpoint)
         self._reading = True
-        if self._life.allows("send"):
-            self._life.fire("send")
+        if self._lifecycle.allows("send"):
+            self._lifecycle.fire("send")
         endpoint.in_flight += 1
-        self._watch.sent(endpoint.name)
+        self._tracker.start(endpoint.name)
         if not self._call.call.idempotent and not self._course.sent:
             # On a connection that is silent for good the call would be lost in
             # doubt, and a keyed call is not sent again.
@@ -365,7 +365,7 @@
             raise
         finally:
             self._reading = False
-            self._watch.ended()
+            self._tracker.end()
             endpoint.in_flight -= 1
 
     def _pass_on(self, stream: EventStream) -> bool:
@@ -376,7 +376,7 @@
             if self._first_event_at is None:
                 self._first_event_at = self._clock.elapsed()
             self._transcript.extend(kept)
-            self._watch.received(len(kept))
+            self._tracker.record_tokens(len(kept))
             if kept[-1] == DONE:
                 stream.release()
                 return True
@@ -431,8 +431,8 @@
             return
         self._outcome = outcome
         event = end_event(outcome)
-        if self._life.allows(event):
-            self._life.fire(event)
+        if self._lifecycle.allows(event):
+            self._lifecycle.fire(event)
         self._transcript.wake_readers()
         self._on_end(self)
 
--- a/src/sassafrasdale/requests/mover.py
+++ b/src/sassafrasdale/requests/mover.py
@@ -86,10 +86,10 @@
 
     def _target(self, leaving: Endpoint) -> StreamTarget | None:
         """Return an endpoint that could go on, if there is one."""
-        wanted = self._selector.wanted(
+        query = self._selector.wanted(
             leaving.instance.service, self._clock.elapsed(), priority=0
         )
-        target = self._selector.choose(wanted, frozenset({leaving.name}))
+        target = self._selector.choose(query, frozenset({leaving.name}))
         return StreamTarget(target.name) if target else None
 
 
--- a/src/sassafrasdale/requests/placement.py
+++ b/src/sassafrasdale/requests/placement.py
@@ -1,21 +1,21 @@
-"""Where a generation runs: how it finds its engines, and how far it has come."""
+"""How a generation finds its engines, and its progress."""
 
 from dataclasses import dataclass
 
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.endpoints.engines import FromCache
 from sassafrasdale.requests.execution import Choose, Observe
-from sassafrasdale.requests.sends import SendWatch
+from sassafrasdale.requests.sends import AttemptTracker
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """How far a generation has come: what another holder needs to go on.
+    """Progress of a generation, from which another holder can continue.
 
     :param events: events received; the first has position 1.
-    :param endpoint: where the engine's stream runs; None if it runs nowhere.
-    :param cache: the KV cache to go on with, if it was exported.
-    :param sent: whether an endpoint may have begun to run the request.
+    :param endpoint: the engine that runs the stream, or None.
+    :param cache: the exported KV cache to continue with, or None.
+    :param sent: whether an endpoint may have started the request.
     """
 
     events: list[bytes]
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """How a generation finds its engines, and whom it tells how they do.
+    """How a generation finds its engines, and where it records their behaviour.
 
-    :param choose: gives an endpoint, or None if there is none; its argument names
-        endpoints not to take.
-    :param observe: told whether an endpoint answered.
-    :param watch: told of sends and tokens.
+    :param choose: returns an endpoint, or None if there is none; its argument names
+        the endpoints to avoid.
+    :param observe: records whether an endpoint responded.
+    :param tracker: records attempts and tokens.
     """
 
     choose: Choose
     observe: Observe
-    watch: SendWatch
+    tracker: AttemptTracker
--- a/src/sassafrasdale/requests/selection.py
+++ b/src/sassafrasdale/requests/selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to: what the entry knows, put to the policy."""
+"""Chooses endpoints by the routing policy, from the entry's data about them."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -17,24 +17,24 @@
 )
 from sassafrasdale.endpoints.directory import Directory, Endpoint
 from sassafrasdale.requests.gates import max_in_flight
-from sassafrasdale.requests.sends import Sends, SendWatch
+from sassafrasdale.requests.sends import AttemptTracker, OwnAttempts
 from sassafrasdale.text.current import CurrentText
 from sassafrasdale.text.structures import Service
 
-# Length of a token, to estimate a prompt's tokens without a tokenizer.
+# Assumed length of a token, to estimate a prompt's tokens without a tokenizer.
 CHARACTERS_PER_TOKEN = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What a choice of an endpoint is for.
+class EndpointQuery:
+    """Request properties that matter for the choice of an endpoint.
 
     :param service: name of the service.
     :param blocks: hashes of the prompt's blocks, empty for a plain call.
-    :param conversation: hash of how the conversation begins, if it is one.
+    :param conversation: hash of the conversation's first messages, or None.
     :param prompt_tokens: estimated length of the prompt, in tokens.
-    :param max_tokens: most tokens that the answer may have.
-    :param priority: 0 goes first, 7 last.
+    :param max_tokens: maximum length of the response, in tokens.
+    :param priority: from 0, the most urgent, to 7.
     :param deadline: elapsed time of the clock by which it must be answered.
     """
 
@@ -50,9 +50,9 @@
 class Selector:
     """Chooses endpoints for one entry.
 
-    :param directory: the endpoints known.
-    :param current: the text in force.
-    :param availability_zone: where this entry runs.
+    :param directory: the known endpoints.
+    :param current: the current configuration.
+    :param availability_zone: this entry's availability zone.
     :param clock: source of time.
     :param rng: source of randomness.
     """
@@ -71,7 +71,7 @@
         self._clock = clock
         self._rng = rng
         self._prefixes = PrefixIndex()
-        self._sends = Sends()
+        self._own_attempts = OwnAttempts()
         self._present: set[str] = set()
         self._rings: dict[str, HashRing] = {}
         self._other_entries = 0
@@ -87,13 +87,13 @@
         prompt: str = "",
         opening: Sequence[str] = (),
         max_tokens: int = 0,
-    ) -> Wanted:
-        """Return what to choose an endpoint for; hashes the prompt once.
+    ) -> EndpointQuery:
+        """Return the query for a request, with the prompt's hashes.
 
         :param prompt: text of all messages.
         :param opening: messages up to and including the user's first.
         """
-        return Wanted(
+        return EndpointQuery(
             service=service,
             deadline=deadline,
             priority=priority,
@@ -103,20 +103,23 @@
             max_tokens=max_tokens,
         )
 
-    def watch(self, request_id: str) -> SendWatch:
-        """Return what follows the sends of one generation."""
-        return SendWatch(request_id, self._sends, self._clock)
+    def track(self, request_id: str) -> AttemptTracker:
+        """Return a tracker for the attempts of one generation."""
+        return AttemptTracker(request_id, self._own_attempts, self._clock)
 
     def choose(
-        self, wanted: Wanted, avoid: frozenset[str], watch: SendWatch | None = None
+        self,
+        query: EndpointQuery,
+        avoid: frozenset[str],
+        tracker: AttemptTracker | None = None,
     ) -> Endpoint | None:
-        """Return the endpoint for a request, or None if none takes it.
+        """Return the endpoint for a request, or None if none is available.
 
-        :param avoid: names of endpoints not to take.
-        :param watch: told what is expected of the endpoint.
+        :param avoid: names of endpoints to avoid.
+        :param tracker: receives the prompt tokens not cached on the endpoint.
         """
         text = self._current.text
-        service = text.services.get(wanted.service) if text else None
+        service = text.services.get(query.service) if text else None
         if service is None:
             return None
         now = self._clock.elapsed()
@@ -125,62 +128,67 @@
             recomputed_tokens=service.weights.recomputed_tokens,
             mirrored_entries=float(self._other_entries),
         )
-        matches = self._prefixes.matches(wanted.blocks) if wanted.blocks else {}
-        home, second_home = self._homes(wanted)
+        matches = self._prefixes.matches(query.blocks) if query.blocks else {}
+        owner, fallback_owner = self._owners(query)
         request = RoutingRequest(
-            prompt_tokens=wanted.prompt_tokens,
-            max_tokens=wanted.max_tokens,
-            priority=wanted.priority,
-            remaining=wanted.deadline - now,
+            prompt_tokens=query.prompt_tokens,
+            max_tokens=query.max_tokens,
+            priority=query.priority,
+            remaining=query.deadline - now,
             home_availability_zone=self._availability_zone,
-            home=home,
-            second_home=second_home,
+            home=owner,
+            second_home=fallback_owner,
+        )
+        candidates = self._candidates(query.service, avoid, now)
+        cached_tokens = {
+            name: tokens for name, tokens in matches.items() if name in candidates
+        }
+        owners = [name for name in (owner, fallback_owner) if name in candidates]
+        sampled = draw_candidates(
+            list(candidates), cached_tokens, owners, policy, self._rng
         )
-        fit = self._fit_endpoints(wanted.service, avoid, now)
-        known = {name: tokens for name, tokens in matches.items() if name in fit}
-        homes = [name for name in (home, second_home) if name in fit]
-        drawn = draw_candidates(list(fit), known, homes, policy, self._rng)
         views = [
-            self._view(fit[name], service, known.get(name, 0), now) for name in drawn
+            self._view(candidates[name], service, cached_tokens.get(name, 0), now)
+            for name in sampled
         ]
         chosen = choose(request, views, policy, self._rng)
         if chosen is None:
             return None
-        if wanted.blocks:
-            self._prefixes.record(chosen.name, wanted.blocks)
-        if watch is not None:
-            watch.expect(max(0, wanted.prompt_tokens - chosen.cached_tokens))
-        return fit[chosen.name]
+        if query.blocks:
+            self._prefixes.record(chosen.name, query.blocks)
+        if tracker is not None:
+            tracker.set_uncached(max(0, query.prompt_tokens - chosen.cached_tokens))
+        return candidates[chosen.name]
 
     def observe(
         self, endpoint: Endpoint, *, ok: bool, latency: timedelta | None = None
     ) -> None:
-        """Note that an endpoint answered, or failed to.
+        """Record that an endpoint responded, or failed to.
 
-        :param latency: time of an answer, for calls that take alike.
+        :param latency: response time, for calls of comparable duration.
         """
         health = self._health_of(endpoint.instance.service)
         now = self._clock.elapsed()
         health.observe(endpoint.name, ok=ok, now=now, latency=latency)
 
     def ejected(self, service: str) -> frozenset[str]:
-        """Return the endpoints that are left out for their failures at present."""
+        """Return the endpoints that are currently ejected for their failures."""
         weights = self._health_of(service).weights(self._clock.elapsed())
         return frozenset(name for name, weight in weights.items() if not weight)
 
     def set_prices(self, prices: Iterable[Price]) -> None:
-        """Take the platform's prices."""
+        """Set the platform's prices."""
         self._prices = {
             (p.availability_zone, p.instance_class, p.reclaimable): p.price_per_hour
             for p in prices
         }
 
     def set_other_entries(self, count: int) -> None:
-        """Take the number of other entries, which act on the same load reports."""
+        """Set the number of other entries, which use the same load reports."""
         self._other_entries = count
 
     def refresh(self) -> None:
-        """Forget endpoints that the directory does not know any more."""
+        """Drop the data of endpoints that are no longer in the directory."""
         names: dict[str, set[str]] = {}
         for endpoint in self._directory.endpoints:
             names.setdefault(endpoint.instance.service, set()).add(endpoint.name)
@@ -189,52 +197,56 @@
         present = {endpoint.name for endpoint in self._directory.endpoints}
         for gone in self._present - present:
             self._prefixes.forget(gone)
-            self._sends.forget(gone)
+            self._own_attempts.forget(gone)
         if self._present != present:
             self._rings.clear()
         self._present = present
 
-    def _homes(self, wanted: Wanted) -> tuple[str, str]:
-        """Return the endpoints where entries meet that don't know a conversation."""
-        if wanted.conversation is None:
+    def _owners(self, query: EndpointQuery) -> tuple[str, str]:
+        """Return the conversation's owner and fallback owner.
+
+        Entries that have not seen a conversation before choose the same endpoints
+        for it by consistent hashing.
+        """
+        if query.conversation is None:
             return "", ""
-        ring = self._rings.get(wanted.service)
+        ring = self._rings.get(query.service)
         if ring is None:
-            serving = self._directory.serving(wanted.service)
-            ring = self._rings[wanted.service] = HashRing(e.name for e in serving)
-        return ring.homes(wanted.conversation)
+            serving = self._directory.serving(query.service)
+            ring = self._rings[query.service] = HashRing(e.name for e in serving)
+        return ring.homes(query.conversation)
 
     def _health_of(self, service: str) -> Health:
         if service not in self._health:
             self._health[service] = Health(self._rng)
         return self._health[service]
 
-    def _fit_endpoints(
+    def _candidates(
         self, service: str, avoid: frozenset[str], now: timedelta
     ) -> dict[str, Endpoint]:
-        """Return the endpoints that take part in a choice, by name.
+        """Return the candidates for a choice, by name.
 
-        If chance or their failures leave all of them out, all take part: an
-        endpoint that is slow or was failing is better than none.
+        If random selection or ejection excludes all of them, all are candidates: a
+        slow or failing endpoint is better than none.
         """
         weights = self._health_of(service).weights(now)
-        left = {
+        available = {
             endpoint.name: endpoint
             for endpoint in self._directory.serving(service)
             if endpoint.name not in avoid
         }
-        fit = {
+        candidates = {
             name: endpoint
-            for name, endpoint in left.items()
-            if self._is_fit(endpoint, weights)
+            for name, endpoint in available.items()
+            if self._is_candidate(endpoint, weights)
         }
-        return fit or left
+        return candidates or available
 
-    def _is_fit(self, endpoint: Endpoint, weights: dict[str, float]) -> bool:
-        """Return whether an endpoint takes part, by its health's weight.
+    def _is_candidate(self, endpoint: Endpoint, weights: dict[str, float]) -> bool:
+        """Return whether an endpoint is a candidate, at random by its health weight.
 
-        A readmitted endpoint takes part in a growing share of choices, so that
-        it isn't overrun at once.
+        A readmitted endpoint is a candidate for a growing share of the requests, so
+        that it isn't overloaded at once.
         """
         weight = weights.get(endpoint.name, 1.0)
         return weight >= 1.0 or self._rng.random() < weight
@@ -244,7 +256,7 @@
     ) -> EndpointView:
         instance = endpoint.instance
         reported_at = endpoint.reported_at
-        price_of = (
+        price_key = (
             instance.availability_zone,
             instance.instance_class,
             instance.reclaimable,
@@ -255,18 +267,18 @@
             instance_class=instance.instance_class,
             in_flight=endpoint.in_flight,
             reported_load=endpoint.reported_load,
-            own_at_report=endpoint.own_at_report,
+            own_at_report=endpoint.own_load_at_report,
             report_age=None if reported_at is None else now - reported_at,
             max_in_flight=max_in_flight(service, instance.instance_class),
-            price_per_hour=self._prices.get(price_of, 0.0),
-            distance=self._distance(instance.availability_zone),
-            own_tokens=self._sends.tokens_waiting(endpoint.name),
+            price_per_hour=self._prices.get(price_key, 0.0),
+            distance=self._network_delay(instance.availability_zone),
+            own_tokens=self._own_attempts.prefill_tokens(endpoint.name),
             cached_tokens=cached,
-            queueing=self._sends.queueing(endpoint.name, now),
-            slowness=self._sends.slowness(endpoint.name, now),
+            queueing=self._own_attempts.queue_time(endpoint.name, now),
+            slowness=self._own_attempts.slowness(endpoint.name, now),
         )
 
-    def _distance(self, availability_zone: str) -> timedelta:
+    def _network_delay(self, availability_zone: str) -> timedelta:
         zone = self._current.text.availability_zones.get(self._availability_zone)
         if zone is None:
             return timedelta()
--- a/tests/endpoints/test_reports.py
+++ b/tests/endpoints/test_reports.py
@@ -56,7 +56,7 @@
         clock.advance(SECOND)
     reader.ask(engine)
     assert engine.reported_load == 9
-    assert engine.own_at_report == 3
+    assert engine.own_load_at_report == 3
     assert clock.elapsed() - engine.reported_at == 10 * SECOND
 
 
@@ -65,5 +65,5 @@
     engine.adapter.lag = lag
     engine.in_flight = 4
     reader.ask(engine)
-    assert engine.own_at_report == 4
+    assert engine.own_load_at_report == 4
     assert engine.reported_at == clock.elapsed()
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -1,4 +1,4 @@
-"""Engines and choices in memory, for tests of one generation."""
+"""In-memory engines and endpoint choices, for tests of one generation."""
 
 import json
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 from sassafrasdale.endpoints.exceptions import EndpointError
 from sassafrasdale.requests.generation import Generation
 from sassafrasdale.requests.placement import Placement
-from sassafrasdale.requests.sends import Sends, SendWatch
+from sassafrasdale.requests.sends import AttemptTracker, OwnAttempts
 from sassafrasdale.requests.structures import Call, ModelCall
 from sassafrasdale.structures import Address, Instance, Role
 
@@ -29,11 +29,11 @@
 
 
 class FakeAdapter:
-    """Connections to an engine that follows a script.
+    """Connections to a scripted engine.
 
-    :param streams: what each stream brings, in the order of the calls: events or
-        errors. A stream ends with its script, as if the connection were closed.
-    :param controls: answers to control calls, by the end of their path.
+    :param streams: scripts of the streams in the order of the calls: events or
+        errors. At the end of its script a stream ends as if the connection closed.
+    :param controls: responses to control calls, by the last segment of their path.
     """
 
     def __init__(
@@ -72,13 +72,13 @@
 
 
 def endpoint(name: str, adapter: FakeAdapter) -> Endpoint:
-    """Return an endpoint that speaks through ``adapter``."""
+    """Return an endpoint that uses ``adapter``."""
     address = Address("127.0.0.1", 1)
     return Endpoint(Instance(name, Role.ENDPOINT, "zone-a", address), adapter)
 
 
 class Choices:
-    """Gives endpoints in turn; None where the script says so."""
+    """Returns the given endpoints in turn, then None."""
 
     def __init__(self, *endpoints: Endpoint | None) -> None:
         self._endpoints = list(endpoints)
@@ -97,12 +97,12 @@
 
 
 def generation(choose: Choices, call: ModelCall | None = None, **options) -> Generation:
-    """Return a generation on a clock that stands still."""
+    """Return a generation, by default on a clock that does not advance."""
     options.setdefault("clock", ManualClock())
     clock = options.pop("clock")
     placement = Placement(
         choose=choose,
         observe=lambda endpoint, *, ok: None,
-        watch=SendWatch("id-1", Sends(), clock),
+        tracker=AttemptTracker("id-1", OwnAttempts(), clock),
     )
     return Generation(call or model_call(), placement, clock, **options)
--- a/tests/requests/test_mover.py
+++ b/tests/requests/test_mover.py
@@ -24,7 +24,7 @@
 def _mover(clock, registry):
     target = endpoint("two", FakeAdapter([]))
     selector = SimpleNamespace(
-        wanted=lambda *arguments, **options: None, choose=lambda wanted, avoid: target
+        wanted=lambda *arguments, **options: None, choose=lambda query, avoid: target
     )
     return Mover(registry, selector, clock)
 
--- a/tests/requests/test_selection.py
+++ b/tests/requests/test_selection.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of endpoints from what an entry knows."""
+"""Tests of the choice of endpoints."""
 
 import random
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def directory() -> Directory:
-    """Return three record services."""
+    """Return a directory of three endpoints of one service."""
     directory = Directory(ManualClock(), adapter_factory=lambda address: None)
     address = Address("127.0.0.1", 1)
     directory.replace(
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def selector(directory: Directory) -> Selector:
-    """Return a selector of the Authority's text."""
+    """Return a selector with the example configuration."""
     clock = ManualClock()
     current = CurrentText()
     text = EXAMPLE.read_text(encoding="utf-8")
@@ -43,35 +43,35 @@
     return selector
 
 
-def test_a_slow_endpoint_is_taken_when_it_is_the_only_one(
+def test_the_only_endpoint_is_chosen_though_slow(
     directory: Directory, selector: Selector
 ):
-    """Callers were told that no endpoint takes their request, while one did.
+    """Requests are refused although an endpoint is available.
 
-    Of three endpoints two were reclaimed. The third had been slow, so that it
-    was left out of most choices by chance, also when there was no other.
+    Two of three endpoints are reclaimed. The third was slow, so random selection
+    excludes it from most choices, even as the only one.
     """
     for endpoint in directory.endpoints:
         slow = endpoint.name == "records-0"
         for _ in range(30):
             selector.observe(endpoint, ok=True, latency=SLOW if slow else USUAL)
-    wanted = selector.wanted("records", timedelta(minutes=1), 0)
+    query = selector.wanted("records", timedelta(minutes=1), 0)
     avoid = frozenset({"records-1", "records-2"})
-    chosen = [selector.choose(wanted, avoid) for _ in range(100)]
+    chosen = [selector.choose(query, avoid) for _ in range(100)]
     assert all(chosen)
-    assert selector.choose(wanted, avoid | {"records-0"}) is None
+    assert selector.choose(query, avoid | {"records-0"}) is None
 
 
-def test_ejected_endpoints_are_taken_when_there_is_no_other(
+def test_ejected_endpoints_are_chosen_when_there_is_no_other(
     directory: Directory, selector: Selector
 ):
-    """A zone's failure brought down a service whose last endpoints were well.
+    """A service refuses every request although endpoints are left.
 
-    Two endpoints were left out for their failures when the third was reclaimed;
-    trying one of them is better than refusing every request.
+    Two endpoints are ejected for their failures when the third is reclaimed; trying
+    one of them is better than refusing.
     """
     for endpoint in directory.endpoints[:2]:
         for _ in range(10):
             selector.observe(endpoint, ok=False)
-    wanted = selector.wanted("records", timedelta(minutes=1), 0)
-    assert selector.choose(wanted, frozenset({"records-2"}))
+    query = selector.wanted("records", timedelta(minutes=1), 0)
+    assert selector.choose(query, frozenset({"records-2"}))
--- a/tests/requests/test_sends.py
+++ b/tests/requests/test_sends.py
@@ -1,58 +1,58 @@
-"""Tests of what an entry learns from its own sends."""
+"""Tests of load estimates from an entry's own attempts."""
 
 from datetime import timedelta
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.requests.sends import OBSERVED_TOKENS, Sends, SendWatch
+from sassafrasdale.requests.sends import OBSERVED_TOKENS, AttemptTracker, OwnAttempts
 
 PROMPT_TOKENS = 800
 
 
-def _sent(sends: Sends, clock: ManualClock) -> SendWatch:
-    watch = SendWatch("id-1", sends, clock)
-    watch.expect(PROMPT_TOKENS)
-    watch.sent("engine-1")
-    return watch
+def _started(attempts: OwnAttempts, clock: ManualClock) -> AttemptTracker:
+    tracker = AttemptTracker("id-1", attempts, clock)
+    tracker.set_uncached(PROMPT_TOKENS)
+    tracker.start("engine-1")
+    return tracker
 
 
-def test_tokens_wait_until_the_first_token():
-    sends, clock = Sends(), ManualClock()
-    watch = _sent(sends, clock)
-    assert sends.tokens_waiting("engine-1") == PROMPT_TOKENS
-    watch.received(1)
-    watch.ended()
-    assert sends.tokens_waiting("engine-1") == 0
+def test_prompt_tokens_count_until_the_first_token():
+    attempts, clock = OwnAttempts(), ManualClock()
+    tracker = _started(attempts, clock)
+    assert attempts.prefill_tokens("engine-1") == PROMPT_TOKENS
+    tracker.record_tokens(1)
+    tracker.end()
+    assert attempts.prefill_tokens("engine-1") == 0
 
 
-def test_a_send_without_a_token_leaves_nothing_behind():
-    """An engine was avoided for good.
+def test_an_attempt_without_a_token_leaves_nothing_behind():
+    """An engine is avoided for good.
 
-    A stream broke off before its first token. Its prompt went on counting as
-    work ahead there, as nothing took it out again.
+    A stream is interrupted before its first token, and its prompt stays counted as
+    pending work on that engine.
     """
-    sends, clock = Sends(), ManualClock()
-    _sent(sends, clock).ended()
+    attempts, clock = OwnAttempts(), ManualClock()
+    _started(attempts, clock).end()
     clock.advance(timedelta(minutes=1))
-    assert sends.tokens_waiting("engine-1") == 0
-    assert sends.queueing("engine-1", clock.elapsed()) == timedelta()
+    assert attempts.prefill_tokens("engine-1") == 0
+    assert attempts.queue_time("engine-1", clock.elapsed()) == timedelta()
 
 
 def test_a_late_first_token_shows_a_queue():
-    sends, clock = Sends(), ManualClock()
-    watch = _sent(sends, clock)
+    attempts, clock = OwnAttempts(), ManualClock()
+    tracker = _started(attempts, clock)
     clock.advance(timedelta(seconds=3))
-    watch.received(1)
-    assert sends.queueing("engine-1", clock.elapsed()) > timedelta(seconds=2)
+    tracker.record_tokens(1)
+    assert attempts.queue_time("engine-1", clock.elapsed()) > timedelta(seconds=2)
 
 
 def test_slow_tokens_show_a_slow_engine():
-    sends, clock = Sends(), ManualClock()
-    for name, pause in (("engine-1", 200), ("engine-2", 20), ("engine-3", 20)):
-        watch = SendWatch(name, sends, clock)
-        watch.sent(name)
+    attempts, clock = OwnAttempts(), ManualClock()
+    for name, gap in (("engine-1", 200), ("engine-2", 20), ("engine-3", 20)):
+        tracker = AttemptTracker(name, attempts, clock)
+        tracker.start(name)
         for _ in range(OBSERVED_TOKENS):
-            watch.received(1)
-            clock.advance(timedelta(milliseconds=pause))
-        watch.ended()
-    assert sends.slowness("engine-1", clock.elapsed()) > 5
-    assert sends.slowness("engine-2", clock.elapsed()) == 1
+            tracker.record_tokens(1)
+            clock.advance(timedelta(milliseconds=gap))
+        tracker.end()
+    assert attempts.slowness("engine-1", clock.elapsed()) > 5
+    assert attempts.slowness("engine-2", clock.elapsed()) == 1
