--- a/src/sassafrasdale/requests/execution.py
+++ b/src/sassafrasdale/requests/execution.py
@@ -1,4 +1,4 @@
-"""One call of a plain service: where it goes, how often, and how it ended."""
+"""Execution of an idempotent call of a plain service, with retries and hedges."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -21,23 +21,23 @@
 )
 
 RETRY_AFTER = timedelta(seconds=1)
-# An attempt of an idempotent call gets this share of the time that is left, so
-# that a silent endpoint leaves time for another one.
-ATTEMPT_SHARE = 0.4
-MIN_ATTEMPT = timedelta(milliseconds=250)
+# Share of the remaining time that one attempt of an idempotent call may take, so
+# that an unresponsive endpoint leaves time for another one.
+ATTEMPT_TIME_SHARE = 0.4
+MIN_ATTEMPT_TIME = timedelta(milliseconds=250)
 
 Choose = Callable[[frozenset[str]], Endpoint | None]
 
 
 class Observe(Protocol):
-    """Takes note of how an endpoint did."""
+    """Records the behaviour of an endpoint."""
 
     def __call__(
         self, endpoint: Endpoint, *, ok: bool, latency: timedelta | None = None
     ) -> None:
-        """Note that ``endpoint`` answered, or failed to.
+        """Record that ``endpoint`` responded, or failed to.
 
-        :param latency: time of an answer, for calls that take alike.
+        :param latency: response time, for calls of comparable duration.
         """
 
 
@@ -45,11 +45,11 @@
     """A call that may be sent more than once.
 
     :param call: what the caller asked for.
-    :param choose: gives an endpoint, or None; its argument names endpoints not
-        to take.
-    :param observe: told whether an endpoint answered.
-    :param budget: retries that the service's successes allow.
-    :param hedger: decides on a second endpoint for a slow call.
+    :param choose: returns an endpoint, or None; its argument names the endpoints to
+        avoid.
+    :param observe: records whether an endpoint responded.
+    :param budget: retry budget, filled by the service's successes.
+    :param hedger: decides on hedging a slow call.
     :param clock: source of time.
     """
 
@@ -68,35 +68,35 @@
         self._budget = budget
         self._hedger = hedger
         self._clock = clock
-        self._life = Lifecycle(load_chart("request"))
+        self._lifecycle = Lifecycle(load_chart("request"))
         self._sent = False
         self._refused = False
 
     @property
     def state(self) -> str:
-        """State of the request's chart."""
-        return self._life.state
+        """State in the request statechart."""
+        return self._lifecycle.state
 
     def run(self) -> Outcome:
-        """Send the call until it is answered or given up."""
-        self._life.fire("admit")
+        """Make attempts until one is answered or none may follow."""
+        self._lifecycle.fire("admit")
         outcome = self._attempt_all()
         event = end_event(outcome)
-        if self._life.allows(event):
-            self._life.fire(event)
+        if self._lifecycle.allows(event):
+            self._lifecycle.fire(event)
         return outcome
 
     def _attempt_all(self) -> Outcome:
         avoid: set[str] = set()
-        again: Endpoint | None = None
+        same_endpoint: Endpoint | None = None
         while True:
             remaining = self._call.call.deadline - self._clock.elapsed()
             if remaining <= timedelta():
                 return self._give_up("the deadline has passed")
-            endpoint = again or self._choose(frozenset(avoid))
+            endpoint = same_endpoint or self._choose(frozenset(avoid))
             if endpoint is None:
                 return self._give_up("no endpoint takes the request now")
-            again = None
+            same_endpoint = None
             try:
                 answer = self._attempt(endpoint, remaining, avoid)
                 self._budget.deposit(self._clock.elapsed())
@@ -111,21 +111,22 @@
                 self._sent = True
                 reason = error.message
                 if error.silent and endpoint.takes_work:
-                    again = endpoint
+                    same_endpoint = endpoint
                 else:
                     self._observe(endpoint, ok=False)
-            if again is None and not self._may_repeat(endpoint, avoid):
-                return self._give_up(f"{reason}; the retry budget is spent")
-            if self._life.allows("retry"):
-                self._life.fire("retry")
-
-    def _may_repeat(self, endpoint: Endpoint, avoid: set[str]) -> bool:
-        """Avoid ``endpoint`` from now on; return whether the budget has a retry.
-
-        A call whose connection fell silent goes again to the same endpoint on a
-        fresh one, and needs no budget for it: all the calls of an entry fall
-        silent at once, more than any budget allows, and the endpoint has most
-        likely not seen them. The connections say how often that may be so.
+            if same_endpoint is None and not self._may_retry(endpoint, avoid):
+                return self._give_up(f"{reason}; the retry budget is exhausted")
+            if self._lifecycle.allows("retry"):
+                self._lifecycle.fire("retry")
+
+    def _may_retry(self, endpoint: Endpoint, avoid: set[str]) -> bool:
+        """Avoid ``endpoint`` from now on; return whether the budget allows a retry.
+
+        A call whose connection became unresponsive is sent to the same endpoint
+        again on a fresh connection, outside the budget: all calls of an entry may
+        become unresponsive at once, more than any budget allows, and the endpoint
+        has most likely not received them. The connection pools limit how often this
+        is assumed.
         """
         avoid.add(endpoint.name)
         return self._budget.try_spend(self._clock.elapsed())
@@ -133,36 +134,36 @@
     def _attempt(
         self, endpoint: Endpoint, remaining: timedelta, avoid: set[str]
     ) -> EndpointAnswer:
-        """Send to ``endpoint``, and to another one too if it is slow.
+        """Send to ``endpoint``, and hedge on another one if it is slow.
 
         :raises EndpointError: no attempt was answered.
         """
-        if self._life.allows("send"):
-            self._life.fire("send")
-        limit = min(remaining, max(remaining * ATTEMPT_SHARE, MIN_ATTEMPT))
-        patience = self._hedger.delay()
-        if patience is None or patience >= limit:
+        if self._lifecycle.allows("send"):
+            self._lifecycle.fire("send")
+        limit = min(remaining, max(remaining * ATTEMPT_TIME_SHARE, MIN_ATTEMPT_TIME))
+        hedge_delay = self._hedger.delay()
+        if hedge_delay is None or hedge_delay >= limit:
             return self._send(endpoint, limit)
         with Race() as race:
             race.start(endpoint, lambda: self._send(endpoint, limit))
-            finish = race.wait(patience)
-            if finish is None and (other := self._second(endpoint, avoid)):
-                # The first may run on and answer later; that is no matter for a
-                # call that may be repeated.
-                race.start(other, lambda: self._send(other, limit - patience))
-            finish = race.winner(finish)
-        if isinstance(finish.result, Exception):
-            raise finish.result
-        return finish.result
-
-    def _second(self, first: Endpoint, avoid: set[str]) -> Endpoint | None:
-        """Return an endpoint for a hedge, if one may be sent."""
-        if not self._hedger.has_room:
+            finished = race.wait(hedge_delay)
+            if finished is None and (hedge := self._hedge_endpoint(endpoint, avoid)):
+                # The first attempt may still run and respond later, which is
+                # harmless for an idempotent call.
+                race.start(hedge, lambda: self._send(hedge, limit - hedge_delay))
+            finished = race.winner(finished)
+        if isinstance(finished.result, Exception):
+            raise finished.result
+        return finished.result
+
+    def _hedge_endpoint(self, first: Endpoint, avoid: set[str]) -> Endpoint | None:
+        """Return an endpoint for a hedge, or None if hedging is not possible."""
+        if not self._hedger.has_spare_capacity:
             return None
-        other = self._choose(frozenset({*avoid, first.name}))
-        if other is None or not self._hedger.try_hedge():
+        hedge = self._choose(frozenset({*avoid, first.name}))
+        if hedge is None or not self._hedger.try_hedge():
             return None
-        return other
+        return hedge
 
     def _send(self, endpoint: Endpoint, limit: timedelta) -> EndpointAnswer:
         began = self._clock.elapsed()
@@ -183,7 +184,7 @@
 
 
 def endpoint_request(call: ServiceCall) -> EndpointRequest:
-    """Return the HTTP request that carries ``call`` to an endpoint."""
+    """Return the HTTP request for ``call`` to an endpoint."""
     headers = [*call.headers, ("X-Request-Id", call.call.request_id)]
     if call.call.idempotency_key:
         headers.append(("Idempotency-Key", call.call.idempotency_key))
--- a/src/sassafrasdale/requests/gate.py
+++ b/src/sassafrasdale/requests/gate.py
@@ -1,7 +1,7 @@
-"""Admission with waiting: holds a request until its service has room for it.
+"""Admission control: a request waits until its service has capacity for it.
 
-The decisions are ``sassafrasdale.decisions.admission``'s; a gate makes tasks
-wait for them.
+``sassafrasdale.decisions.admission`` makes the decisions; a gate lets tasks wait for
+them.
 """
 
 import random
@@ -22,16 +22,18 @@
 from sassafrasdale.green import Event
 from sassafrasdale.requests.structures import Answered, Call, NotRun, Outcome
 
-# Reasons that lie with one customer's limit, not with the service's load.
-CUSTOMER_REASONS = frozenset({ShedReason.RATE_LIMIT, ShedReason.CUSTOMER_IN_FLIGHT})
+# Reasons caused by a limit of the customer, not by the load of the service.
+CUSTOMER_LIMIT_REASONS = frozenset(
+    {ShedReason.RATE_LIMIT, ShedReason.CUSTOMER_IN_FLIGHT}
+)
 
 
 class Gate:
-    """The way into one service through one entry.
+    """Admits the requests of one entry to one service.
 
-    :param capacity: requests that the service's endpoints run at once.
-    :param live_entries: entries that share the endpoints.
-    :param customers: what each customer is entitled to.
+    :param capacity: number of requests that the service's endpoints run at once.
+    :param live_entries: number of entries that share the endpoints.
+    :param customers: share and limits of each customer.
     :param clock: source of time.
     :param rng: source of randomness.
 
@@ -54,23 +56,23 @@
         self._admission = Admission(limit, rng, customers)
         self._clock = clock
         self._waiting: dict[int, Event] = {}
-        self._began: dict[int, timedelta] = {}
+        self._admitted_at: dict[int, timedelta] = {}
 
     @property
     def admission(self) -> Admission:
-        """The decisions behind the gate."""
+        """The admission decisions of this gate."""
         return self._admission
 
     def enter(self, call: Call) -> Ticket | NotRun:
-        """Wait for room; return a ticket, or why there is none."""
+        """Wait for admission; return a ticket, or the refusal."""
         now = self._clock.elapsed()
         offered = self._admission.offer(
             call.customer, call.priority, now, call.deadline - now
         )
-        self._let_in()
+        self._wake_decided()
         match offered:
             case Admit(ticket):
-                self._began[ticket.number] = now
+                self._admitted_at[ticket.number] = now
                 return ticket
             case Shed():
                 return _refusal(offered)
@@ -80,33 +82,33 @@
     def leave(self, ticket: Ticket, outcome: Outcome | None) -> None:
         """End an admitted request.
 
-        :param outcome: how it ended; None if its caller went away.
+        :param outcome: its outcome; None if its caller disconnected.
         """
         now = self._clock.elapsed()
-        # Time in the queue is left out: the limit would take its own queue for
-        # an overloaded endpoint and sink.
-        began = self._began.pop(ticket.number, ticket.offered_at)
+        # The latency excludes the time in the queue: otherwise the limit would treat
+        # its own queue as an overloaded endpoint and decrease.
+        admitted_at = self._admitted_at.pop(ticket.number, ticket.offered_at)
         match outcome:
             case Answered():
-                self._admission.finish(ticket, now, ok=True, latency=now - began)
+                self._admission.finish(ticket, now, ok=True, latency=now - admitted_at)
             case NotRun(overloaded=True):
-                self._admission.finish(ticket, now, ok=False, latency=now - began)
+                self._admission.finish(ticket, now, ok=False, latency=now - admitted_at)
             case _:
-                # A dead endpoint or a caller that left says nothing about room.
+                # A crashed endpoint or a disconnected caller does not show the load.
                 self._admission.cancel(ticket)
-        self._let_in()
+        self._wake_decided()
 
     def sweep(self) -> None:
-        """Turn away requests whose deadline can't be met any more."""
-        self._let_in()
+        """Refuse waiting requests whose deadline can no longer be met."""
+        self._wake_decided()
 
     def set_share(self, capacity: int, live_entries: int) -> None:
-        """Take a changed capacity or number of entries."""
+        """Set the capacity and the number of entries."""
         self._admission.set_share(capacity, live_entries)
-        self._let_in()
+        self._wake_decided()
 
     def set_customers(self, customers: Mapping[str, CustomerShare]) -> None:
-        """Take the customers of a new revision of the text."""
+        """Set the customers of a new configuration revision."""
         self._admission.set_customers(customers)
 
     def _wait(self, ticket: Ticket) -> Ticket | NotRun:
@@ -115,23 +117,23 @@
             return event.wait()
         except BaseException:
             self._admission.cancel(ticket)
-            self._began.pop(ticket.number, None)
+            self._admitted_at.pop(ticket.number, None)
             raise
         finally:
             self._waiting.pop(ticket.number, None)
 
-    def _let_in(self) -> None:
-        """Wake every waiting request about which the admission has decided."""
+    def _wake_decided(self) -> None:
+        """Wake the waiting requests that are admitted or refused by now."""
         now = self._clock.elapsed()
         for shed in self._admission.expire(now):
-            self._tell(shed.ticket, _refusal(shed))
+            self._wake(shed.ticket, _refusal(shed))
         while (ticket := self._admission.next_admitted(now)) is not None:
-            self._began[ticket.number] = now
-            self._tell(ticket, ticket)
+            self._admitted_at[ticket.number] = now
+            self._wake(ticket, ticket)
 
-    def _tell(self, ticket: Ticket, decision: Ticket | NotRun) -> None:
-        # A ticket may be decided in the same call that offered it, before its
-        # task has begun to wait.
+    def _wake(self, ticket: Ticket, decision: Ticket | NotRun) -> None:
+        # The decision may be made in the same call that offered the request, before
+        # its task has begun to wait.
         event = self._waiting.setdefault(ticket.number, Event())
         if not event.ready():
             event.send(decision)
@@ -141,5 +143,5 @@
     return NotRun(
         f"turned away: {shed.reason.value}",
         max(shed.retry_after, timedelta(seconds=1)),
-        limited=shed.reason in CUSTOMER_REASONS,
+        limited=shed.reason in CUSTOMER_LIMIT_REASONS,
     )
--- a/src/sassafrasdale/requests/gates.py
+++ b/src/sassafrasdale/requests/gates.py
@@ -1,4 +1,4 @@
-"""The gates of all services, kept in step with the text and the endpoints."""
+"""The gates of all services, updated with the configuration and the endpoints."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -10,15 +10,15 @@
 from sassafrasdale.requests.gate import Gate
 from sassafrasdale.text.structures import Service, Text
 
-# Endpoints ejected or back since the last count change the room this late.
+# Interval for counting the capacity of endpoints, without the ejected ones.
 COUNT_INTERVAL = timedelta(seconds=1)
 
 
 class Gates:
-    """One gate a service.
+    """One gate per service.
 
-    :param directory: the endpoints known.
-    :param ejected: names the endpoints of a service left out for their failures.
+    :param directory: the known endpoints.
+    :param ejected: returns the names of a service's ejected endpoints.
     :param clock: source of time.
     :param rng: source of randomness.
     """
@@ -40,11 +40,11 @@
         self._live_entries = 1
 
     def of(self, service: str) -> Gate:
-        """Return the gate of a service that the text in force names."""
+        """Return the gate of a service of the current configuration."""
         return self._gates[service]
 
     def set_text(self, text: Text) -> None:
-        """Take a new revision of the text; a service's waiting requests stay."""
+        """Apply a new configuration revision; waiting requests keep waiting."""
         self._services = text.services
         customers = {
             name: CustomerShare(
@@ -69,22 +69,23 @@
         self.refresh()
 
     def set_live_entries(self, count: int) -> None:
-        """Take the number of entries that share the endpoints."""
+        """Set the number of entries that share the endpoints."""
         self._live_entries = max(count, 1)
         self.refresh()
 
     def refresh(self) -> None:
-        """Take the endpoints as the directory has them now."""
+        """Update the capacity from the directory's current endpoints."""
         self._counted_at = self._clock.elapsed()
         for name, gate in self._gates.items():
             if name in self._services:
                 gate.set_share(self._capacity(name), self._live_entries)
 
     def sweep(self) -> None:
-        """Turn away requests whose deadline can't be met any more.
+        """Refuse waiting requests whose deadline can no longer be met.
 
-        The capacity is counted anew: endpoints are ejected and come back between
-        two lists of instances, and a zone's worth of them is much of the room.
+        Also updates the capacity: endpoints are ejected and readmitted between two
+        updates of the instance list, and those of a whole zone are a large part of
+        the capacity.
         """
         if self._clock.elapsed() - self._counted_at >= COUNT_INTERVAL:
             self.refresh()
@@ -92,7 +93,7 @@
             gate.sweep()
 
     def _capacity(self, name: str) -> int:
-        """Return how many requests the service's endpoints run at once."""
+        """Return the number of requests that the service's endpoints run at once."""
         service = self._services[name]
         ejected = self._ejected(name)
         return sum(
@@ -103,7 +104,7 @@
 
 
 def max_in_flight(service: Service, instance_class: str) -> int:
-    """Return how many calls one endpoint of a class runs at a time."""
+    """Return the number of calls that an endpoint of a class runs at once."""
     for pool in service.pools:
         if pool.instance_class == instance_class:
             return pool.max_in_flight
--- a/src/sassafrasdale/requests/guarded.py
+++ b/src/sassafrasdale/requests/guarded.py
@@ -1,13 +1,13 @@
-"""One non-idempotent call: claimed in the store, then sent at most once.
+"""Execution of a non-idempotent call: claimed in the store, then sent at most once.
 
-The order is what the guarantee rests on:
+The guarantee depends on this order:
 
-1. a fresh connection to an endpoint, on which nothing has been sent;
-2. the claim, by create-if-absent in the platform's store;
-3. the first byte to the endpoint.
+1. open a fresh connection to an endpoint, on which nothing has been sent;
+2. create the claim in the platform's store, if absent;
+3. send the first byte to the endpoint.
 
-A claim never lapses while its holder may still send, so a holder that freezes
-after step 2 can only ever be the one that runs the request.
+A claim never expires while its holder may still send. So if a holder is paused after
+step 2, no other process can run the request.
 """
 
 from dataclasses import replace
@@ -31,18 +31,18 @@
 )
 
 RETRY_AFTER = timedelta(seconds=1)
-# A connection opened before the claim is used only if the claim came this soon;
-# after a longer wait, or a freeze of the process, it may be silent for good.
-CONNECTION_FRESH = timedelta(seconds=1)
+# Maximum age of a connection that was opened before the claim. After a longer wait,
+# or a pause of the process, the connection may be unresponsive for good.
+MAX_CONNECTION_AGE = timedelta(seconds=1)
 
 
 class GuardedExecution:
     """A call that at most one entry sends, once.
 
-    :param call: what the caller asked for; it has an idempotency key.
+    :param call: the caller's request; it has an idempotency key.
     :param claimant: claims the call.
-    :param choose: gives an endpoint, or None.
-    :param observe: told whether an endpoint answered.
+    :param choose: returns an endpoint, or None.
+    :param observe: records whether an endpoint responded.
     :param clock: source of time.
     """
 
@@ -58,76 +58,76 @@
         self._claimant = claimant
         self._observe = observe
         self._clock = clock
-        self._life = Lifecycle(load_chart("request"))
+        self._lifecycle = Lifecycle(load_chart("request"))
         self._avoid: set[str] = set()
-        self._link = Link(choose, observe, self._avoid, clock)
+        self._fresh = FreshConnection(choose, observe, self._avoid, clock)
 
     @property
     def state(self) -> str:
-        """State of the request's chart."""
-        return self._life.state
+        """State in the request statechart."""
+        return self._lifecycle.state
 
     def run(self) -> Outcome:
-        """Claim the call, send it once and return how it ended.
+        """Claim the call, send it once and return its outcome.
 
-        :raises KeyReused: the key names another request.
+        :raises KeyReused: the key was used for another request.
         """
-        self._life.fire("admit")
-        if not self._link.replace():
+        self._lifecycle.fire("admit")
+        if not self._fresh.replace():
             return self._refuse("no endpoint takes the request now")
         try:
             obtained = self._claimant.obtain()
             if isinstance(obtained, Claim):
-                self._life.fire("claim")
+                self._lifecycle.fire("claim")
                 return self._send_once(obtained)
-            return self._told(obtained)
+            return self._end_unsent(obtained)
         finally:
-            self._link.close()
+            self._fresh.close()
 
-    def _told(self, outcome: Outcome) -> Outcome:
+    def _end_unsent(self, outcome: Outcome) -> Outcome:
         event = {Answered: "replay", NotRun: "refuse", Unknown: "lose"}[type(outcome)]
-        self._life.fire(event)
+        self._lifecycle.fire(event)
         return outcome
 
     def _send_once(self, claim: Claim) -> Outcome:
         while True:
-            # A process that was frozen since its claim finds the deadline passed:
-            # its caller has gone, so what was never sent stays unsent.
+            # A process that was paused after its claim may find that the deadline has
+            # passed. The caller no longer waits, so the request is not sent.
             if self._remaining() <= timedelta():
                 return self._withdraw(claim, "the deadline has passed")
-            if not self._link.renew_if_older(CONNECTION_FRESH):
+            if not self._fresh.renew_if_older(MAX_CONNECTION_AGE):
                 return self._withdraw(claim, "no endpoint takes the request now")
             try:
                 answer = self._send()
             except Refused as error:
-                self._avoid.add(self._link.endpoint.name)
-                self._life.fire("retry")
-                if not self._link.replace():
+                self._avoid.add(self._fresh.endpoint.name)
+                self._lifecycle.fire("retry")
+                if not self._fresh.replace():
                     return replace(
                         self._withdraw(claim, error.message, error.retry_after),
                         overloaded=True,
                     )
                 continue
             except AnswerLost as error:
-                self._observe(self._link.endpoint, ok=False)
+                self._observe(self._fresh.endpoint, ok=False)
                 spawn(self._claimant.mark_unknown, claim)
-                self._life.fire("lose")
+                self._lifecycle.fire("lose")
                 return Unknown(error.message, RETRY_AFTER)
-            self._observe(self._link.endpoint, ok=True)
-            self._life.fire("answer")
+            self._observe(self._fresh.endpoint, ok=True)
+            self._lifecycle.fire("answer")
             answered = Answered(answer.status, answer.headers, answer.body)
-            # The answer is the caller's in any case; a retry that comes before
-            # it is stored finds the claim and asks again.
+            # The response is returned even if it can't be stored. A retry that comes
+            # before it is stored finds the claim and polls it.
             spawn(self._claimant.settle, claim, answered)
             return answered
 
     def _send(self) -> EndpointAnswer:
-        self._life.fire("send")
-        endpoint = self._link.endpoint
+        self._lifecycle.fire("send")
+        endpoint = self._fresh.endpoint
         endpoint.in_flight += 1
         try:
             request = endpoint_request(self._call)
-            return self._link.connection.send(request, self._remaining())
+            return self._fresh.connection.send(request, self._remaining())
         finally:
             endpoint.in_flight -= 1
 
@@ -141,16 +141,16 @@
         return self._refuse(reason, retry_after)
 
     def _refuse(self, reason: str, retry_after: timedelta | None = None) -> NotRun:
-        self._life.fire("refuse")
+        self._lifecycle.fire("refuse")
         return NotRun(reason, retry_after or RETRY_AFTER)
 
 
-class Link:
-    """A fresh connection to a chosen endpoint, and when it was opened.
+class FreshConnection:
+    """A fresh connection to a chosen endpoint, with its age.
 
-    :param choose: gives an endpoint, or None.
-    :param observe: told of endpoints that can't be reached.
-    :param avoid: names of endpoints not to take; unreachable ones are added.
+    :param choose: returns an endpoint, or None.
+    :param observe: records unreachable endpoints.
+    :param avoid: names of endpoints to avoid; unreachable ones are added.
     :param clock: source of time.
     """
 
@@ -167,7 +167,7 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """The endpoint at the other end."""
+        """The connected endpoint."""
         return self._endpoint
 
     @property
@@ -176,7 +176,7 @@
         return self._connection
 
     def replace(self) -> bool:
-        """Open a fresh connection; return whether any endpoint takes one."""
+        """Open a fresh connection; return whether any endpoint accepted one."""
         self.close()
         while (endpoint := self._choose(frozenset(self._avoid))) is not None:
             try:
@@ -191,9 +191,12 @@
         return False
 
     def renew_if_older(self, age: timedelta) -> bool:
-        """Open a fresh connection if this one is older, or its endpoint leaves."""
-        young = self._clock.elapsed() - self._opened_at <= age
-        if young and self._endpoint.takes_work:
+        """Open a fresh connection if this one is older or its endpoint is leaving.
+
+        :returns: whether a connection is open.
+        """
+        is_young = self._clock.elapsed() - self._opened_at <= age
+        if is_young and self._endpoint.takes_work:
             return True
         return self.replace()
 
--- a/src/sassafrasdale/requests/hedges.py
+++ b/src/sassafrasdale/requests/hedges.py
@@ -1,4 +1,4 @@
-"""Sends a slow idempotent call to a second endpoint; the first answer wins."""
+"""Hedging: a slow idempotent call is also sent to a second endpoint."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 class Hedger:
     """Decides on the hedges of one service.
 
-    :param gate: knows whether the entry has room to spare.
+    :param gate: provides whether the entry has spare capacity.
     :param clock: source of time.
     """
 
@@ -26,29 +26,29 @@
         self._hedging = Hedging()
 
     def delay(self) -> timedelta | None:
-        """Return how long to wait for an answer, or None: never hedge."""
+        """Return the delay before a hedge, or None not to hedge at all."""
         return self._hedging.delay(idempotent=True)
 
     @property
-    def has_room(self) -> bool:
-        """Whether the entry has room to spare for a second attempt."""
+    def has_spare_capacity(self) -> bool:
+        """Whether the entry has spare capacity for a second attempt."""
         return self._gate.admission.has_spare_room
 
     def try_hedge(self) -> bool:
-        """Take a hedge out of the budget."""
+        """Take a hedge from the budget; return whether it allows one."""
         return self._hedging.try_hedge(self._clock.elapsed(), idempotent=True)
 
     def observe(self, latency: timedelta) -> None:
-        """Record the time that a success took."""
+        """Record the latency of a success."""
         self._hedging.observe(latency, self._clock.elapsed())
 
 
 @dataclass(frozen=True, slots=True)
-class Finish:
-    """How one attempt ended.
+class FinishedAttempt:
+    """A finished attempt.
 
-    :param endpoint: where it went.
-    :param result: the answer, or why there is none.
+    :param endpoint: the endpoint it was sent to.
+    :param result: the response, or the error.
     """
 
     endpoint: Endpoint
@@ -56,67 +56,67 @@
 
 
 class Race:
-    """Attempts of one call that run at once.
+    """Concurrent attempts of one call; the first response wins.
 
     Usage::
 
         with Race() as race:
             race.start(one, lambda: one.adapter.send(request, limit))
-            finish = race.wait(timedelta(milliseconds=50))
+            finished = race.wait(timedelta(milliseconds=50))
     """
 
     def __init__(self) -> None:
-        self._finishes: Queue = Queue()
+        self._finished: Queue = Queue()
         self._tasks: list[GreenThread] = []
-        self._open = 0
+        self._running = 0
 
     def __enter__(self) -> "Race":
         """Return the race."""
         return self
 
     def __exit__(self, *_exception: object) -> None:
-        """End the attempts that are left; each closes its own connection."""
+        """Kill the remaining attempts; each closes its own connection."""
         for task in self._tasks:
             task.kill()
 
     def start(self, endpoint: Endpoint, send: Callable[[], EndpointAnswer]) -> None:
-        """Begin an attempt."""
-        self._open += 1
+        """Start an attempt."""
+        self._running += 1
         self._tasks.append(spawn(self._run, endpoint, send))
 
-    def wait(self, limit: timedelta | None = None) -> Finish | None:
-        """Return the next finish, or None after ``limit``."""
+    def wait(self, limit: timedelta | None = None) -> FinishedAttempt | None:
+        """Return the next finished attempt, or None after ``limit``."""
         try:
-            finish = self._finishes.get(
+            finished = self._finished.get(
                 timeout=None if limit is None else limit.total_seconds()
             )
         except Empty:
             return None
-        self._open -= 1
-        return finish
+        self._running -= 1
+        return finished
 
-    def winner(self, finish: Finish | None) -> Finish:
-        """Return the first answer, or the failure that says most if there is none.
+    def winner(self, finished: FinishedAttempt | None) -> FinishedAttempt:
+        """Return the first response, or the most significant failure.
 
-        A lost answer may have run, whatever became of the other attempt; were the
-        other's failure told, the caller could be told "not run" of it.
+        A request whose response was lost may have run, whatever happened to the other
+        attempt. Reporting the other's failure could give the caller "not run".
 
-        :param finish: a finish that was already waited for.
+        :param finished: a finished attempt that ``wait`` has returned already.
         """
-        failure: Finish | None = None
+        failure: FinishedAttempt | None = None
         while True:
-            finish = finish or self.wait()
-            if not isinstance(finish.result, Exception):
-                return finish
-            if failure is None or isinstance(finish.result, AnswerLost):
-                failure = finish
-            if not self._open:
+            finished = finished or self.wait()
+            if not isinstance(finished.result, Exception):
+                return finished
+            if failure is None or isinstance(finished.result, AnswerLost):
+                failure = finished
+            if not self._running:
                 return failure
-            finish = None
+            finished = None
 
     def _run(self, endpoint: Endpoint, send: Callable[[], EndpointAnswer]) -> None:
         try:
             result: EndpointAnswer | EndpointError = send()
         except EndpointError as error:
             result = error
-        self._finishes.put(Finish(endpoint, result))
+        self._finished.put(FinishedAttempt(endpoint, result))
--- a/tests/requests/test_gate.py
+++ b/tests/requests/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests of the gate: admission with waiting."""
+"""Tests of admission control with a queue."""
 
 import random
 from datetime import timedelta
@@ -22,7 +22,7 @@
     return Call("id", "lab", "reports", clock.elapsed() + seconds * SECOND, 3)
 
 
-def test_a_waiting_request_is_let_in_when_one_leaves():
+def test_a_waiting_request_is_admitted_when_one_ends():
     clock = ManualClock()
     gate = _gate(clock)
     first = gate.enter(_call(clock))
@@ -34,10 +34,10 @@
 
 
 def test_a_request_whose_deadline_nears_is_refused_at_once():
-    """A caller was held until its deadline for an answer that could not come.
+    """A request waits in the queue until its deadline, without any chance.
 
-    It waited behind a long one; its time ran out in the queue. It is told "not
-    run" with when to come back as soon as it can't be met any more.
+    It is queued behind a long one. As soon as its deadline can no longer be met, it
+    is refused as "not run" with a retry-after.
     """
     clock = ManualClock()
     gate = _gate(clock)
@@ -51,11 +51,11 @@
     assert refused.retry_after >= SECOND
 
 
-def test_time_in_the_queue_is_no_part_of_the_latency(monkeypatch):
-    """Under load, fewer and fewer requests were let in.
+def test_latency_excludes_the_time_in_the_queue(monkeypatch):
+    """Under load, fewer and fewer requests are admitted.
 
-    Requests that had waited counted as slow ones, so the limit took its own
-    queue for an overloaded endpoint and sank.
+    If the time in the queue counts as latency, the limit treats its own queue as an
+    overloaded endpoint and decreases.
     """
     latencies = []
     monkeypatch.setattr(
@@ -79,11 +79,11 @@
     assert latencies == [SECOND]
 
 
-def test_a_dead_endpoint_is_not_taken_for_a_full_one():
-    """After an endpoint died, an entry let in fewer and fewer requests.
+def test_a_crashed_endpoint_does_not_lower_the_limit():
+    """After an endpoint crashes, fewer and fewer requests are admitted.
 
-    Each request that was lost with it counted as refused for want of room, so
-    the limit sank, although the other endpoints had room.
+    If each request lost with it counts as a refusal for lack of capacity, the limit
+    decreases although the other endpoints have capacity.
     """
     clock = ManualClock()
     gate = _gate(clock, capacity=8)
@@ -93,7 +93,7 @@
     assert gate.admission.limit == 8
 
 
-def test_refusals_for_want_of_room_lower_the_limit():
+def test_refusals_for_lack_of_capacity_lower_the_limit():
     clock = ManualClock()
     gate = _gate(clock, capacity=8)
     for _ in range(20):
--- a/tests/requests/test_hedges.py
+++ b/tests/requests/test_hedges.py
@@ -1,4 +1,4 @@
-"""Tests of idempotent calls: a slow one goes to a second endpoint too."""
+"""Tests of hedging idempotent calls."""
 
 import random
 from dataclasses import dataclass, field
@@ -29,22 +29,22 @@
 
 
 @dataclass
-class PausingAdapter:
-    """Connections to a service that answers after a pause, or fails then."""
+class DelayedAdapter:
+    """Connections to a service that responds or fails after a delay."""
 
-    pause: timedelta
+    delay: timedelta
     error: Exception | None = None
-    asked: list[EndpointRequest] = field(default_factory=list)
+    requests: list[EndpointRequest] = field(default_factory=list)
 
     def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
-        self.asked.append(request)
-        sleep(self.pause)
+        self.requests.append(request)
+        sleep(self.delay)
         if self.error is not None:
             raise self.error
-        return EndpointAnswer(200, (), str(self.pause).encode())
+        return EndpointAnswer(200, (), str(self.delay).encode())
 
 
-def _run(*adapters: PausingAdapter, observed: int = HEDGE_MINIMUM_SAMPLES) -> Outcome:
+def _run(*adapters: DelayedAdapter, observed: int = HEDGE_MINIMUM_SAMPLES) -> Outcome:
     clock = SystemClock()
     gate = Gate(64, 1, {}, clock, random.Random(1))
     hedger = Hedger(gate, clock)
@@ -65,57 +65,56 @@
 
 
 def test_a_slow_lookup_is_answered_by_a_second_endpoint():
-    """A pour waited two seconds for a lookup.
+    """Every lookup that is sent to a slow endpoint is slow.
 
-    One of three record services was slow. Its lookups took its time, although
-    the others answered in milliseconds.
+    The other endpoints of the service respond within milliseconds.
     """
     began = SystemClock().elapsed()
-    outcome = _run(PausingAdapter(SLOW), PausingAdapter(QUICK))
+    outcome = _run(DelayedAdapter(SLOW), DelayedAdapter(QUICK))
     assert isinstance(outcome, Answered)
     assert outcome.body == str(QUICK).encode()
     assert SystemClock().elapsed() - began < SLOW
 
 
 def test_a_quick_lookup_is_sent_once():
-    second = PausingAdapter(QUICK)
-    assert isinstance(_run(PausingAdapter(timedelta()), second), Answered)
-    assert second.asked == []
+    second = DelayedAdapter(QUICK)
+    assert isinstance(_run(DelayedAdapter(timedelta()), second), Answered)
+    assert second.requests == []
 
 
-def test_no_hedge_before_anything_is_known():
-    second = PausingAdapter(QUICK)
-    pause = timedelta(milliseconds=50)
-    assert isinstance(_run(PausingAdapter(pause), second, observed=0), Answered)
-    assert second.asked == []
+def test_no_hedge_before_latencies_are_known():
+    second = DelayedAdapter(QUICK)
+    delay = timedelta(milliseconds=50)
+    assert isinstance(_run(DelayedAdapter(delay), second, observed=0), Answered)
+    assert second.requests == []
 
 
 def test_a_failed_hedge_leaves_the_first_attempt():
-    pause = timedelta(milliseconds=200)
-    failing = PausingAdapter(QUICK, NotSent("gone"))
-    outcome = _run(PausingAdapter(pause), failing)
+    delay = timedelta(milliseconds=200)
+    failing = DelayedAdapter(QUICK, NotSent("gone"))
+    outcome = _run(DelayedAdapter(delay), failing)
     assert isinstance(outcome, Answered)
-    assert outcome.body == str(pause).encode()
+    assert outcome.body == str(delay).encode()
 
 
 def test_both_attempts_lost_is_unknown():
     lost = AnswerLost("silent")
-    slow = PausingAdapter(timedelta(milliseconds=100), lost)
-    assert isinstance(_run(slow, PausingAdapter(QUICK, lost)), Unknown)
+    slow = DelayedAdapter(timedelta(milliseconds=100), lost)
+    assert isinstance(_run(slow, DelayedAdapter(QUICK, lost)), Unknown)
 
 
 def test_nothing_sent_is_not_run():
     gone = NotSent("gone")
-    outcome = _run(PausingAdapter(QUICK, gone), PausingAdapter(QUICK, gone))
+    outcome = _run(DelayedAdapter(QUICK, gone), DelayedAdapter(QUICK, gone))
     assert isinstance(outcome, NotRun)
 
 
 def test_one_attempt_lost_and_one_not_sent_is_unknown():
-    """A caller was told "not run" of a lookup that had run.
+    """A caller gets "not run" for a lookup that has run.
 
-    The first endpoint lost its answer, then the second could not be reached. The
-    later failure alone was looked at.
+    The first endpoint's response is lost, then the second can't be reached. If only
+    the later failure counts, the outcome is wrong.
     """
-    slow = PausingAdapter(timedelta(milliseconds=100), AnswerLost("silent"))
-    later = PausingAdapter(timedelta(milliseconds=300), NotSent("gone"))
+    slow = DelayedAdapter(timedelta(milliseconds=100), AnswerLost("silent"))
+    later = DelayedAdapter(timedelta(milliseconds=300), NotSent("gone"))
     assert isinstance(_run(slow, later), Unknown)
