--- a/src/sassafrasdale/requests/course.py
+++ b/src/sassafrasdale/requests/course.py
@@ -1,4 +1,4 @@
-"""Where a generation's stream runs, and how the next engine begins with it."""
+"""The engine that runs a generation's stream, and how the next one starts it."""
 
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.endpoints.engines import (
@@ -17,12 +17,12 @@
 from sassafrasdale.requests.transcript import Transcript
 
 
-class Course:
-    """The engines that a generation runs on, one after the other.
+class StreamSource:
+    """The engines that run a generation's stream, one after the other.
 
-    :param call: what the caller asked for.
+    :param call: the caller's request.
     :param transcript: events so far.
-    :param progress: how far an earlier holder came.
+    :param progress: progress of the previous holder.
 
     :ivar sent: whether the request may have reached an engine.
     """
@@ -35,32 +35,32 @@
         self._endpoint = progress.endpoint
         self._start: Start = progress.cache or FromPrompt()
         self._opened = False
-        self._pending: FromCache | None = None
-        self._moving: Event | None = None
+        self._exported: FromCache | None = None
+        self._export_done: Event | None = None
         self.sent = progress.sent
 
     @property
     def endpoint(self) -> Endpoint | None:
-        """Where the stream runs now."""
+        """The engine that runs the stream now."""
         return self._endpoint
 
     @property
     def start(self) -> Start:
-        """How the next engine begins."""
+        """How the next engine starts the stream."""
         return self._start
 
     @property
     def progress(self) -> Progress:
-        """How far it has come, for another holder."""
-        cache = self._pending
+        """Progress, from which another holder can continue."""
+        cache = self._exported
         endpoint = self._endpoint if cache is None else None
         if isinstance(self._start, FromCache) and not self._opened:
-            # The engine that was to go on with the cache may not know of it yet.
+            # The engine chosen to continue from the cache may not have imported it.
             cache, endpoint = self._start, None
         return Progress(self._transcript.events, endpoint, cache, self.sent)
 
-    def begin(self) -> None:
-        """Choose how the first engine of this holder begins."""
+    def choose_start(self) -> None:
+        """Choose how the first engine of this holder starts the stream."""
         received = self._transcript.received()
         match self._start:
             case FromCache(address=address, handle=handle):
@@ -72,80 +72,80 @@
             case _:
                 self._start = FromPrompt()
 
-    def runs_at(self, endpoint: Endpoint) -> None:
-        """Note that the stream is asked for at ``endpoint``."""
+    def record_endpoint(self, endpoint: Endpoint) -> None:
+        """Record that the stream is requested from ``endpoint``."""
         self._endpoint = endpoint
         self._opened = False
 
-    def opened(self) -> None:
-        """Note that the engine has begun to answer."""
+    def record_response(self) -> None:
+        """Record that the engine has started the response."""
         self.sent = self._opened = True
 
     def move(self, endpoint: Endpoint) -> bool:
-        """Move the KV cache off ``endpoint`` before it leaves.
+        """Export the KV cache of ``endpoint`` before it leaves.
 
         :returns: whether the engine exported it.
         """
-        if self._endpoint is not endpoint or self._moving:
+        if self._endpoint is not endpoint or self._export_done:
             return False
-        if self._pending is not None:
+        if self._exported is not None:
             return True
-        self._moving = Event()
+        self._export_done = Event()
         try:
             handle = export_cache(endpoint.adapter, self._call.call.request_id)
-            self._pending = FromCache(0, "", endpoint.instance.address, handle)
+            self._exported = FromCache(0, "", endpoint.instance.address, handle)
         except EndpointError:
             # The stream may still run there, or be lost with the engine.
             return False
         finally:
-            moving, self._moving = self._moving, None
-            moving.send(None)
+            export_done, self._export_done = self._export_done, None
+            export_done.send(None)
         return True
 
-    def wait_for_move(self) -> None:
-        """Wait until a move that is under way has ended."""
-        if self._moving is not None:
-            self._moving.wait()
+    def wait_for_export(self) -> None:
+        """Wait for the end of a running export."""
+        if self._export_done is not None:
+            self._export_done.wait()
 
-    def may_leave(self, endpoint: Endpoint) -> bool:
-        """Return whether the tokens may be computed again elsewhere."""
-        if self._endpoint is not endpoint or self._moving or self._pending:
+    def may_recompute(self, endpoint: Endpoint) -> bool:
+        """Return whether another engine may recompute the tokens."""
+        if self._endpoint is not endpoint or self._export_done or self._exported:
             return False
         return self._call.call.idempotent
 
-    def go_on_after_break(self, endpoint: Endpoint) -> bool:
-        """Choose how to go on after the stream broke off or fell silent.
+    def resume_after_break(self, endpoint: Endpoint) -> bool:
+        """Choose how to continue an interrupted or unresponsive stream.
 
-        :returns: False if the engine is taken to be gone.
+        :returns: False if the engine is considered dead.
         """
-        self.wait_for_move()
+        self.wait_for_export()
         received = self._transcript.received()
-        if self._pending is not None:
-            pending, self._pending = self._pending, None
+        if self._exported is not None:
+            exported, self._exported = self._exported, None
             self._endpoint = None
             self._start = FromCache(
-                received.tokens, received.text, pending.address, pending.handle
+                received.tokens, received.text, exported.address, exported.handle
             )
             return True
-        # A stream that broke off may still run on the engine, behind a connection
-        # that went silent: it is asked for on a fresh connection before its
-        # tokens are computed again.
-        in_vain = isinstance(self._start, Reattach) and not self._opened
-        if in_vain and not _is_alive(endpoint):
+        # The engine may still run an interrupted stream, if only the connection became
+        # unresponsive. So the stream is requested on a fresh connection before its
+        # tokens are recomputed.
+        reattach_failed = isinstance(self._start, Reattach) and not self._opened
+        if reattach_failed and not _is_alive(endpoint):
             return False
         endpoint.adapter.drop_connections()
         self._start = Reattach(received.tokens)
         return True
 
-    def go_on_elsewhere(self, endpoint: Endpoint, avoid: set[str]) -> None:
-        """Choose how to go on with another endpoint than ``endpoint``.
+    def switch_endpoint(self, endpoint: Endpoint, avoid: set[str]) -> None:
+        """Choose how to continue on another endpoint than ``endpoint``.
 
-        :raises AnswerLost: if computing again would be a second execution.
+        :raises AnswerLost: if recomputing would be a second execution.
         """
         avoid.add(endpoint.name)
         self._endpoint = None
         if not self.sent or isinstance(self._start, FromCache) and not self._opened:
-            # Nothing has begun, or the cache is still there for another engine.
+            # Nothing has started, or another engine can still import the cache.
             return
         if not self._call.call.idempotent:
             raise AnswerLost("the engine that ran the request is gone")
@@ -154,11 +154,11 @@
 
 
 def _is_alive(endpoint: Endpoint) -> bool:
-    """Return whether the engine answers, if not with the stream's next event.
+    """Return whether the engine responds to a health check.
 
-    A stream that waits for its turn brings no event for long; taking its engine for
-    gone would send it round all engines while their queues are long, and run it
-    several times.
+    A queued stream has no events for a long time. Considering its engine dead would
+    send the request to one engine after the other while their queues are long, and
+    run it several times.
     """
     try:
         check_health(endpoint.adapter)
--- a/src/sassafrasdale/requests/execution.py
+++ b/src/sassafrasdale/requests/execution.py
@@ -44,7 +44,7 @@
 class IdempotentExecution:
     """A call that may be sent more than once.
 
-    :param call: what the caller asked for.
+    :param call: the caller's request.
     :param choose: returns an endpoint, or None; its argument names the endpoints to
         avoid.
     :param observe: records whether an endpoint responded.
--- a/src/sassafrasdale/requests/generation.py
+++ b/src/sassafrasdale/requests/generation.py
@@ -1,9 +1,9 @@
-"""One model request: its events, whoever reads them, and what interrupts it.
+"""One model request: reads its stream, serves its events, handles interruptions.
 
-A generation is a task of its own. It reads the engine's stream and keeps every
-event; callers read the kept events at their own pace, so a caller may leave and
-come back by request id, and the engine may change under way, without either
-noticing. Each event has a position, counted from 1.
+A generation runs in its own task. It reads the engine's stream and keeps every event;
+callers read the kept events independently. So a caller may disconnect and resume by
+request id without affecting the engine, and the stream may continue on another engine
+without affecting the caller. Each event has a position, counted from 1.
 """
 
 from collections.abc import Callable
@@ -31,7 +31,7 @@
     StreamUnknown,
 )
 from sassafrasdale.green import GreenThread, sleep, spawn
-from sassafrasdale.requests.course import Course
+from sassafrasdale.requests.course import StreamSource
 from sassafrasdale.requests.exceptions import EndpointLeaving
 from sassafrasdale.requests.gate import Gate
 from sassafrasdale.requests.placement import Placement, Progress
@@ -47,26 +47,26 @@
 
 log = Logger("generation")
 
-# Longest silence of an engine before the stream is asked for again on a fresh
-# connection: the old one may be silent for good while the engine works on.
-SILENCE_LIMIT = timedelta(seconds=2)
-# Engines that went silent or away in a row before the generation is given up.
+# Maximum time without events before the stream is requested again on a fresh
+# connection: the old one may be unresponsive for good while the engine still runs.
+SILENCE_TIMEOUT = timedelta(seconds=2)
+# Number of engines that may fail in one generation before it is given up.
 MAX_INTERRUPTIONS = 8
 RETRY_AFTER = timedelta(seconds=1)
-# Pause before a begun generation looks again for an endpoint that takes it.
-CHOOSE_AGAIN = timedelta(milliseconds=200)
-# First byte of a server-sent comment, which carries nothing for the caller.
+# Interval at which a started generation without an endpoint tries to choose one.
+CHOOSE_INTERVAL = timedelta(milliseconds=200)
+# First byte of a server-sent comment, which has no content for the caller.
 COMMENT = b":"
 
 
 class Generation:
     """One model request that this entry holds.
 
-    :param call: what the caller asked for.
+    :param call: the caller's request.
     :param placement: finds endpoints for the call.
     :param clock: source of time.
-    :param gate: lets the request into its service; None if it is in already.
-    :param progress: how far an earlier holder came.
+    :param gate: admits the request to its service; None if it is admitted already.
+    :param progress: progress of the previous holder.
     :param on_end: called once with the generation when it has ended.
 
     Usage::
@@ -94,7 +94,7 @@
         self._taken_over = progress is not None
         progress = progress or Progress([], None, None, sent=False)
         self._transcript = Transcript(progress.events)
-        self._course = Course(call, self._transcript, progress)
+        self._source = StreamSource(call, self._transcript, progress)
         self._on_end = on_end
         self._lifecycle = Lifecycle(load_chart("request"))
         self._outcome: Outcome | None = None
@@ -109,22 +109,22 @@
 
     @property
     def call(self) -> ModelCall:
-        """What the caller asked for."""
+        """The caller's request."""
         return self._call
 
     @property
     def state(self) -> str:
-        """State of the request's chart."""
+        """State in the request statechart."""
         return self._lifecycle.state
 
     @property
     def outcome(self) -> Outcome | None:
-        """How the request ended, or None while it runs."""
+        """The request's outcome, or None while it runs."""
         return self._outcome
 
     @property
     def ended(self) -> bool:
-        """Whether no event will come any more from this holder."""
+        """Whether this holder will add no more events."""
         return self._outcome is not None or self._handed_over
 
     @property
@@ -134,8 +134,8 @@
 
     @property
     def endpoint(self) -> Endpoint | None:
-        """Where the stream runs now."""
-        return self._course.endpoint
+        """The engine that runs the stream now."""
+        return self._source.endpoint
 
     @property
     def events(self) -> list[bytes]:
@@ -144,8 +144,8 @@
 
     @property
     def progress(self) -> Progress:
-        """How far it has come, for another holder."""
-        return self._course.progress
+        """Progress, from which another holder can continue."""
+        return self._source.progress
 
     @property
     def offered(self) -> bool:
@@ -154,7 +154,7 @@
 
     @property
     def started_at(self) -> timedelta:
-        """Elapsed time of the clock at which this holder began."""
+        """Elapsed time of the clock when this holder started."""
         return self._started_at
 
     @property
@@ -164,35 +164,35 @@
 
     @property
     def last_read_at(self) -> timedelta:
-        """Elapsed time of the clock at which somebody last asked for events."""
+        """Elapsed time of the clock when a caller last read events."""
         return self._last_read_at
 
     @property
     def delivered(self) -> bool:
-        """Whether a caller was given the end of the answer."""
+        """Whether a caller received the end of the response."""
         return self._delivered
 
     def mark_delivered(self) -> None:
-        """Note that a caller was given the end of the answer."""
+        """Record that a caller received the end of the response."""
         self._delivered = True
 
     def ending(self) -> Ending | None:
-        """Return what the engine's last chunk said, or None if it hasn't come."""
+        """Return the content of the last chunk, or None if it was not received."""
         return self._transcript.ending()
 
     def start(self) -> None:
-        """Begin in a task of its own."""
+        """Start the generation in its own task."""
         self._thread = spawn(self.run)
 
     def run(self) -> None:
-        """Bring the generation to its end."""
+        """Run the generation to its end."""
         ticket = self._gate.enter(self._call.call) if self._gate else None
         if isinstance(ticket, NotRun):
             self._end(ticket)
             return
         self._lifecycle.fire("admit")
         try:
-            self._end(self._outcome_of_run())
+            self._end(self._run_to_outcome())
         finally:
             if self._gate:
                 self._gate.leave(ticket, self._outcome)
@@ -200,8 +200,8 @@
     def read(self, after: int, limit: timedelta) -> list[bytes]:
         """Return the events after position ``after``, waiting for at least one.
 
-        :param limit: longest wait; an empty list is returned after it, or when
-            the generation has ended.
+        :param limit: maximum wait, after which an empty list is returned; so it is
+            when the generation has ended.
         """
         self._last_read_at = self._clock.elapsed()
         if self._last_read_at >= self._call.call.deadline:
@@ -212,34 +212,34 @@
         return self.events[after:]
 
     def move(self, endpoint: Endpoint) -> bool:
-        """Move the KV cache off ``endpoint`` before it leaves.
+        """Export the KV cache of ``endpoint`` before it leaves.
 
         :returns: whether the engine exported it.
         """
         if self.ended:
             return False
-        return self._course.move(endpoint)
+        return self._source.move(endpoint)
 
     def recompute(self, endpoint: Endpoint) -> None:
-        """Leave ``endpoint`` now and compute the tokens again elsewhere."""
-        if self.ended or not self._reading or not self._course.may_leave(endpoint):
+        """Leave ``endpoint`` now and recompute the tokens on another one."""
+        if self.ended or not self._reading or not self._source.may_recompute(endpoint):
             return
         self._cancel()
-        # The engine need not answer the cancel, so its stream is left from here.
+        # The engine may not respond to the cancellation, so the task is interrupted.
         self._thread.kill(EndpointLeaving(f"{endpoint.name} leaves"))
 
     def begin_offer(self) -> Progress:
-        """Stay where it is while another entry is offered it; return how far it is.
+        """Return the progress to offer to another entry, after any running export.
 
-        A cache moved meanwhile would leave the receiver with a stream that has
-        ended, and the tokens would be computed again.
+        Offered generations are not moved: with an export in the meantime the receiver
+        would continue a stream that has ended, and the tokens would be recomputed.
         """
         self._offered = True
-        self._course.wait_for_move()
+        self._source.wait_for_export()
         return self.progress
 
     def end_offer(self) -> None:
-        """Go on as before: no other entry took it."""
+        """Continue here: no other entry took the generation."""
         self._offered = False
 
     def release(self) -> None:
@@ -255,77 +255,78 @@
         """End the generation at once, for ``reason``."""
         if self.ended:
             return
-        # An earlier holder whose acknowledgement was lost goes on as well. It
-        # reads the same stream, so this one must not cancel it.
+        # If the acknowledgement of the hand-over was lost, the previous holder
+        # continues as well. It reads the same stream, so this one must not cancel it.
         if not self._taken_over:
             self._cancel()
         self._stop_reading()
         self._end(self._give_up(reason))
 
-    def _outcome_of_run(self) -> Outcome:
+    def _run_to_outcome(self) -> Outcome:
         try:
-            return self._complete()
+            return self._run_on_engines()
         except EndpointError as error:
             return Unknown(error.message, RETRY_AFTER)
         except Exception:
-            # Without an end the caller would wait until its deadline for a task
-            # that is no more.
+            # Without an outcome the caller would wait until its deadline for a task
+            # that has failed.
             log.exception("generation {} failed", self._call.call.request_id)
             return Unknown("an unforeseen error", RETRY_AFTER)
 
-    def _complete(self) -> Outcome:
-        """Return the outcome, after as many engines as it takes."""
+    def _run_on_engines(self) -> Outcome:
+        """Return the outcome, using as many engines as necessary."""
         if self._transcript.is_closed:
             return self._answer()
-        self._course.begin()
+        self._source.choose_start()
         avoid: set[str] = set()
         interruptions = 0
         refusal: Refused | None = None
         while self._clock.elapsed() < self._call.call.deadline:
-            endpoint = self._course.endpoint or self._choose(frozenset(avoid))
+            endpoint = self._source.endpoint or self._choose(frozenset(avoid))
             if endpoint is None:
-                if not self._course.sent:
+                if not self._source.sent:
                     return self._refuse(refusal)
-                # Others must not be told "unknown" because every engine is full
-                # or away just now: a reclaim sends their streams to few engines.
+                # A started request must not get the outcome "unknown" because all
+                # engines are briefly full or unreachable: a reclaim moves many streams
+                # to few engines.
                 avoid.clear()
-                sleep(CHOOSE_AGAIN)
+                sleep(CHOOSE_INTERVAL)
                 continue
             try:
-                whole = self._follow(endpoint) or self._complete_events()
-                if whole:
+                complete = self._read_stream(endpoint) or self._close_if_complete()
+                if complete:
                     self._observe(endpoint, ok=True)
                     return self._answer()
-                self._go_on_after_break(endpoint, avoid)
+                self._resume_after_break(endpoint, avoid)
             except EndpointLeaving:
-                self._course.go_on_elsewhere(endpoint, avoid)
+                self._source.switch_endpoint(endpoint, avoid)
             except Refused as error:
                 refusal = error
-                self._course.go_on_elsewhere(endpoint, avoid)
+                self._source.switch_endpoint(endpoint, avoid)
             except Rejected as error:
                 if self._transcript.events:
                     raise
                 return Answered(error.status, error.headers, error.body)
             except NotSent:
                 self._observe(endpoint, ok=False)
-                self._course.go_on_elsewhere(endpoint, avoid)
+                self._source.switch_endpoint(endpoint, avoid)
             except StreamUnknown:
                 interruptions += 1
-                self._course.go_on_elsewhere(endpoint, avoid)
+                self._source.switch_endpoint(endpoint, avoid)
             except AnswerLost:
-                if self._complete_events():
+                if self._close_if_complete():
                     return self._answer()
-                interruptions += not self._go_on_after_break(endpoint, avoid)
+                interruptions += not self._resume_after_break(endpoint, avoid)
             if interruptions > MAX_INTERRUPTIONS:
                 return self._give_up("too many engines broke off")
         return self._give_up("the deadline has passed")
 
-    def _complete_events(self) -> bool:
-        """Return whether the answer is whole, and add a lost end mark.
+    def _close_if_complete(self) -> bool:
+        """Return whether the response is complete; add the end marker if it was lost.
 
-        The engine's last chunk says why the answer ended. If the connection
-        breaks right after it, only the mark that nothing follows was lost; asking
-        again would bring that chunk a second time.
+        The engine's last chunk has the finish reason. If the connection breaks right
+        after it, only the end marker was lost; requesting the stream again would
+        repeat the last chunk.
         """
         if self._transcript.ending() is None:
             return False
@@ -333,17 +334,17 @@
             self._transcript.extend([DONE])
         return True
 
-    def _follow(self, endpoint: Endpoint) -> bool:
-        """Read the stream from ``endpoint``; return whether it came to its end."""
-        self._course.runs_at(endpoint)
+    def _read_stream(self, endpoint: Endpoint) -> bool:
+        """Read the stream from ``endpoint``; return whether it is complete."""
+        self._source.record_endpoint(endpoint)
         self._reading = True
         if self._lifecycle.allows("send"):
             self._lifecycle.fire("send")
         endpoint.in_flight += 1
         self._tracker.start(endpoint.name)
-        if not self._call.call.idempotent and not self._course.sent:
-            # On a connection that is silent for good the call would be lost in
-            # doubt, and a keyed call is not sent again.
+        if not self._call.call.idempotent and not self._source.sent:
+            # On an unresponsive pooled connection the outcome would be unknown, and a
+            # call with an idempotency key is not sent again.
             endpoint.adapter.drop_connections()
         try:
             remaining = self._call.call.deadline - self._clock.elapsed()
@@ -351,52 +352,54 @@
                 endpoint.adapter,
                 self._call.call.request_id,
                 self._call.body,
-                self._course.start,
-                min(SILENCE_LIMIT, max(remaining, timedelta(milliseconds=1))),
+                self._source.start,
+                min(SILENCE_TIMEOUT, max(remaining, timedelta(milliseconds=1))),
             )
-            self._course.opened()
-            return self._pass_on(stream)
+            self._source.record_response()
+            return self._collect_events(stream)
         except AnswerLost:
-            self._course.sent = True
+            self._source.sent = True
             raise
         except EndpointLeaving:
-            # It may have been thrown after the first byte went out.
-            self._course.sent = True
+            # It may have been raised after the first byte was sent.
+            self._source.sent = True
             raise
         finally:
             self._reading = False
             self._tracker.end()
             endpoint.in_flight -= 1
 
-    def _pass_on(self, stream: EventStream) -> bool:
+    def _collect_events(self, stream: EventStream) -> bool:
         for events in stream:
-            kept = [event for event in events if not event.startswith(COMMENT)]
-            if not kept:
+            content_events = [
+                event for event in events if not event.startswith(COMMENT)
+            ]
+            if not content_events:
                 continue
             if self._first_event_at is None:
                 self._first_event_at = self._clock.elapsed()
-            self._transcript.extend(kept)
-            self._tracker.record_tokens(len(kept))
-            if kept[-1] == DONE:
+            self._transcript.extend(content_events)
+            self._tracker.record_tokens(len(content_events))
+            if content_events[-1] == DONE:
                 stream.release()
                 return True
         return False
 
-    def _go_on_after_break(self, endpoint: Endpoint, avoid: set[str]) -> bool:
-        """Choose how to go on after the stream broke off or fell silent.
+    def _resume_after_break(self, endpoint: Endpoint, avoid: set[str]) -> bool:
+        """Choose how to continue an interrupted or unresponsive stream.
 
-        :returns: False if the engine is taken to be gone.
+        :returns: False if the engine is considered dead.
         """
-        if self._course.go_on_after_break(endpoint):
+        if self._source.resume_after_break(endpoint):
             return True
         self._observe(endpoint, ok=False)
-        self._course.go_on_elsewhere(endpoint, avoid)
+        self._source.switch_endpoint(endpoint, avoid)
         return False
 
     def _answer(self) -> Outcome:
         ending = self._transcript.ending()
         if ending is None:
-            raise AnswerLost("the engine ended its stream without a reason")
+            raise AnswerLost("the engine ended its stream without a finish reason")
         if self._call.streamed:
             return Answered(200, (), b"")
         body = self._transcript.completion(self._call.call.request_id, ending)
@@ -412,17 +415,17 @@
 
     def _give_up(self, reason: str, retry_after: timedelta | None = None) -> Outcome:
         retry_after = retry_after or RETRY_AFTER
-        if self._course.sent:
+        if self._source.sent:
             return Unknown(reason, retry_after)
         return NotRun(reason, retry_after)
 
     def _cancel(self) -> None:
-        endpoint = self._course.endpoint
+        endpoint = self._source.endpoint
         if endpoint is not None:
             spawn(_cancel_quietly, endpoint, self._call.call.request_id)
 
     def _stop_reading(self) -> None:
-        """End the task, which closes its own connection as it unwinds."""
+        """Kill the task, which closes its own connection."""
         if self._thread is not None:
             self._thread.kill()
 
@@ -438,7 +441,7 @@
 
 
 def _cancel_quietly(endpoint: Endpoint, stream_id: str) -> None:
-    """Cancel a stream; an engine that can't be told stops it by itself."""
+    """Cancel a stream; an unreachable engine stops it by itself."""
     try:
         cancel(endpoint.adapter, stream_id)
     except EndpointError:
--- a/src/sassafrasdale/requests/handovers.py
+++ b/src/sassafrasdale/requests/handovers.py
@@ -1,8 +1,8 @@
-"""A generation as it is handed to another entry.
+"""Encoding of a generation that is handed over to another entry.
 
-What is handed over is the call, every event so far (a caller may come back for
-any of them) and where to go on: the endpoint on which the engine's stream runs,
-or the KV cache that was exported from it.
+The message contains the call, every event so far (a caller may resume from any of
+them) and the point to continue from: the endpoint that runs the engine's stream, or
+the KV cache that was exported from it.
 """
 
 import base64
@@ -20,7 +20,7 @@
 
 
 class _Message(BaseModel):
-    """The hand-over on its way between two entries."""
+    """Schema of the message between the two entries."""
 
     model_config = ConfigDict(extra="ignore")
 
@@ -43,14 +43,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parcel:
-    """A generation on its way to this entry.
-
-    :param call: what the caller asked for.
-    :param events: events that the earlier holder received.
-    :param endpoint: name of the endpoint where the stream runs, or empty.
-    :param cache: the exported KV cache to go on with, if there is one.
-    :param sent: whether an endpoint may have begun to run the request.
+class IncomingGeneration:
+    """A generation that another entry hands over to this one.
+
+    :param call: the caller's request.
+    :param events: events that the previous holder received.
+    :param endpoint: name of the endpoint that runs the stream, or empty.
+    :param cache: the exported KV cache to continue with, or None.
+    :param sent: whether an endpoint may have started the request.
     """
 
     call: ModelCall
@@ -60,8 +60,8 @@
     sent: bool
 
 
-def pack(call: ModelCall, progress: Progress, clock: Clock) -> bytes:
-    """Return what another entry needs to go on with ``call``."""
+def encode(call: ModelCall, progress: Progress, clock: Clock) -> bytes:
+    """Return the message from which another entry can continue ``call``."""
     about = call.call
     endpoint = progress.endpoint
     cache = progress.cache
@@ -86,17 +86,17 @@
     return message.model_dump_json().encode()
 
 
-def unpack(data: bytes, clock: Clock) -> Parcel:
+def decode(data: bytes, clock: Clock) -> IncomingGeneration:
     """Return the generation in ``data``.
 
-    :raises MalformedHandOver: it can't be read.
+    :raises MalformedHandOver: the message is malformed.
     """
     try:
         message = _Message.model_validate_json(data)
         events = [base64.b64decode(event) for event in message.events]
         cache = _cache(message)
     except (ValidationError, ValueError) as error:
-        raise MalformedHandOver(f"the hand-over can't be read: {error}") from error
+        raise MalformedHandOver(f"malformed hand-over: {error}") from error
     about = Call(
         request_id=message.request_id,
         customer=message.customer,
@@ -113,7 +113,7 @@
         max_tokens=message.max_tokens,
         streamed=message.streamed,
     )
-    return Parcel(call, events, message.endpoint, cache, message.sent)
+    return IncomingGeneration(call, events, message.endpoint, cache, message.sent)
 
 
 def _cache(message: _Message) -> FromCache | None:
--- a/src/sassafrasdale/requests/ledger.py
+++ b/src/sassafrasdale/requests/ledger.py
@@ -1,4 +1,4 @@
-"""Counts how requests end, for the metrics and the burn report."""
+"""Counts requests by outcome, for the metrics and the burn report."""
 
 from datetime import timedelta
 
@@ -20,7 +20,7 @@
 
 
 class Ledger:
-    """What became of the requests of this entry.
+    """Counts the outcomes of this entry's requests.
 
     :param metrics: the entry's metrics.
     :param clock: source of time.
@@ -29,18 +29,18 @@
     def __init__(self, metrics: Metrics, clock: Clock) -> None:
         self._metrics = metrics
         self._clock = clock
-        self._book = BurnBook()
+        self._burn_counters = BurnBook()
         self._services: dict[str, Service] = {}
 
     def set_text(self, text: Text) -> None:
-        """Take the objectives of a new revision of the text."""
+        """Set the objectives of a new configuration revision."""
         self._services = dict(text.services)
-        self._book.set_objectives(
+        self._burn_counters.set_objectives(
             {name: service.objective.share for name, service in text.services.items()}
         )
 
     def begin(self, call: Call) -> timedelta:
-        """Count a request as begun; return when, for ``end``."""
+        """Count a started request; return the time, for ``end``."""
         self._metrics.request_began(call.service)
         return self._clock.elapsed()
 
@@ -51,11 +51,11 @@
         began: timedelta,
         first_token_at: timedelta | None = None,
     ) -> None:
-        """Count how a request ended.
+        """Count an ended request.
 
-        :param outcome: None if its caller went away.
-        :param began: what ``begin`` returned.
-        :param first_token_at: elapsed time of the first token, if it had any.
+        :param outcome: its outcome; None if its caller disconnected.
+        :param began: the time that ``begin`` returned.
+        :param first_token_at: elapsed time of the first token, or None.
         """
         now = self._clock.elapsed()
         latency = now - began
@@ -64,13 +64,13 @@
         service = self._services.get(call.service)
         if service is not None and outcome is not None:
             first_token = first_token_at - began if first_token_at else None
-            in_time = _is_good(outcome) and _meets(
+            in_time = _is_success(outcome) and _meets_objective(
                 service.objective, latency, first_token
             )
-            self._book.record(call.service, now, in_time)
+            self._burn_counters.record(call.service, now, in_time)
 
     def count_usage(self, generation: Generation) -> None:
-        """Count the tokens that a generation had computed a second time."""
+        """Count the recomputed tokens of a generation."""
         if not isinstance(generation.outcome, Answered):
             return
         ending = generation.ending()
@@ -80,11 +80,15 @@
 
     def burn(self) -> dict:
         """Return the counts for the burn report as a JSON document."""
-        return {"services": burns_to_json(self._book.snapshot(self._clock.elapsed()))}
+        return {
+            "services": burns_to_json(
+                self._burn_counters.snapshot(self._clock.elapsed())
+            )
+        }
 
 
 def outcome_name(outcome: Outcome) -> OutcomeName:
-    """Return what a caller is told of ``outcome``, in one word."""
+    """Return the name under which ``outcome`` is reported."""
     match outcome:
         case Answered():
             return OutcomeName.ANSWERED
@@ -94,10 +98,10 @@
             return OutcomeName.UNKNOWN
 
 
-def _meets(
+def _meets_objective(
     objective: Objective, latency: timedelta, first_token: timedelta | None
 ) -> bool:
-    """Return whether an answer came in the time that the service promises."""
+    """Return whether a response met the service's objective."""
     if latency > objective.latency:
         return False
     if objective.first_token is None or first_token is None:
@@ -105,5 +109,5 @@
     return first_token <= objective.first_token
 
 
-def _is_good(outcome: Outcome) -> bool:
+def _is_success(outcome: Outcome) -> bool:
     return isinstance(outcome, Answered) and outcome.status < FIRST_SERVER_ERROR
--- a/src/sassafrasdale/requests/mover.py
+++ b/src/sassafrasdale/requests/mover.py
@@ -1,4 +1,4 @@
-"""Moves generations off an endpoint that is about to be reclaimed."""
+"""Moves generations from an endpoint that is about to be reclaimed."""
 
 from datetime import timedelta
 
@@ -18,15 +18,15 @@
 from sassafrasdale.requests.registry import Registry
 from sassafrasdale.requests.selection import CHARACTERS_PER_TOKEN, Selector
 
-# Time between two tokens that is assumed of a stream without any yet.
-USUAL_TOKEN_DELAY = timedelta(milliseconds=30)
+# Assumed time between two tokens, for a stream without tokens.
+DEFAULT_TOKEN_DELAY = timedelta(milliseconds=30)
 
 
 class Mover:
-    """Decides and begins the moves of one entry's generations.
+    """Plans and starts the moves of one entry's generations.
 
-    :param registry: the generations held.
-    :param selector: knows whether another endpoint could go on with them.
+    :param registry: the generations held here.
+    :param selector: finds another endpoint that could continue them.
     :param clock: source of time.
     """
 
@@ -37,15 +37,15 @@
         self._leaving: dict[str, Endpoint] = {}
 
     def empty(self, endpoint: Endpoint) -> None:
-        """Begin to move what runs on ``endpoint`` and doesn't fit its notice."""
+        """Start to move the streams that won't end before ``endpoint`` leaves."""
         self._leaving[endpoint.name] = endpoint
         self._plan(endpoint, self._streams_by_endpoint().get(endpoint.name, []))
 
     def review(self) -> None:
-        """Plan again for the endpoints that leave.
+        """Update the plans for leaving endpoints.
 
-        A stream that seemed to fit may run late, a target may have come, and a
-        peer may have handed over a stream that runs on such an endpoint.
+        A stream may take longer than planned, a target may have become available, or
+        a peer may have handed over a stream on a leaving endpoint.
         """
         if not self._leaving:
             return
@@ -85,7 +85,7 @@
                     continue
 
     def _target(self, leaving: Endpoint) -> StreamTarget | None:
-        """Return an endpoint that could go on, if there is one."""
+        """Return an endpoint that could continue the streams, or None."""
         query = self._selector.wanted(
             leaving.instance.service, self._clock.elapsed(), priority=0
         )
@@ -94,16 +94,16 @@
 
 
 def _move(generation: Generation, endpoint: Endpoint) -> None:
-    """Move a KV cache, or have its tokens computed again if that fails."""
+    """Move a stream by its KV cache, or by recomputing its tokens if that fails."""
     if not generation.move(endpoint):
         generation.recompute(endpoint)
 
 
 def stream_view(generation: Generation, clock: Clock) -> StreamView:
-    """Return what a plan needs to know of a generation."""
+    """Return the properties of a generation that a plan needs."""
     tokens = len(generation.events)
     prompt_tokens = len(generation.call.prompt) // CHARACTERS_PER_TOKEN
-    delay = USUAL_TOKEN_DELAY
+    delay = DEFAULT_TOKEN_DELAY
     if generation.first_event_at is not None and tokens > 1:
         delay = (clock.elapsed() - generation.first_event_at) / tokens
     return StreamView(
--- a/src/sassafrasdale/requests/registry.py
+++ b/src/sassafrasdale/requests/registry.py
@@ -1,4 +1,4 @@
-"""The requests that this entry holds, by id, and answers kept for a while."""
+"""The generations that this entry holds, and recently ended ones, by request id."""
 
 from collections import OrderedDict
 from datetime import timedelta
@@ -8,11 +8,11 @@
 from sassafrasdale.requests.generation import Generation
 from sassafrasdale.requests.structures import Answered
 
-# How long an ended answer can still be fetched, and how many are kept.
-KEEP_ENDED = timedelta(seconds=60)
+# Time for which an ended generation can be fetched, and how many are kept.
+ENDED_RETENTION = timedelta(seconds=60)
 MAX_ENDED = 2000
-# A caller that lost its connection has this long to come back for the rest.
-UNREAD_LIMIT = timedelta(seconds=15)
+# Time within which a disconnected caller must resume reading.
+UNREAD_TIMEOUT = timedelta(seconds=15)
 
 
 class Registry:
@@ -33,9 +33,10 @@
 
     @property
     def undelivered(self) -> tuple[Generation, ...]:
-        """Generations that were answered and whose caller has not come yet.
+        """Answered generations whose response no caller has fetched yet.
 
-        The answers of keyed calls are in the store, where any entry finds them.
+        Responses to calls with an idempotency key are in the store, where any entry
+        finds them.
         """
         return tuple(
             generation
@@ -48,7 +49,7 @@
     def add(self, generation: Generation) -> None:
         """Hold ``generation``.
 
-        :raises RequestIdTaken: its id names another request.
+        :raises RequestIdTaken: its id is used by another request.
         """
         request_id = generation.call.call.request_id
         if request_id in self._running or request_id in self._ended:
@@ -58,11 +59,11 @@
         self._running[request_id] = generation
 
     def find(self, request_id: str, customer: str) -> Generation:
-        """Return the customer's generation of that id.
+        """Return the customer's generation with that id.
 
         :raises RequestNotHeld: there is none here, or it is another customer's.
         """
-        self._forget_old()
+        self._drop_expired()
         generation = self._running.get(request_id)
         if generation is None and request_id in self._ended:
             generation = self._ended[request_id][1]
@@ -71,7 +72,7 @@
         return generation
 
     def holds(self, request_id: str) -> bool:
-        """Return whether the id is held here, whoever's it is."""
+        """Return whether the id is held here, for any customer."""
         return request_id in self._running or request_id in self._ended
 
     def end(self, generation: Generation) -> None:
@@ -79,28 +80,28 @@
         request_id = generation.call.call.request_id
         self._running.pop(request_id, None)
         self._ended[request_id] = (self._clock.elapsed(), generation)
-        self._forget_old()
+        self._drop_expired()
 
     def drop(self, generation: Generation) -> None:
-        """Forget a generation that another entry holds now."""
+        """Remove a generation that another entry holds now."""
         request_id = generation.call.call.request_id
         self._running.pop(request_id, None)
         self._ended.pop(request_id, None)
 
     def sweep(self) -> None:
-        """Abandon generations that nobody reads or whose deadline has passed."""
+        """Abandon generations that no caller reads or whose deadline has passed."""
         now = self._clock.elapsed()
         for generation in self.running:
             if now >= generation.call.call.deadline:
                 generation.abandon("the deadline has passed")
-            elif now - generation.last_read_at > UNREAD_LIMIT:
+            elif now - generation.last_read_at > UNREAD_TIMEOUT:
                 generation.abandon("nobody waited for the answer")
-        self._forget_old()
+        self._drop_expired()
 
-    def _forget_old(self) -> None:
-        oldest_kept = self._clock.elapsed() - KEEP_ENDED
+    def _drop_expired(self) -> None:
+        min_ended_at = self._clock.elapsed() - ENDED_RETENTION
         while self._ended:
             ended_at, _ = next(iter(self._ended.values()))
-            if ended_at >= oldest_kept and len(self._ended) <= MAX_ENDED:
+            if ended_at >= min_ended_at and len(self._ended) <= MAX_ENDED:
                 return
             self._ended.popitem(last=False)
--- a/src/sassafrasdale/requests/transcript.py
+++ b/src/sassafrasdale/requests/transcript.py
@@ -1,7 +1,7 @@
-"""The events of one generation, and what they amount to.
+"""The events of one generation, and their content.
 
-Events are passed on as they come. They are parsed only where a decision needs
-it, and each at most once: an ordinary stream has its last two parsed.
+Events are forwarded as received. They are parsed only where a decision needs it, and
+each at most once: of an ordinary stream only the last two are parsed.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """What the events so far amount to.
+    """Content of the events so far.
 
     :param tokens: tokens received.
     :param text: their text.
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """What the engine's last chunk said.
+    """Content of the engine's last chunk.
 
-    :param finish_reason: why the answer ended.
-    :param usage: its token counts, if the engine gave them.
+    :param finish_reason: why the response ended.
+    :param usage: token counts, if the engine reported them.
     """
 
     finish_reason: str
@@ -37,9 +37,9 @@
 
 
 class Transcript:
-    """Events in the order of their positions, which begin with 1.
+    """Events in the order of their positions, which start at 1.
 
-    :param events: events that an earlier holder received.
+    :param events: events that the previous holder received.
     """
 
     def __init__(self, events: list[bytes] | None = None) -> None:
@@ -55,7 +55,7 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether the engine's end mark is there."""
+        """Whether the engine's end marker was received."""
         return bool(self._events) and self._events[-1] == DONE
 
     def extend(self, events: list[bytes]) -> None:
@@ -64,7 +64,7 @@
         self.wake_readers()
 
     def wait(self, limit: timedelta) -> None:
-        """Wait until the readers are woken, or for ``limit``."""
+        """Wait until readers are woken, at most for ``limit``."""
         waiter = Event()
         self._waiters.append(waiter)
         waiter.wait(timeout=limit.total_seconds())
@@ -79,7 +79,7 @@
     def received(self) -> Received:
         """Return the tokens so far.
 
-        :raises AnswerLost: an event is no chunk.
+        :raises AnswerLost: an event is not a valid chunk.
         """
         for event in self._events[self._parsed :]:
             if event != DONE and (content := parse_chunk(event).content):
@@ -88,9 +88,9 @@
         return Received(len(self._contents), "".join(self._contents))
 
     def ending(self) -> Ending | None:
-        """Return what the last chunk said, or None if it has not come.
+        """Return the content of the last chunk, or None if it was not received.
 
-        :raises AnswerLost: the last event is no chunk.
+        :raises AnswerLost: the last event is not a valid chunk.
         """
         last = len(self._events) - 1 - self.is_closed
         if last < 0:
@@ -101,7 +101,7 @@
         return Ending(chunk.finish_reason, chunk.usage)
 
     def completion(self, request_id: str, ending: Ending) -> bytes:
-        """Return the OpenAI-style whole answer."""
+        """Return the complete response as an OpenAI-style JSON document."""
         received = self.received()
         usage = ending.usage or Usage()
         first = json.loads(self._events[0].removeprefix(DATA))
--- a/src/sassafrasdale/requests/transfers.py
+++ b/src/sassafrasdale/requests/transfers.py
@@ -1,4 +1,4 @@
-"""Hands generations over to other entries, and takes them from others."""
+"""Hands generations over to other entries, and accepts them from others."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -18,14 +18,14 @@
     RequestNotHeld,
 )
 from sassafrasdale.requests.generation import Generation
-from sassafrasdale.requests.handovers import Parcel, pack, unpack
+from sassafrasdale.requests.handovers import IncomingGeneration, decode, encode
 from sassafrasdale.requests.mover import stream_view
 from sassafrasdale.requests.placement import Progress
 
-# Peers that are asked in turn to take one generation.
+# Maximum number of peers to which one generation is offered, one after the other.
 MAX_RECEIVERS = 3
-# Limit of one offer, so that a dead receiver leaves time for another.
-OFFER_LIMIT = timedelta(seconds=1)
+# Time-out of one offer, so that an unresponsive receiver leaves time for another.
+OFFER_TIMEOUT = timedelta(seconds=1)
 
 log = Logger("transfers")
 
@@ -34,8 +34,8 @@
     """Hand-overs of one entry.
 
     :param name: name of this entry.
-    :param dispatcher: holds the generations.
-    :param directory: the endpoints known.
+    :param dispatcher: runs the generations.
+    :param directory: the known endpoints.
     :param peers: the other entries.
     :param metrics: the entry's metrics.
     :param clock: source of time.
@@ -57,93 +57,96 @@
         self._peers = peers
         self._metrics = metrics
         self._clock = clock
-        self._under_way: set[str] = set()
+        self._offered_ids: set[str] = set()
 
     def give_what_does_not_fit(self, left: timedelta) -> None:
-        """Begin to hand over each generation that won't end within ``left``."""
+        """Start to hand over the generations that won't end within ``left``."""
         for generation in self._dispatcher.registry.running:
             view = stream_view(generation, self._clock)
             if view.remaining_tokens * view.token_delay > left:
-                self._begin(generation)
+                self._start(generation)
 
     def give_undelivered(self) -> None:
-        """Begin to hand over whole answers whose caller has not come yet."""
+        """Start to hand over complete responses that no caller has fetched yet."""
         for generation in self._dispatcher.registry.undelivered:
-            self._begin(generation)
+            self._start(generation)
 
     def take(
         self, handover: HandOver, reply: Callable[[bool], None], *, stays: bool
     ) -> None:
-        """Take a generation that a peer offers, and tell it whether it was taken.
+        """Accept or reject a generation that a peer offers.
 
-        :param stays: whether this entry is ready and stays. One that leaves would
-            pass the request on at once, with less time than its holder has.
+        :param reply: sends the peer whether it was accepted.
+        :param stays: whether this entry is ready and not stopping. A stopping one
+            would hand the request over again at once, with less time than its
+            current holder has.
         """
-        reply(stays and self._take(handover))
+        reply(stays and self._accept(handover))
 
-    def _begin(self, generation: Generation) -> None:
+    def _start(self, generation: Generation) -> None:
         request_id = generation.call.call.request_id
-        # A keyed call's claim is settled by the entry that made it, so it stays.
-        if request_id in self._under_way or not generation.call.call.idempotent:
+        # A call with an idempotency key stays, as the entry that made its claim must
+        # store the outcome.
+        if request_id in self._offered_ids or not generation.call.call.idempotent:
             return
-        self._under_way.add(request_id)
-        spawn(self._give, generation)
+        self._offered_ids.add(request_id)
+        spawn(self._hand_over, generation)
 
-    def _give(self, generation: Generation) -> None:
+    def _hand_over(self, generation: Generation) -> None:
         request_id = generation.call.call.request_id
         progress = generation.begin_offer()
         try:
-            given = any(
+            accepted = any(
                 self._offer(generation, progress, receiver.name)
                 for receiver in self._peers.receivers(request_id)[:MAX_RECEIVERS]
             )
         finally:
-            self._under_way.discard(request_id)
+            self._offered_ids.discard(request_id)
             generation.end_offer()
-        self._metrics.handover_ended("given" if given else "kept")
-        if given:
+        self._metrics.handover_ended("given" if accepted else "kept")
+        if accepted:
             generation.release()
             self._dispatcher.registry.drop(generation)
 
     def _offer(self, generation: Generation, progress: Progress, receiver: str) -> bool:
-        """Offer a generation to one peer; without its word it stays here.
+        """Offer a generation to one peer; without an acknowledgement it stays here.
 
-        An offer whose acknowledgement is lost leaves two holders. Both read the
-        same engine stream, which is the same for both, and the caller follows
-        whichever it reaches; so nothing is lost or mixed up.
+        If the acknowledgement is lost, there are two holders. Both read the same
+        engine stream with the same events, and the caller may read from either, so
+        no event is lost or out of order.
         """
         call = generation.call
         handover = HandOver(
-            call.call.request_id, self._name, pack(call, progress, self._clock)
+            call.call.request_id, self._name, encode(call, progress, self._clock)
         )
-        return self._peers.hand_over(receiver, handover, OFFER_LIMIT)
+        return self._peers.hand_over(receiver, handover, OFFER_TIMEOUT)
 
-    def _take(self, handover: HandOver) -> bool:
+    def _accept(self, handover: HandOver) -> bool:
         try:
-            parcel = unpack(handover.request, self._clock)
-            self._dispatcher.take_over(parcel.call, self._progress(parcel))
+            incoming = decode(handover.request, self._clock)
+            self._dispatcher.take_over(incoming.call, self._progress(incoming))
         except RequestIdTaken:
-            # The same offer came twice, its first acknowledgement was lost.
-            return self._holds_same(parcel)
+            # The offer is repeated because its first acknowledgement was lost.
+            return self._holds_same(incoming)
         except MalformedHandOver as error:
-            log.error("hand-over of {}: {}", handover.holder, error)
+            log.error("rejected hand-over from {}: {}", handover.holder, error)
             return False
         self._metrics.handover_ended("taken")
         return True
 
-    def _progress(self, parcel: Parcel) -> Progress:
-        endpoint = self._directory.get(parcel.endpoint)
-        return Progress(parcel.events, endpoint, parcel.cache, parcel.sent)
+    def _progress(self, incoming: IncomingGeneration) -> Progress:
+        endpoint = self._directory.get(incoming.endpoint)
+        return Progress(incoming.events, endpoint, incoming.cache, incoming.sent)
 
-    def _holds_same(self, parcel: Parcel) -> bool:
-        """Return whether the request held here is the one that is offered.
+    def _holds_same(self, incoming: IncomingGeneration) -> bool:
+        """Return whether the request held here is the offered one.
 
-        Ids are the callers' own: two customers may have chosen the same one, and
-        a yes would then have the holder drop a request that nobody holds.
+        Callers choose the ids, so two customers may use the same one. Accepting then
+        would make the holder drop a request that no other entry holds.
         """
-        about = parcel.call.call
+        about = incoming.call.call
         try:
             held = self._dispatcher.registry.find(about.request_id, about.customer)
         except RequestNotHeld:
             return False
-        return held.call.body == parcel.call.body
+        return held.call.body == incoming.call.body
--- a/tests/requests/test_generation.py
+++ b/tests/requests/test_generation.py
@@ -1,4 +1,4 @@
-"""One generation against scripted engines."""
+"""Tests of one generation on scripted engines."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -17,7 +17,7 @@
 )
 from sassafrasdale.green import sleep
 from sassafrasdale.requests.placement import Progress
-from sassafrasdale.requests.registry import UNREAD_LIMIT, Registry
+from sassafrasdale.requests.registry import UNREAD_TIMEOUT, Registry
 from sassafrasdale.requests.structures import Answered, NotRun, Unknown
 from sassafrasdale.structures import Address
 from tests.requests.fakes import (
@@ -32,11 +32,11 @@
 )
 
 
-def test_a_lost_end_mark_does_not_repeat_the_last_chunk():
-    """A caller is told twice why its answer ended.
+def test_a_lost_end_marker_does_not_repeat_the_last_chunk():
+    """A caller gets the chunk with the finish reason twice.
 
-    The connection breaks between the engine's last chunk and ``[DONE]``. Asked
-    again, the engine sends its last chunk a second time.
+    The connection breaks between the engine's last chunk and ``[DONE]``. If the stream
+    is requested again, the engine repeats its last chunk.
     """
     engine = FakeAdapter([[[token("a"), token("b"), LAST]], [[LAST, DONE]]])
     made = generation(Choices(endpoint("one", engine)))
@@ -45,11 +45,11 @@
     assert made.events == WHOLE
 
 
-def test_a_stream_that_waits_for_its_turn_stays_on_its_engine():
-    """A caller's request runs on several engines while their queues are long.
+def test_a_queued_stream_stays_on_its_engine():
+    """A request runs on several engines while their queues are long.
 
-    The engine's queue is longer than the silence limit. Both the first call and
-    the reconnection bring nothing in time, though the engine is well.
+    The engine's queue takes longer than the silence time-out. Neither the first call
+    nor the reconnection gets an event in time, though the engine is healthy.
     """
     silence = AnswerLost("no answer")
     engine = FakeAdapter([silence, silence, [WHOLE]], {"health": {}})
@@ -60,8 +60,8 @@
     assert other.requests == []
 
 
-def test_a_silent_engine_is_left():
-    """As above, but the engine is gone, so another one computes the tokens again."""
+def test_a_dead_engine_is_replaced():
+    """As above, but the engine is dead, so another one recomputes the tokens."""
     broken = [[token("a")], AnswerLost("silent")]
     engine = FakeAdapter([broken, AnswerLost("no answer")])
     other = FakeAdapter([[WHOLE[1:]]])
@@ -71,10 +71,10 @@
     assert b'"continuation": "a"' in other.requests[0].body
 
 
-def test_a_begun_request_waits_for_an_engine():
-    """A caller's accepted stream ends with an error during a reclaim.
+def test_a_started_request_waits_for_an_engine():
+    """A started stream ends with an error during a reclaim.
 
-    Its engine dies, and for a moment every other one refuses or is unreachable.
+    Its engine crashes, and for a moment every other one refuses or is unreachable.
     """
     engine = FakeAdapter([[[token("a")], AnswerLost("cut")], NotSent("gone")])
     full = FakeAdapter([Refused("full"), [WHOLE[1:]]])
@@ -90,7 +90,7 @@
     return model_call(seconds=SystemClock().elapsed().total_seconds() + 30)
 
 
-def test_a_request_that_nothing_took_was_not_run():
+def test_a_refused_request_was_not_run():
     engine = FakeAdapter([Refused("full", retry_after=timedelta(seconds=7))])
     made = generation(Choices(endpoint("one", engine)))
     made.run()
@@ -98,11 +98,11 @@
 
 
 @pytest.mark.parametrize("sent", [True, False])
-def test_a_holder_knows_whether_the_earlier_one_sent(sent):
-    """A caller is told "not run" of a request that an engine ran.
+def test_a_holder_knows_whether_the_previous_one_sent(sent):
+    """A caller gets "not run" for a request that an engine ran.
 
-    The first holder sent it and lost the answer before the first event; the
-    second finds no engine and knows of no send.
+    The first holder sent it and lost the response before the first event; the second
+    finds no engine and does not know that the request was sent.
     """
     progress = Progress([], None, None, sent=sent)
     clock = ManualClock()
@@ -112,9 +112,9 @@
 
 
 def test_a_cache_is_offered_to_the_next_engine_if_one_refuses():
-    """Tokens are recomputed though their cache was exported.
+    """Tokens are recomputed although their KV cache was exported.
 
-    The first target refuses; the exported cache is still there for the second.
+    The first target refuses; the second can still import the exported cache.
     """
     cache = FromCache(0, "", Address("127.0.0.1", 9), "kv-1")
     full = FakeAdapter([Refused("full")])
@@ -127,11 +127,11 @@
     assert b'"kv_handle": "kv-1"' in other.requests[0].body
 
 
-def test_a_moving_stream_is_handed_over_with_its_cache():
-    """Tokens are recomputed when engine and entry of a zone leave together.
+def test_an_exported_stream_is_handed_over_with_its_cache():
+    """Tokens are recomputed when an engine and an entry leave together.
 
-    The entry offers the stream while the engine exports it, so the receiver asks
-    that engine for a stream which has ended.
+    The entry offers the stream while the engine exports it, so the receiver requests
+    a stream that has ended from that engine.
     """
     engine = FakeAdapter([[[token("a")]]], {"export": {"kv_handle": "kv-1"}})
     leaving = endpoint("one", engine)
@@ -143,10 +143,11 @@
     assert offered.cache.handle == "kv-1"
 
 
-def test_a_refused_export_leaves_the_engine_by_itself():
-    """A caller's stream stalls until its engine is taken.
+def test_a_failed_export_still_leaves_the_engine():
+    """A stream stalls until its engine is reclaimed.
 
-    The engine answers neither export nor cancel, and its stream goes on.
+    The engine responds neither to the export nor to the cancellation, and its stream
+    stays open.
     """
     engine = FakeAdapter([_slow_stream()])
     other = FakeAdapter([[WHOLE[1:]]])
@@ -168,8 +169,8 @@
     yield [token("never read")]
 
 
-def test_a_keyed_request_is_never_computed_again():
-    """A certificate is drafted twice when its engine dies."""
+def test_a_non_idempotent_request_is_never_recomputed():
+    """A non-idempotent request runs twice when its engine crashes."""
     engine = FakeAdapter([[[token("a")], AnswerLost("cut")], StreamUnknown("gone")])
     other = FakeAdapter([[WHOLE]])
     choices = Choices(endpoint("one", engine), endpoint("two", other))
@@ -179,12 +180,12 @@
     assert other.requests == []
 
 
-def test_a_second_holder_that_nobody_reads_cancels_nothing():
-    """A caller's stream stops when another entry gives it up.
+def test_a_second_holder_without_readers_cancels_nothing():
+    """A stream stops when another entry abandons it.
 
-    The acknowledgement of a hand-over was lost, so two entries read one stream.
-    Nobody asks the second one, which gives up after a while and, as it used to,
-    cancels the stream that the first one still passes on.
+    The acknowledgement of a hand-over was lost, so two entries read one stream. No
+    caller reads from the second one, which abandons its generation after a while. It
+    must not cancel the stream that the first one still forwards.
     """
     clock = ManualClock()
     engine = FakeAdapter([])
@@ -192,26 +193,26 @@
     made = generation(Choices(), progress=progress, clock=clock)
     registry = Registry(clock)
     registry.add(made)
-    clock.advance(UNREAD_LIMIT + timedelta(seconds=1))
+    clock.advance(UNREAD_TIMEOUT + timedelta(seconds=1))
     registry.sweep()
     sleep()
     assert made.ended
     assert engine.asked == []
 
 
-def test_a_request_that_waits_for_room_can_be_handed_over():
-    """A queued request is lost when its entry leaves."""
+def test_a_queued_request_can_be_handed_over():
+    """A queued request is lost when its entry stops."""
     made = generation(Choices())
     made.release()
     assert made.handed_over
 
 
 @pytest.mark.parametrize("streamed", [True, False])
-def test_an_engines_complaint_is_passed_back(streamed):
-    """A caller with a prompt that is too long waits for a minute, then gets 504.
+def test_an_engines_rejection_is_returned(streamed):
+    """A caller with a too long prompt waits for a minute, then gets 504.
 
-    The engine answers 400. That was taken for a lost answer, and the request
-    went round all engines.
+    The engine responds with 400. Treated as a lost response, the request is sent to
+    all engines in turn.
     """
     engine = FakeAdapter([Rejected(400, (), b'{"error": "too long"}')])
     call = replace(model_call(), streamed=streamed)
@@ -222,10 +223,10 @@
 
 
 def test_an_unforeseen_error_ends_the_request_at_once():
-    """A caller waited 30 s for nothing.
+    """A caller waits 30 s for nothing.
 
-    A fault in the code that chooses engines ended the generation's task. Its
-    caller went on waiting until the deadline, and was then told "not run".
+    An unexpected error in the choice of engines ends the generation's task. Its caller
+    waits until the deadline, and then gets "not run".
     """
 
     def choose(avoid: frozenset[str]) -> None:
--- a/tests/requests/test_ledger.py
+++ b/tests/requests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the counts of how requests end."""
+"""Tests of counting requests by outcome."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -32,9 +32,9 @@
 def test_in_time_means_both_objectives(
     outcome: Outcome, latency: timedelta, first_token: timedelta, in_time: int
 ):
-    """The burn report showed no burn while callers waited for first tokens.
+    """The burn report shows no burn while callers wait long for first tokens.
 
-    Only the time to the whole answer was held against the objective.
+    It happens if only the time to the complete response is compared to the objective.
     """
     clock = ManualClock()
     clock.advance(timedelta(hours=1))
--- a/tests/requests/test_mover.py
+++ b/tests/requests/test_mover.py
@@ -1,4 +1,4 @@
-"""Plans for the streams of an endpoint that leaves."""
+"""Tests of moving the streams of a leaving endpoint."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -29,11 +29,11 @@
     return Mover(registry, selector, clock)
 
 
-def test_a_stream_that_comes_after_the_notice_is_moved_too():
-    """A caller's stream is cut when its engine goes, after it changed entries.
+def test_a_stream_received_after_the_notice_is_moved():
+    """A stream that changed entries is interrupted when its engine is reclaimed.
 
-    A zone is reclaimed. The plan for the engine's streams is made at the notice;
-    a leaving entry hands over a stream on that engine only afterwards.
+    The engine's streams are planned at its notice; a stopping entry hands over
+    another stream on that engine only afterwards.
     """
     clock = ManualClock()
     registry = Registry(clock)
@@ -49,7 +49,7 @@
     assert engine.asked == ["/v1/streams/id-1/export"]
 
 
-def test_a_stream_on_offer_is_left_where_it_is():
+def test_an_offered_stream_is_not_moved():
     clock = ManualClock()
     registry = Registry(clock)
     mover = _mover(clock, registry)
@@ -65,10 +65,11 @@
     assert engine.asked == []
 
 
-def test_a_notice_after_the_list_still_tells_the_time():
+def test_a_notice_after_the_list_sets_the_time():
     """A leaving engine's streams are not moved.
 
-    The platform's list calls it leaving before the notice says until when.
+    The instance list marks the engine as leaving before the notice with the time
+    arrives.
     """
     directory = Directory(ManualClock())
     listed = Instance(
--- a/tests/requests/test_transfers.py
+++ b/tests/requests/test_transfers.py
@@ -1,4 +1,4 @@
-"""Hand-overs between two entries in memory."""
+"""Tests of hand-overs, between entries in memory."""
 
 from datetime import timedelta
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 from sassafrasdale.endpoints.engines import FromCache
 from sassafrasdale.peers.structures import HandOver
 from sassafrasdale.requests.exceptions import MalformedHandOver
-from sassafrasdale.requests.handovers import pack, unpack
+from sassafrasdale.requests.handovers import decode, encode
 from sassafrasdale.requests.placement import Progress
 from sassafrasdale.requests.registry import Registry
 from sassafrasdale.requests.transfers import Transfers
@@ -21,7 +21,7 @@
 
 
 class Receiver:
-    """An entry that takes hand-overs and runs nothing."""
+    """An entry that accepts hand-overs and does not run them."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -41,18 +41,18 @@
 
     def offer(self, call, *, stays: bool = True) -> bool:
         progress = Progress([token("a")], None, None, sent=True)
-        parcel = pack(call, progress, self.clock)
-        handover = HandOver(call.call.request_id, "giver", parcel)
+        data = encode(call, progress, self.clock)
+        handover = HandOver(call.call.request_id, "giver", data)
         self.transfers.take(handover, self.replies.append, stays=stays)
         return self.replies[-1]
 
 
-def test_a_parcel_brings_everything():
+def test_encoding_preserves_everything():
     clock = ManualClock()
     call = model_call(model="reports", messages=[])
     progress = Progress([token("a")], None, CACHE, sent=True)
-    parcel = unpack(pack(call, progress, clock), clock)
-    assert (parcel.call, parcel.events, parcel.cache, parcel.sent) == (
+    incoming = decode(encode(call, progress, clock), clock)
+    assert (incoming.call, incoming.events, incoming.cache, incoming.sent) == (
         call,
         [token("a")],
         CACHE,
@@ -61,12 +61,12 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"{}", b"[1]", b"\xff"])
-def test_an_unreadable_parcel_is_refused(data):
+def test_a_malformed_hand_over_is_rejected(data):
     with pytest.raises(MalformedHandOver):
-        unpack(data, ManualClock())
+        decode(data, ManualClock())
 
 
-def test_the_same_offer_twice_is_taken_once():
+def test_a_repeated_offer_is_accepted_once():
     receiver = Receiver()
     assert receiver.offer(model_call())
     assert receiver.offer(model_call())
@@ -74,22 +74,22 @@
 
 
 def test_another_customers_id_is_not_the_same_request():
-    """A caller's stream is gone after a reclaim: nobody holds it.
+    """After a reclaim no entry holds a caller's stream.
 
-    Two customers chose one request id. The receiver holds the one and says yes
-    to the other, whose holder then drops it.
+    Two customers use the same request id. The receiver holds one of the requests and
+    accepts the other as a repeated offer, so its holder drops it.
     """
     receiver = Receiver()
     assert receiver.offer(model_call(customer="plants"))
     assert not receiver.offer(model_call(customer="labs"))
 
 
-def test_an_entry_that_leaves_takes_nothing():
-    """A caller's stream moves to an entry that is stopped a moment later."""
+def test_a_stopping_entry_accepts_nothing():
+    """A stream moves to an entry that stops a moment later."""
     assert not Receiver().offer(model_call(), stays=False)
 
 
-def test_time_to_the_deadline_goes_along():
+def test_remaining_time_is_handed_over():
     receiver = Receiver()
     receiver.clock.advance(timedelta(seconds=10))
     receiver.offer(model_call(seconds=60))
