--- a/src/sassafrasdale/endpoints/adapters.py
+++ b/src/sassafrasdale/endpoints/adapters.py
@@ -1,8 +1,8 @@
-"""How a request goes to an endpoint and what comes back.
+"""Sends requests to endpoints and reads their responses.
 
-``BaseAdapter`` is the contract; ``HttpAdapter`` speaks HTTP. A request is
-*sent* once the first byte may have gone out: from there on only a whole answer
-or a refusal marked as such says what became of it.
+``BaseAdapter`` is the interface, ``HttpAdapter`` its implementation over HTTP. A
+request counts as *sent* once its first byte may have been written. From then on only
+a complete response, or a refusal marked as such, determines its outcome.
 """
 
 import json
@@ -29,22 +29,22 @@
     Rejected,
     StreamUnknown,
 )
-from sassafrasdale.endpoints.pools import PoolKeeper
+from sassafrasdale.endpoints.pools import ReplaceablePool
 from sassafrasdale.green import Timeout, timeout
 from sassafrasdale.green_http import GreenHttpConnection
 from sassafrasdale.structures import Address
 
-CONNECT_LIMIT = timedelta(seconds=1)
-# Longest wait for the end of a body after its last event.
-RELEASE_LIMIT = timedelta(milliseconds=50)
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
+CONNECT_TIMEOUT = timedelta(seconds=1)
+# Maximum wait for the end of a body after its last event.
+RELEASE_TIMEOUT = timedelta(milliseconds=50)
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 READ_BYTES = 64 * 1024
-# Answers that say that the request itself is at fault, and would be elsewhere.
-CALLERS_FAULTS = frozenset({400, 401, 403, 413, 415, 422})
+# Statuses for an invalid request, which any other endpoint would reject as well.
+INVALID_REQUEST_STATUSES = frozenset({400, 401, 403, 413, 415, 422})
 REFUSED_HEADER = "X-Refused"
-REFUSED_VALUE = "not-started"
+REFUSED_NOT_STARTED = "not-started"
 
-# Headers that belong to one connection, not to the message (RFC 9110, 7.6.1).
+# Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -56,7 +56,7 @@
         "upgrade",
     }
 )
-_ENDED_BY = (HTTPError, HTTPException, OSError)
+_CONNECTION_ERRORS = (HTTPError, HTTPException, OSError)
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAnswer:
-    """One whole HTTP answer of an endpoint."""
+    """One complete HTTP response of an endpoint."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -83,10 +83,10 @@
 
     @abstractmethod
     def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
-        """Send ``request`` and return its whole answer within ``limit``.
+        """Send ``request`` and return its complete response within ``limit``.
 
-        :raises Refused: the endpoint refused before anything ran.
-        :raises AnswerLost: sent, but no whole answer came.
+        :raises Refused: the endpoint refused before running it.
+        :raises ResponseLost: sent, but no complete response was received.
         """
 
     @abstractmethod
@@ -95,7 +95,7 @@
 
 
 class BaseAdapter(ABC):
-    """Contract of the connections to one endpoint."""
+    """Interface of the connections to one endpoint."""
 
     @abstractmethod
     def connect(self) -> Connection:
@@ -106,23 +106,23 @@
 
     @abstractmethod
     def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
-        """Send ``request`` on any connection and return its whole answer.
+        """Send ``request`` on any connection and return its complete response.
 
         :raises NotSent: the endpoint can't be reached.
-        :raises Refused: the endpoint refused before anything ran.
-        :raises AnswerLost: sent, but no whole answer came.
+        :raises Refused: the endpoint refused before running it.
+        :raises ResponseLost: sent, but no complete response was received.
         """
 
     @abstractmethod
     def stream(self, request: EndpointRequest, limit: timedelta) -> "EventStream":
-        """Send ``request`` and return its server-sent events as they come.
+        """Send ``request`` and return its server-sent events as they arrive.
 
-        :param limit: longest silence between two reads.
+        :param limit: maximum wait for data in one read.
         :raises NotSent: the endpoint can't be reached.
-        :raises Refused: the endpoint refused before anything ran.
-        :raises StreamUnknown: the stream to resume is not known there.
-        :raises Rejected: the request itself is at fault.
-        :raises AnswerLost: sent, but no stream came.
+        :raises Refused: the endpoint refused before running it.
+        :raises StreamUnknown: the endpoint does not have the stream to resume.
+        :raises Rejected: the request is invalid.
+        :raises ResponseLost: sent, but no stream was received.
         """
 
     @abstractmethod
@@ -131,12 +131,12 @@
 
 
 class EventStream:
-    """Server-sent events of one HTTP answer, split but not parsed.
+    """Server-sent events of one HTTP response, split but not parsed.
 
-    Iterating gives lists of whole events as bytes, without their blank line; a
-    list holds what one read brought.
+    Iterating yields lists of complete events as bytes, without their blank line; a
+    list has the events of one read.
 
-    :param response: answer whose body is still to be read.
+    :param response: response with an unread body.
     """
 
     def __init__(self, response: HTTPResponse) -> None:
@@ -144,54 +144,58 @@
         self._released = False
 
     def __iter__(self) -> Iterator[list[bytes]]:
-        rest = b""
+        buffer = b""
         try:
             while chunk := self._response.read1(READ_BYTES):
-                *events, rest = (rest + chunk).split(b"\n\n")
+                *events, buffer = (buffer + chunk).split(b"\n\n")
                 if events:
                     yield events
-        except _ENDED_BY as error:
-            raise AnswerLost(f"the stream broke off: {error}") from error
+        except _CONNECTION_ERRORS as error:
+            raise AnswerLost(f"the stream was interrupted: {error}") from error
         finally:
             self.close()
 
     def release(self) -> None:
-        """Give the connection back for the next call, as the stream is whole.
+        """Return the connection to the pool, as the stream is complete.
 
-        Only the body's end mark may still be under way. A connection on which it
-        does not come at once is closed with the stream.
+        Only the end of the body may still be outstanding. If it does not arrive at
+        once, the connection is closed with the stream.
         """
         try:
-            with timeout(RELEASE_LIMIT):
+            with timeout(RELEASE_TIMEOUT):
                 self._released = not self._response.read1(READ_BYTES)
-        except (Timeout, *_ENDED_BY):
+        except (Timeout, *_CONNECTION_ERRORS):
             return
 
     def close(self) -> None:
-        """Close the connection, unless it was given back.
+        """Close the connection, unless it was returned to the pool.
 
-        It may still carry events nobody wants.
+        It may still receive events that are not needed.
         """
         if not self._released:
             self._response.close()
 
 
-def _positive(limit: timedelta) -> float:
-    """Return ``limit`` in seconds, as a socket takes it."""
+def _socket_timeout(limit: timedelta) -> float:
+    """Return ``limit`` as a socket time-out, in seconds and above 0."""
     return max(limit.total_seconds(), 0.001)
 
 
-def _whole_answer(response: HTTPResponse, method: str) -> EndpointAnswer:
-    """Return the answer with its body, or raise if it is not known to be whole."""
-    # A body that ends with the connection looks the same whether it is whole or
-    # cut off by a crash, so without a length or chunks it is not taken as whole.
-    # That holds for an empty body too: the head may have been cut before its
-    # length.
+def _read_response(response: HTTPResponse, method: str) -> EndpointAnswer:
+    """Read and return the complete response.
+
+    :raises Refused: the endpoint refused before running the request.
+    :raises ResponseLost: the response may be incomplete.
+    """
+    # A body that ends with the connection looks the same whether it is complete or
+    # interrupted by a crash, so a response without a length or chunks counts as
+    # incomplete. So does one with an empty body: the head may have been interrupted
+    # before its length.
     framed = response.chunked or "content-length" in response.headers
     bodiless = response.status in (204, 304) or method == "HEAD"
     body = _read_body(response)
     if not framed and not bodiless:
-        raise AnswerLost("the answer says neither its length nor its end")
+        raise AnswerLost("the response has neither a length nor chunks")
     _raise_if_refused(response.status, response, body)
     headers = tuple(
         (name, value)
@@ -202,31 +206,33 @@
 
 
 def _read_body(response: HTTPResponse) -> bytes:
-    """Return the body, up to a bound.
+    """Return the body, up to a maximum length.
 
-    Small instances hold many answers at once; one without an end would take the
-    memory of all.
+    Small instances hold many responses at once; an endless one would use up the
+    memory.
     """
     body = bytearray()
     try:
-        # Only a read that finds the end tells a short body from a whole one.
+        # Only a read that reaches the end detects a body shorter than its length.
         while part := response.read(READ_BYTES):
             body += part
-            if len(body) > MAX_ANSWER_BYTES:
+            if len(body) > MAX_RESPONSE_BYTES:
                 response.close()
-                raise AnswerLost(f"the answer is over {MAX_ANSWER_BYTES} bytes")
-    except _ENDED_BY as error:
-        raise AnswerLost(f"the answer broke off: {error}") from error
+                raise AnswerLost(f"the response is over {MAX_RESPONSE_BYTES} bytes")
+    except _CONNECTION_ERRORS as error:
+        raise AnswerLost(f"the response was interrupted: {error}") from error
     return bytes(body)
 
 
 def _raise_if_refused(status: int, response: HTTPResponse, body: bytes) -> None:
     if status not in (429, 503):
         return
-    if response.headers.get(REFUSED_HEADER, "").lower() != REFUSED_VALUE:
+    if response.headers.get(REFUSED_HEADER, "").lower() != REFUSED_NOT_STARTED:
         return
-    wait = response.headers.get("Retry-After", "")
-    retry_after = timedelta(seconds=int(wait)) if wait.isdecimal() else None
+    delay_seconds = response.headers.get("Retry-After", "")
+    retry_after = (
+        timedelta(seconds=int(delay_seconds)) if delay_seconds.isdecimal() else None
+    )
     raise Refused(body[:200].decode("utf-8", "replace"), retry_after=retry_after)
 
 
@@ -239,17 +245,17 @@
 
     def __init__(self, address: Address) -> None:
         self._connection = GreenHttpConnection(
-            address.host, address.port, timeout=CONNECT_LIMIT.total_seconds()
+            address.host, address.port, timeout=CONNECT_TIMEOUT.total_seconds()
         )
         try:
             self._connection.connect()
-        except _ENDED_BY as error:
+        except _CONNECTION_ERRORS as error:
             raise NotSent(f"{address} can't be reached: {error}") from error
 
     def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
-        """Send ``request`` and return its whole answer within ``limit``."""
-        # The library sets the socket's timeout again from the connection's own,
-        # which was the limit for connecting and is shorter than a slow answer.
+        """Send ``request`` and return its complete response within ``limit``."""
+        # The library sets the socket's timeout from the connection's own, which is
+        # the connect time-out and too short for a slow response.
         self._connection.timeout = None
         try:
             with timeout(limit):
@@ -272,9 +278,9 @@
                 decode_content=False,
             )
             response = self._connection.getresponse()
-        except _ENDED_BY as error:
+        except _CONNECTION_ERRORS as error:
             raise AnswerLost(f"no answer: {error}") from error
-        return _whole_answer(response, request.method)
+        return _read_response(response, request.method)
 
 
 class HttpAdapter(BaseAdapter):
@@ -286,37 +292,39 @@
 
     def __init__(self, address: Address, clock: Clock | None = None) -> None:
         self._address = address
-        self._pools = PoolKeeper(address, CONNECT_LIMIT, clock or SystemClock())
+        self._pool = ReplaceablePool(address, CONNECT_TIMEOUT, clock or SystemClock())
 
     def connect(self) -> Connection:
         """Return a fresh connection."""
         return HttpConnection(self._address)
 
     def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
-        """Send ``request`` on any connection and return its whole answer."""
-        used = self._pools.current
+        """Send ``request`` on any connection and return its complete response."""
+        used = self._pool.current
         try:
             with timeout(limit):
-                answer = _whole_answer(self._open(request), request.method)
+                complete = _read_response(self._open(request), request.method)
         except Timeout as error:
-            silent = self._pools.lose(used)
-            raise AnswerLost(f"no answer within {limit}", silent=silent) from error
-        used.answered = True
-        return answer
+            unresponsive = self._pool.record_lost_response(used)
+            raise AnswerLost(
+                f"no answer within {limit}", unresponsive=unresponsive
+            ) from error
+        used.has_responded = True
+        return complete
 
     def stream(self, request: EndpointRequest, limit: timedelta) -> EventStream:
-        """Send ``request`` and return its server-sent events as they come."""
-        used = self._pools.current
+        """Send ``request`` and return its server-sent events as they arrive."""
+        used = self._pool.current
         response = self._open(request, limit)
-        used.answered = True
+        used.has_responded = True
         if response.status == 200:
             return EventStream(response)
-        answer = _whole_answer(response, request.method)
-        if answer.status == 404:
-            raise StreamUnknown("the engine does not know the stream")
-        if answer.status in CALLERS_FAULTS:
-            raise Rejected(answer.status, answer.headers, answer.body)
-        raise AnswerLost(f"the engine answered {answer.status}")
+        complete = _read_response(response, request.method)
+        if complete.status == 404:
+            raise StreamUnknown("the engine does not have the stream")
+        if complete.status in INVALID_REQUEST_STATUSES:
+            raise Rejected(complete.status, complete.headers, complete.body)
+        raise AnswerLost(f"the engine answered {complete.status}")
 
     def ask(
         self,
@@ -324,34 +332,34 @@
         target: str,
         *,
         document: Any = None,
-        limit: timedelta = CONNECT_LIMIT,
+        limit: timedelta = CONNECT_TIMEOUT,
     ) -> Any:
-        """Return the JSON answer to a small control call.
+        """Return the JSON response to a small control call.
 
         :raises EndpointError: the call failed or was refused.
         """
         body = b"" if document is None else json.dumps(document).encode()
         headers = (("Content-Type", "application/json"),)
-        answer = self.send(EndpointRequest(method, target, headers, body), limit)
-        if answer.status >= 400:
-            raise AnswerLost(f"{method} {target} was answered {answer.status}")
+        complete = self.send(EndpointRequest(method, target, headers, body), limit)
+        if complete.status >= 400:
+            raise AnswerLost(f"{method} {target} was answered {complete.status}")
         try:
-            return json.loads(answer.body or b"null")
+            return json.loads(complete.body or b"null")
         except ValueError as error:
-            raise AnswerLost(f"{method} {target} did not answer JSON") from error
+            raise AnswerLost(f"{method} {target} did not return JSON") from error
 
     def drop_connections(self) -> None:
         """Close all pooled connections, so that the next call uses a fresh one."""
-        self._pools.drop()
+        self._pool.drop()
 
     def _open(
-        self, request: EndpointRequest, silence: timedelta | None = None
+        self, request: EndpointRequest, read_timeout: timedelta | None = None
     ) -> HTTPResponse:
-        """Send ``request`` and return the answer's head.
+        """Send ``request`` and return the response with an unread body.
 
-        :param silence: longest wait for bytes; None where a time-out is around it.
+        :param read_timeout: maximum wait for data; None if the caller limits it.
         """
-        used = self._pools.current
+        used = self._pool.current
         try:
             return used.pool.urlopen(
                 request.method,
@@ -362,17 +370,19 @@
                 decode_content=False,
                 redirect=False,
                 timeout=urllib3.Timeout(
-                    connect=CONNECT_LIMIT.total_seconds(),
-                    read=None if silence is None else _positive(silence),
+                    connect=CONNECT_TIMEOUT.total_seconds(),
+                    read=None
+                    if read_timeout is None
+                    else _socket_timeout(read_timeout),
                 ),
             )
         except (ConnectTimeoutError, NewConnectionError) as error:
             raise NotSent(f"{self._address} can't be reached: {error}") from error
-        except _ENDED_BY as error:
-            # Silence on a pooled connection may be the connection's fault: a
-            # middlebox forgot it. All of its age are dropped, so that the next
-            # call finds out on a fresh one.
-            silent = self._pools.lose(used)
+        except _CONNECTION_ERRORS as error:
+            # A pooled connection may be unresponsive because a middlebox dropped its
+            # state. All connections of its pool are closed, so that the next call
+            # uses a fresh one.
+            unresponsive = self._pool.record_lost_response(used)
             raise AnswerLost(
-                f"no answer from {self._address}: {error}", silent=silent
+                f"no answer from {self._address}: {error}", unresponsive=unresponsive
             ) from error
--- a/src/sassafrasdale/endpoints/directory.py
+++ b/src/sassafrasdale/endpoints/directory.py
@@ -1,7 +1,7 @@
 """The endpoints that an entry knows, by service.
 
-The directory belongs to the entry's main task; others ask it and never keep
-what it gives across a wait.
+The entry's main task updates the directory; other tasks read it, and never keep a
+result while they wait.
 """
 
 from collections.abc import Callable, Iterable
@@ -13,17 +13,23 @@
 from sassafrasdale.endpoints.adapters import BaseAdapter, HttpAdapter
 from sassafrasdale.structures import Address, Instance, InstanceState, Notice, Role
 
-# A notice may come again long after its instance left; names are not reused.
-NOTICE_MEMORY = 10_000
+# Number of notices kept. A notice may be repeated long after its instance left;
+# instance names are not reused.
+MAX_NOTICES = 10_000
 
 AdapterFactory = Callable[[Address], BaseAdapter]
 
 
 class Endpoint:
-    """One endpoint: its connections, its state and this entry's work on it.
+    """One endpoint: its connections, its state and its load.
 
     :param instance: the instance as the platform lists it.
     :param adapter: connections to it.
+
+    :ivar in_flight: number of this entry's requests there.
+    :ivar reported_load: load that the endpoint reported last.
+    :ivar reported_at: elapsed time of the clock when that load was measured.
+    :ivar own_load_at_report: number of this entry's requests there at that time.
     """
 
     def __init__(self, instance: Instance, adapter: BaseAdapter) -> None:
@@ -53,43 +59,44 @@
 
     @property
     def state(self) -> str:
-        """State of the endpoint's chart."""
+        """State in the endpoint statechart."""
         return self._lifecycle.state
 
     @property
     def takes_work(self) -> bool:
-        """Whether new work may go there."""
+        """Whether it accepts new requests."""
         return self._lifecycle.state == "running"
 
     @property
     def leaves_at(self) -> datetime | None:
-        """When the platform takes it, if that was announced."""
+        """When the platform reclaims it, or None if there was no notice."""
         return self._leaves_at
 
     def leave(self, leaves_at: datetime | None) -> bool:
-        """Take no new work from now on; return whether that is news.
+        """Stop sending new requests there; return whether this was not known yet.
 
-        The list may say that an endpoint leaves before its notice says when.
+        The instance list may mark an endpoint as leaving before its notice, which
+        has the time, arrives.
         """
         if not self._lifecycle.allows("notice"):
-            news = self._leaves_at is None and leaves_at is not None
+            is_new = self._leaves_at is None and leaves_at is not None
             self._leaves_at = self._leaves_at or leaves_at
-            return news and self._lifecycle.state == "leaving"
+            return is_new and self._lifecycle.state == "leaving"
         self._lifecycle.fire("notice")
         self._leaves_at = leaves_at
         return True
 
     def remove(self) -> None:
-        """Forget the endpoint: the platform no longer lists it."""
+        """Mark the endpoint as removed: the platform no longer lists it."""
         if self._lifecycle.allows("delist"):
             self._lifecycle.fire("delist")
 
     def report(self, load: int, own: int, now: timedelta) -> None:
-        """Note the load that the endpoint reported.
+        """Record the load that the endpoint reported.
 
         :param load: running and waiting requests of all entries.
-        :param own: this entry's requests there when it asked.
-        :param now: elapsed time of the entry's clock.
+        :param own: this entry's requests there when the load was measured.
+        :param now: elapsed time of the entry's clock when the load was measured.
         """
         self.reported_load = load
         self.reported_at = now
@@ -97,10 +104,10 @@
 
 
 class Directory:
-    """All endpoints known, by name and by service.
+    """All known endpoints, by name and by service.
 
     :param clock: source of time.
-    :param adapter_factory: makes the connections to an address.
+    :param adapter_factory: creates the adapter for an address.
     """
 
     def __init__(
@@ -110,30 +117,30 @@
         self._adapter_factory = adapter_factory or partial(HttpAdapter, clock=clock)
         self._endpoints: dict[str, Endpoint] = {}
         self._by_service: dict[str, list[Endpoint]] = {}
-        self._leaving: dict[str, datetime] = {}
+        self._notices: dict[str, datetime] = {}
 
     @property
     def endpoints(self) -> tuple[Endpoint, ...]:
-        """Every endpoint, whatever its state."""
+        """All endpoints, in any state."""
         return tuple(self._endpoints.values())
 
     def get(self, name: str) -> Endpoint | None:
-        """Return the endpoint called ``name``."""
+        """Return the endpoint with this name, or None."""
         return self._endpoints.get(name)
 
     def serving(self, service: str) -> list[Endpoint]:
-        """Return the endpoints of ``service`` that take new work."""
+        """Return the endpoints of ``service`` that accept new requests."""
         return [e for e in self._by_service.get(service, ()) if e.takes_work]
 
     def serves(self, service: str) -> bool:
-        """Return whether any endpoint of ``service`` takes new work."""
+        """Return whether any endpoint of ``service`` accepts new requests."""
         return any(e.takes_work for e in self._by_service.get(service, ()))
 
     def replace(self, instances: Iterable[Instance]) -> list[Endpoint]:
-        """Take over the platform's list; return endpoints that began to leave.
+        """Apply the platform's instance list; return the newly leaving endpoints.
 
-        The list lags: an endpoint whose notice came by another way stays
-        leaving although the list still calls it running.
+        The list is delayed: an endpoint whose notice was received separately stays
+        leaving although the list still has it as running.
         """
         listed = {i.name: i for i in instances if i.role is Role.ENDPOINT}
         for name in self._endpoints.keys() - listed.keys():
@@ -141,18 +148,18 @@
         newly_leaving = []
         for name, instance in listed.items():
             endpoint = self._endpoints.get(name) or self._add(instance)
-            announced = self._leaving.get(name)
-            marked = instance.state is InstanceState.LEAVING
-            if (announced or marked) and endpoint.leave(announced):
+            announced = self._notices.get(name)
+            is_listed_leaving = instance.state is InstanceState.LEAVING
+            if (announced or is_listed_leaving) and endpoint.leave(announced):
                 newly_leaving.append(endpoint)
         self._index()
         return newly_leaving
 
     def heed(self, notice: Notice) -> Endpoint | None:
-        """Take a reclaim notice; return the endpoint if it begins to leave."""
-        self._leaving[notice.instance] = notice.leaves_at
-        while len(self._leaving) > NOTICE_MEMORY:
-            self._leaving.pop(next(iter(self._leaving)))
+        """Apply a reclaim notice; return the endpoint if it is newly leaving."""
+        self._notices[notice.instance] = notice.leaves_at
+        while len(self._notices) > MAX_NOTICES:
+            self._notices.pop(next(iter(self._notices)))
         endpoint = self._endpoints.get(notice.instance)
         if endpoint is None or not endpoint.leave(notice.leaves_at):
             return None
--- a/src/sassafrasdale/endpoints/engines.py
+++ b/src/sassafrasdale/endpoints/engines.py
@@ -1,4 +1,4 @@
-"""What a model engine is asked beside plain HTTP, and the events it streams."""
+"""API of model engines: requests, and the events of their streams."""
 
 import json
 from dataclasses import dataclass
@@ -14,22 +14,22 @@
 
 DATA = b"data: "
 DONE = b"data: [DONE]"
-EXPORT_LIMIT = timedelta(seconds=2)
-HEALTH_LIMIT = timedelta(seconds=1)
-# Fields that only this system sets. A caller's would make an engine fetch from an
-# address of the caller's choice, or answer as if tokens had gone before.
-OWN_FIELDS = frozenset({"continue_from", "continuation", "kv_transfer_params"})
+EXPORT_TIMEOUT = timedelta(seconds=2)
+HEALTH_TIMEOUT = timedelta(seconds=1)
+# Fields that a caller must not set: with them, an engine would fetch a KV cache from
+# an address of the caller's choice, or continue from tokens that were never generated.
+RESERVED_FIELDS = frozenset({"continue_from", "continuation", "kv_transfer_params"})
 JSON_TYPE = ("Content-Type", "application/json")
 
 
 @dataclass(frozen=True, slots=True)
 class FromPrompt:
-    """Start from nothing."""
+    """Start a new stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reattach:
-    """Go on with the stream that the same engine still runs.
+    """Resume the stream that the same engine still runs.
 
     :param tokens: tokens received so far.
     """
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FromCache:
-    """Go on with a KV cache that another engine exported.
+    """Continue from a KV cache that another engine exported.
 
-    :param tokens: tokens received so far.
-    :param text: their text, should the cache be gone.
-    :param address: the engine that keeps the cache.
-    :param handle: its name there.
+    :param tokens: number of tokens received so far.
+    :param text: their text, in case the cache no longer exists.
+    :param address: address of the engine that holds the cache.
+    :param handle: the cache's handle on that engine.
     """
 
     tokens: int
@@ -55,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Recompute:
-    """Go on by computing prompt and received tokens again.
+    """Continue by recomputing the prompt and the received tokens.
 
-    :param tokens: tokens received so far.
+    :param tokens: number of tokens received so far.
     :param text: their text.
     """
 
@@ -82,8 +82,8 @@
 class Chunk:
     """One parsed event of a stream.
 
-    :param content: text of its token, empty if it brings none.
-    :param finish_reason: why the generation ended, if it did.
+    :param content: text of its token, or empty.
+    :param finish_reason: why the generation ended, or None.
     :param usage: token counts, in the last chunk.
     """
 
@@ -99,12 +99,12 @@
     start: Start,
     limit: timedelta,
 ) -> EventStream:
-    """Return the engine's events from ``start`` on.
+    """Open a stream, starting as ``start`` says.
 
-    :param stream_id: the engine's name for the stream.
-    :param body: the caller's checked body.
-    :param limit: longest silence between two reads.
-    :raises EndpointError: as ``BaseAdapter.stream`` does.
+    :param stream_id: id of the stream on the engine.
+    :param body: the caller's validated body.
+    :param limit: maximum wait for data in one read.
+    :raises EndpointError: like ``BaseAdapter.stream``.
     """
     return adapter.stream(_stream_request(stream_id, body, start), limit)
 
@@ -125,7 +125,9 @@
             }
         case Recompute(tokens, text):
             extra = {"continue_from": tokens, "continuation": text}
-    allowed = {name: value for name, value in body.items() if name not in OWN_FIELDS}
+    allowed = {
+        name: value for name, value in body.items() if name not in RESERVED_FIELDS
+    }
     document = json.dumps({**allowed, "stream": True, **extra}).encode()
     headers = (JSON_TYPE, ("X-Request-Id", stream_id))
     return EndpointRequest("POST", "/v1/chat/completions", headers, document)
@@ -136,33 +138,35 @@
 
     :raises EndpointError: the engine did not export it.
     """
-    answer = adapter.ask("POST", f"/v1/streams/{stream_id}/export", limit=EXPORT_LIMIT)
+    response = adapter.ask(
+        "POST", f"/v1/streams/{stream_id}/export", limit=EXPORT_TIMEOUT
+    )
     try:
-        return str(answer["kv_handle"])
+        return str(response["kv_handle"])
     except (KeyError, TypeError) as error:
-        raise AnswerLost("the engine's export names no handle") from error
+        raise AnswerLost("the engine's export response has no handle") from error
 
 
 def check_health(adapter: HttpAdapter) -> None:
-    """Ask the engine whether it works.
+    """Check that the engine is healthy.
 
-    :raises EndpointError: it does not answer that it does.
+    :raises EndpointError: the check failed.
     """
-    adapter.ask("GET", "/v1/health", limit=HEALTH_LIMIT)
+    adapter.ask("GET", "/v1/health", limit=HEALTH_TIMEOUT)
 
 
 def cancel(adapter: HttpAdapter, stream_id: str) -> None:
-    """Tell the engine that nobody waits for the stream any more.
+    """Cancel a stream on the engine.
 
-    :raises EndpointError: the engine can't be told.
+    :raises EndpointError: the call failed.
     """
     adapter.ask("POST", f"/v1/streams/{stream_id}/cancel")
 
 
 def parse_chunk(event: bytes) -> Chunk:
-    """Return what an event says.
+    """Parse an event.
 
-    :raises AnswerLost: the event is no chunk.
+    :raises ResponseLost: the event is not a valid chunk.
     """
     try:
         document = json.loads(event.removeprefix(DATA))
@@ -173,9 +177,7 @@
             content, choice.get("finish_reason"), _usage(usage) if usage else None
         )
     except (ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
-        raise AnswerLost(f"the engine sent an event that is no chunk: {error}") from (
-            error
-        )
+        raise AnswerLost(f"the engine sent a malformed chunk: {error}") from (error)
 
 
 def _usage(document: dict) -> Usage:
--- a/src/sassafrasdale/endpoints/exceptions.py
+++ b/src/sassafrasdale/endpoints/exceptions.py
@@ -1,42 +1,42 @@
-"""Errors of the connections to endpoints, by what they say about a run."""
+"""Errors of calls to endpoints, by what they imply about the request's execution."""
 
 from sassafrasdale.exceptions import SassafrasdaleError
 
 
 class EndpointError(SassafrasdaleError):
-    """Base class of the errors of one call of an endpoint."""
+    """Base class of errors of one call to an endpoint."""
 
 
 class NotSent(EndpointError):
-    """Not one byte of the request went out."""
+    """No byte of the request was sent."""
 
 
 class Refused(EndpointError):
-    """The endpoint said that it refused before anything ran."""
+    """The endpoint refused the request before running it, and said so."""
 
 
 class AnswerLost(EndpointError):
-    """The request went out, and no whole answer came back.
+    """The request was sent, and no complete response was received.
 
-    :param silent: whether it went out on one of many connections that may have
-        fallen silent together, and is worth trying on a fresh one.
+    :param unresponsive: whether it was sent on one of several connections that may
+        have become unresponsive together, so that a retry on a fresh one makes sense.
     """
 
-    def __init__(self, message: str, *, silent: bool = False) -> None:
+    def __init__(self, message: str, *, unresponsive: bool = False) -> None:
         super().__init__(message)
-        self.silent = silent
+        self.unresponsive = unresponsive
 
 
 class StreamUnknown(EndpointError):
-    """The engine does not know the stream that was to be resumed."""
+    """The engine does not have the stream to resume."""
 
 
 class Rejected(EndpointError):
-    """The engine answered that the request itself is at fault.
+    """The engine rejected the request as invalid.
 
     :param status: HTTP status, 400 to 499.
-    :param headers: the answer's headers.
-    :param body: the answer's body.
+    :param headers: the response's headers.
+    :param body: the response's body.
     """
 
     def __init__(
--- a/src/sassafrasdale/endpoints/pools.py
+++ b/src/sassafrasdale/endpoints/pools.py
@@ -1,4 +1,4 @@
-"""Pooled connections to one endpoint, dropped together when one falls silent."""
+"""Pooled connections to one endpoint, closed together when one is unresponsive."""
 
 from datetime import timedelta
 
@@ -6,70 +6,73 @@
 from sassafrasdale.green_http import GreenHttpPool, http_pool
 from sassafrasdale.structures import Address
 
-# Connections of one endpoint are held to have fallen silent together at most
-# this often. An endpoint that is slow or down loses answers again and again; its
-# calls are then repeated only as far as the retry budget goes.
-SILENCE_INTERVAL = timedelta(seconds=30)
+# Minimum time between two losses for which a pool's connections are considered
+# unresponsive together. A slow or crashed endpoint loses responses repeatedly; its
+# calls are then retried only within the retry budget.
+UNRESPONSIVE_INTERVAL = timedelta(seconds=30)
 
 
 class ConnectionPool:
-    """Connections opened since the last time that all were dropped.
+    """Connections opened since all earlier ones were closed.
 
     :param pool: the connections.
+
+    :ivar has_responded: whether any call on them got a response.
+    :ivar unresponsive: whether they are considered unresponsive together.
     """
 
     def __init__(self, pool: GreenHttpPool) -> None:
         self.pool = pool
-        self.answered = False
-        self.silent = False
+        self.has_responded = False
+        self.unresponsive = False
 
 
-class PoolKeeper:
-    """Keeps the present pool of connections to one endpoint.
+class ReplaceablePool:
+    """The current pool of connections to one endpoint, replaced after a loss.
 
     :param address: the endpoint's address.
-    :param connect_limit: longest time to connect.
+    :param connect_timeout: maximum time to connect.
     :param clock: source of time.
     """
 
     def __init__(
-        self, address: Address, connect_limit: timedelta, clock: Clock
+        self, address: Address, connect_timeout: timedelta, clock: Clock
     ) -> None:
         self._address = address
-        self._connect_limit = connect_limit
+        self._connect_timeout = connect_timeout
         self._clock = clock
-        self._silenced_at: timedelta | None = None
-        self._current = self._fresh()
+        self._unresponsive_at: timedelta | None = None
+        self._current = self._new_pool()
 
     @property
     def current(self) -> ConnectionPool:
         """The pool for new calls."""
         return self._current
 
-    def lose(self, used: ConnectionPool) -> bool:
-        """Drop the pool on which an answer was lost.
+    def record_lost_response(self, used: ConnectionPool) -> bool:
+        """Replace the pool on which a response was lost.
 
-        :returns: whether the call is worth trying on a fresh connection. So it is
-            for every call on a pool that answered before: something between the
-            two ends may have lost track of all its connections at once.
+        :returns: whether the call should be retried on a fresh connection. It should
+            if the pool has had responses before: a middlebox may have dropped the
+            state of all its connections at once.
         """
         if used is not self._current:
-            # An earlier loss dropped it; the connections since then are fresh.
-            return used.silent
+            # An earlier loss replaced this pool; the current connections are fresh.
+            return used.unresponsive
         self.drop()
         now = self._clock.elapsed()
-        last = self._silenced_at
-        if used.answered and (last is None or now - last >= SILENCE_INTERVAL):
-            used.silent = True
-            self._silenced_at = now
-        return used.silent
+        last = self._unresponsive_at
+        if used.has_responded and (last is None or now - last >= UNRESPONSIVE_INTERVAL):
+            used.unresponsive = True
+            self._unresponsive_at = now
+        return used.unresponsive
 
     def drop(self) -> None:
-        """Close all connections that are idle; those in use close after it."""
-        old, self._current = self._current, self._fresh()
+        """Close the idle connections; those in use are closed after their call."""
+        old, self._current = self._current, self._new_pool()
         old.pool.close()
 
-    def _fresh(self) -> ConnectionPool:
+    def _new_pool(self) -> ConnectionPool:
         return ConnectionPool(
-            http_pool(self._address, connect_timeout=self._connect_limit)
+            http_pool(self._address, connect_timeout=self._connect_timeout)
         )
--- a/src/sassafrasdale/endpoints/reports.py
+++ b/src/sassafrasdale/endpoints/reports.py
@@ -1,4 +1,4 @@
-"""The load that model engines report, asked for at a steady rate."""
+"""Polls model engines for their load at a constant rate."""
 
 import random
 from collections.abc import Callable
@@ -11,16 +11,16 @@
 from sassafrasdale.endpoints.exceptions import EndpointError
 from sassafrasdale.green import sleep
 
-# One round over all engines takes this long, however many there are.
-ROUND = timedelta(seconds=1)
+# Time in which each engine is polled once, regardless of their number.
+POLL_INTERVAL = timedelta(seconds=1)
 JITTER = 0.2
-REPORT_LIMIT = timedelta(milliseconds=500)
+REPORT_TIMEOUT = timedelta(milliseconds=500)
 
 
 class LoadReader:
-    """Task that asks every model engine for its load, one after the other.
+    """Task that polls all model engines for their load, one after the other.
 
-    :param directory: the endpoints known.
+    :param directory: the known endpoints.
     :param is_engine: whether a service's endpoints are model engines.
     :param clock: source of time.
     :param rng: source of jitter.
@@ -37,46 +37,47 @@
         self._is_engine = is_engine
         self._clock = clock
         self._rng = rng
-        self._own: dict[str, InFlightCount] = {}
+        self._own_counts: dict[str, InFlightCount] = {}
 
     def run(self) -> None:
-        """Ask until the task is killed."""
+        """Poll until the task is killed."""
         while True:
             engines = [
                 endpoint
                 for endpoint in self._directory.endpoints
                 if endpoint.takes_work and self._is_engine(endpoint.instance.service)
             ]
-            self._forget_all_but({engine.name for engine in engines})
-            pause = ROUND / max(len(engines), 1)
+            self._keep_only({engine.name for engine in engines})
+            pause = POLL_INTERVAL / max(len(engines), 1)
             for engine in engines:
-                self.ask(engine)
+                self.poll(engine)
                 sleep(pause * self._rng.uniform(1 - JITTER, 1 + JITTER))
             if not engines:
-                sleep(ROUND)
+                sleep(POLL_INTERVAL)
 
-    def ask(self, engine: Endpoint) -> None:
-        """Ask one engine for its load, and note it as of when it was measured.
+    def poll(self, engine: Endpoint) -> None:
+        """Poll one engine, and record its load with the time of measurement.
 
-        A report lags by seconds. Taken as new, it counts this entry's requests
-        of now against the load of then, and all entries herd to the engine that
-        was idle; so the own count of that time is kept, once a round.
+        A report is delayed by seconds. If it counted as current, this entry's present
+        requests would be subtracted from the earlier load, and all entries would send
+        to the engine that was idle then. So the entry's own count at the time of
+        measurement is used, from a history with one value per poll.
         """
-        own = self._own.setdefault(engine.name, InFlightCount())
+        own = self._own_counts.setdefault(engine.name, InFlightCount())
         own.change(self._clock.elapsed(), engine.in_flight - own.now)
         try:
-            load = engine.adapter.ask("GET", "/v1/load", limit=REPORT_LIMIT)
+            load = engine.adapter.ask("GET", "/v1/load", limit=REPORT_TIMEOUT)
             total = int(load["running"]) + int(load["waiting"])
-            measured = self._measured(load)
+            measured = self._measurement_time(load)
         except (EndpointError, KeyError, TypeError, ValueError):
-            # Routing goes on with the older report, which counts less with age.
+            # Routing continues with the older report, whose weight decreases with age.
             return
         engine.report(total, own.at(measured), measured)
 
-    def _measured(self, load: dict[str, Any]) -> timedelta:
+    def _measurement_time(self, load: dict[str, Any]) -> timedelta:
         """Return the elapsed time at which a load was measured.
 
-        :raises ValueError: if its time has another form than RFC 3339.
+        :raises ValueError: if its time is not in RFC 3339 format.
         """
         now = self._clock.elapsed()
         if "measured_at" not in load:
@@ -85,6 +86,6 @@
         age = self._clock.now() - measured_at
         return now - min(max(age, timedelta()), HISTORY)
 
-    def _forget_all_but(self, names: set[str]) -> None:
-        for gone in self._own.keys() - names:
-            del self._own[gone]
+    def _keep_only(self, names: set[str]) -> None:
+        for gone in self._own_counts.keys() - names:
+            del self._own_counts[gone]
--- a/src/sassafrasdale/requests/claimant.py
+++ b/src/sassafrasdale/requests/claimant.py
@@ -94,9 +94,9 @@
                 return Unknown(error.message, error.retry_after or RETRY_AFTER)
         return _result(claimed)
 
-    def settle(self, claim: Claim, answer: Answered) -> None:
+    def settle(self, claim: Claim, response: Answered) -> None:
         """Store the response for retries."""
-        stored = StoredAnswer(answer.status, answer.headers, answer.body)
+        stored = StoredAnswer(response.status, response.headers, response.body)
         self._claims.settle(claim, stored)
 
     def abandon(self, claim: Claim) -> None:
--- a/src/sassafrasdale/requests/course.py
+++ b/src/sassafrasdale/requests/course.py
@@ -140,7 +140,7 @@
     def switch_endpoint(self, endpoint: Endpoint, avoid: set[str]) -> None:
         """Choose how to continue on another endpoint than ``endpoint``.
 
-        :raises AnswerLost: if recomputing would be a second execution.
+        :raises ResponseLost: if recomputing would be a second execution.
         """
         avoid.add(endpoint.name)
         self._endpoint = None
--- a/src/sassafrasdale/requests/execution.py
+++ b/src/sassafrasdale/requests/execution.py
@@ -98,9 +98,9 @@
                 return self._give_up("no endpoint takes the request now")
             same_endpoint = None
             try:
-                answer = self._attempt(endpoint, remaining, avoid)
+                response = self._attempt(endpoint, remaining, avoid)
                 self._budget.deposit(self._clock.elapsed())
-                return Answered(answer.status, answer.headers, answer.body)
+                return Answered(response.status, response.headers, response.body)
             except Refused as error:
                 self._refused = True
                 reason = error.message
@@ -110,7 +110,7 @@
             except AnswerLost as error:
                 self._sent = True
                 reason = error.message
-                if error.silent and endpoint.takes_work:
+                if error.unresponsive and endpoint.takes_work:
                     same_endpoint = endpoint
                 else:
                     self._observe(endpoint, ok=False)
@@ -169,13 +169,13 @@
         began = self._clock.elapsed()
         endpoint.in_flight += 1
         try:
-            answer = endpoint.adapter.send(endpoint_request(self._call), limit)
+            response = endpoint.adapter.send(endpoint_request(self._call), limit)
         finally:
             endpoint.in_flight -= 1
         latency = self._clock.elapsed() - began
         self._observe(endpoint, ok=True, latency=latency)
         self._hedger.observe(latency)
-        return answer
+        return response
 
     def _give_up(self, reason: str) -> Outcome:
         if self._sent:
--- a/src/sassafrasdale/requests/guarded.py
+++ b/src/sassafrasdale/requests/guarded.py
@@ -98,7 +98,7 @@
             if not self._fresh.renew_if_older(MAX_CONNECTION_AGE):
                 return self._withdraw(claim, "no endpoint takes the request now")
             try:
-                answer = self._send()
+                response = self._send()
             except Refused as error:
                 self._avoid.add(self._fresh.endpoint.name)
                 self._lifecycle.fire("retry")
@@ -115,7 +115,7 @@
                 return Unknown(error.message, RETRY_AFTER)
             self._observe(self._fresh.endpoint, ok=True)
             self._lifecycle.fire("answer")
-            answered = Answered(answer.status, answer.headers, answer.body)
+            answered = Answered(response.status, response.headers, response.body)
             # The response is returned even if it can't be stored. A retry that comes
             # before it is stored finds the claim and polls it.
             spawn(self._claimant.settle, claim, answered)
--- a/src/sassafrasdale/requests/transcript.py
+++ b/src/sassafrasdale/requests/transcript.py
@@ -79,7 +79,7 @@
     def received(self) -> Received:
         """Return the tokens so far.
 
-        :raises AnswerLost: an event is not a valid chunk.
+        :raises ResponseLost: an event is not a valid chunk.
         """
         for event in self._events[self._parsed :]:
             if event != DONE and (content := parse_chunk(event).content):
@@ -90,7 +90,7 @@
     def ending(self) -> Ending | None:
         """Return the content of the last chunk, or None if it was not received.
 
-        :raises AnswerLost: the last event is not a valid chunk.
+        :raises ResponseLost: the last event is not a valid chunk.
         """
         last = len(self._events) - 1 - self.is_closed
         if last < 0:
--- a/tests/endpoints/test_adapters.py
+++ b/tests/endpoints/test_adapters.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints that are cut off, on real sockets."""
+"""Tests of interrupted responses, on real sockets."""
 
 import socket
 import threading
@@ -18,15 +18,15 @@
 
 
 @contextmanager
-def endpoint(*answers: bytes) -> Iterator[Address]:
-    """Serve one connection an answer, each time, and close it after that."""
+def endpoint(*responses: bytes) -> Iterator[Address]:
+    """Send each response on a new connection, and close it after that."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
-        for answer in answers:
+        for response in responses:
             connection, _ = listener.accept()
             connection.recv(65_536)
-            connection.sendall(answer)
+            connection.sendall(response)
             connection.close()
 
     thread = threading.Thread(target=serve, daemon=True)
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         HEAD + b"Content-Length: 10\r\n\r\nhalf",
         HEAD + b"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -49,21 +49,21 @@
     ids=["length", "no last chunk", "half a chunk", "no length", "head", "nothing"],
 )
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_cut_answer_is_never_taken_for_whole(answer, fresh):
-    """A caller gets half a certificate.
+def test_an_interrupted_response_is_never_complete(response, fresh):
+    """A caller gets half a response.
 
-    The service dies while it answers. What has come looks like an answer unless
-    its length, or the end of its chunks, is waited for.
+    The service crashes while it responds. What was received looks complete unless its
+    length, or the end of its chunks, is checked.
     """
-    with endpoint(answer) as address:
+    with endpoint(response) as address:
         adapter = HttpAdapter(address)
         sender = adapter.connect() if fresh else adapter
         with pytest.raises(AnswerLost):
             sender.send(ASK, LIMIT)
 
 
-def test_events_of_a_cut_stream_are_whole():
-    """A caller gets half an event, which does not parse."""
+def test_events_of_an_interrupted_stream_are_complete():
+    """A caller gets half an event, which can't be parsed."""
     body = b"14\r\ndata: 1\n\ndata: 2\n\nda\r\n"
     with endpoint(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + body) as address:
         got = []
@@ -88,32 +88,32 @@
         assert HttpAdapter(address).send(ASK, LIMIT).status == int(status[:3])
 
 
-def test_what_can_not_be_reached_was_not_sent():
+def test_a_request_to_an_unreachable_endpoint_was_not_sent():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = Address(*listener.getsockname())
     with pytest.raises(NotSent):
         HttpAdapter(address).send(ASK, LIMIT)
 
 
-def test_an_answer_without_an_end_is_given_up(monkeypatch):
-    """An entry died for want of memory, and with it every request it held.
+def test_an_endless_response_is_given_up(monkeypatch):
+    """An entry runs out of memory, and every request on it is lost.
 
-    A faulty service sent a body without an end; the entry kept all of it to pass
-    it on whole.
+    A faulty service sends an endless body, and the entry buffers all of it to forward
+    it complete.
     """
-    monkeypatch.setattr("sassafrasdale.endpoints.adapters.MAX_ANSWER_BYTES", 1000)
+    monkeypatch.setattr("sassafrasdale.endpoints.adapters.MAX_RESPONSE_BYTES", 1000)
     monkeypatch.setattr("sassafrasdale.endpoints.adapters.READ_BYTES", 500)
     head = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
     body = b"3e8\r\n" + b"x" * 1000 + b"\r\n"
     with (
         endpoint(head + body * 2) as address,
-        pytest.raises(AnswerLost, match="over 1000 bytes"),
+        pytest.raises(AnswerLost, match="the response is over 1000 bytes"),
     ):
         HttpAdapter(address).send(ASK, LIMIT)
 
 
-def test_a_whole_stream_gives_its_connection_back():
-    """Each stream opened a connection of its own, which cost more than the call."""
+def test_a_complete_stream_returns_its_connection():
+    """Each stream opens a connection of its own, which costs more than the call."""
     listener = socket.create_server(("127.0.0.1", 0))
     accepted = []
 
--- a/tests/endpoints/test_engines.py
+++ b/tests/endpoints/test_engines.py
@@ -1,4 +1,4 @@
-"""What engines are asked."""
+"""Tests of the requests to engines."""
 
 import json
 from datetime import timedelta
@@ -10,11 +10,11 @@
 
 
 @pytest.mark.parametrize("start", [FromPrompt(), Recompute(1, "own")])
-def test_a_caller_can_not_name_a_cache(start):
+def test_a_caller_can_not_set_reserved_fields(start):
     """A caller makes an engine fetch from an address of the caller's choice.
 
-    Fields that this system does not know go on to the engine, and among them
-    were those by which it tells engines where to fetch a KV cache.
+    Unknown fields of the body are forwarded to the engine. They must not include those
+    that tell an engine where to fetch a KV cache.
     """
     adapter = FakeAdapter([[]])
     body = {
--- a/tests/endpoints/test_pools.py
+++ b/tests/endpoints/test_pools.py
@@ -1,11 +1,11 @@
-"""When the connections to an endpoint are held to have fallen silent together."""
+"""Tests of when connections to an endpoint are considered unresponsive together."""
 
 from datetime import timedelta
 
 import pytest
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.endpoints.pools import SILENCE_INTERVAL, PoolKeeper
+from sassafrasdale.endpoints.pools import UNRESPONSIVE_INTERVAL, ReplaceablePool
 from sassafrasdale.structures import Address
 
 
@@ -16,36 +16,36 @@
 
 @pytest.fixture
 def pools(clock):
-    return PoolKeeper(Address("127.0.0.1", 1), timedelta(seconds=1), clock)
+    return ReplaceablePool(Address("127.0.0.1", 1), timedelta(seconds=1), clock)
 
 
-def test_all_calls_of_a_pool_that_answered_are_worth_repeating(pools):
+def test_all_calls_of_a_pool_with_responses_are_retried(pools):
     used = pools.current
-    used.answered = True
-    assert [pools.lose(used) for _ in range(3)] == [True, True, True]
+    used.has_responded = True
+    assert [pools.record_lost_response(used) for _ in range(3)] == [True, True, True]
 
 
-def test_a_late_loss_leaves_the_fresh_connections_alone(pools):
+def test_a_late_loss_keeps_the_fresh_connections(pools):
     used = pools.current
-    pools.lose(used)
+    pools.record_lost_response(used)
     fresh = pools.current
-    pools.lose(used)
+    pools.record_lost_response(used)
     assert pools.current is fresh
 
 
-def test_an_endpoint_that_never_answered_is_not_silent(pools):
-    assert not pools.lose(pools.current)
+def test_an_endpoint_without_responses_is_not_retried(pools):
+    assert not pools.record_lost_response(pools.current)
 
 
-def test_an_overloaded_endpoint_is_not_sent_everything_twice(pools, clock):
-    """Calls pile up on a slow endpoint, each sent twice.
+def test_an_overloaded_endpoint_does_not_get_every_call_twice(pools, clock):
+    """Calls accumulate on a slow endpoint, each sent twice.
 
-    It answers some calls in time and loses others, so that each of its pools
-    answered before it was dropped.
+    It responds to some calls in time and not to others, so each of its pools has had a
+    response before it is replaced.
     """
-    worth = []
+    retried = []
     for _ in range(6):
-        clock.advance(SILENCE_INTERVAL / 5)
-        pools.current.answered = True
-        worth.append(pools.lose(pools.current))
-    assert worth == [True, False, False, False, False, True]
+        clock.advance(UNRESPONSIVE_INTERVAL / 5)
+        pools.current.has_responded = True
+        retried.append(pools.record_lost_response(pools.current))
+    assert retried == [True, False, False, False, False, True]
--- a/tests/endpoints/test_reports.py
+++ b/tests/endpoints/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of the load that engines report."""
+"""Tests of polling engines for their load."""
 
 import random
 from datetime import timedelta
@@ -14,7 +14,7 @@
 
 
 class FakeEngine:
-    """An adapter that answers with one load, measured at a time in the past."""
+    """An adapter that returns a fixed load, measured ``lag`` ago."""
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
@@ -39,31 +39,31 @@
 
 
 @pytest.fixture
-def reader(clock):
+def poller(clock):
     return LoadReader(Directory(clock), lambda _: True, clock, random.Random(1))
 
 
-def test_takes_the_own_count_of_when_a_lagged_load_was_measured(clock, engine, reader):
-    """Every few seconds one replica is overrun while the others idle.
+def test_a_delayed_load_uses_the_own_count_at_its_measurement(clock, engine, poller):
+    """Every few seconds one replica is overloaded while the others are idle.
 
-    Load reports are 10 s old. Each entry takes its own requests of now out of the
-    load of then, finds the replica that was idle, and sends it all it has.
+    Load reports are 10 s old. If each entry subtracts its present requests from the
+    earlier load, all of them choose the replica that was idle then.
     """
     engine.adapter.lag = 10 * SECOND
     for own in (1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12):
         engine.in_flight = own
-        reader.ask(engine)
+        poller.poll(engine)
         clock.advance(SECOND)
-    reader.ask(engine)
+    poller.poll(engine)
     assert engine.reported_load == 9
     assert engine.own_load_at_report == 3
     assert clock.elapsed() - engine.reported_at == 10 * SECOND
 
 
 @pytest.mark.parametrize("lag", [None, timedelta(), -30 * SECOND])
-def test_a_load_without_an_age_counts_as_new(clock, engine, reader, lag):
+def test_a_load_without_an_age_counts_as_current(clock, engine, poller, lag):
     engine.adapter.lag = lag
     engine.in_flight = 4
-    reader.ask(engine)
+    poller.poll(engine)
     assert engine.own_load_at_report == 4
     assert engine.reported_at == clock.elapsed()
