--- a/src/sassafrasdale/requests/claim_records.py
+++ b/src/sassafrasdale/requests/claim_records.py
@@ -113,17 +113,17 @@
             fingerprint=model.fingerprint,
             holder=model.holder,
             state=model.state,
-            answer=model.answer.to_answer() if model.answer else None,
+            answer=model.answer.to_response() if model.answer else None,
             body_dropped=model.body_dropped,
         )
 
 
-class _StoredAnswerModel(BaseModel):
+class _StoredResponseModel(BaseModel):
     status: int
     headers: tuple[tuple[str, str], ...]
     body: Base64Bytes
 
-    def to_answer(self) -> StoredAnswer:
+    def to_response(self) -> StoredAnswer:
         return StoredAnswer(self.status, self.headers, self.body)
 
 
@@ -134,7 +134,7 @@
     fingerprint: str
     holder: str
     state: ClaimState
-    answer: _StoredAnswerModel | None = None
+    answer: _StoredResponseModel | None = None
     body_dropped: bool = False
 
 
--- a/src/sassafrasdale/requests/claimant.py
+++ b/src/sassafrasdale/requests/claimant.py
@@ -94,14 +94,14 @@
                 return Unknown(error.message, error.retry_after or RETRY_AFTER)
         return _result(claimed)
 
-    def settle(self, claim: Claim, response: Answered) -> None:
+    def store_response(self, claim: Claim, response: Answered) -> None:
         """Store the response for retries."""
         stored = StoredAnswer(response.status, response.headers, response.body)
         self._claims.settle(claim, stored)
 
-    def abandon(self, claim: Claim) -> None:
+    def release(self, claim: Claim) -> None:
         """Release a claim whose request has not run and never will."""
-        self._claims.abandon(claim)
+        self._claims.release(claim)
 
     def mark_unknown(self, claim: Claim) -> None:
         """Record that the request may have run and gave no response."""
--- a/src/sassafrasdale/requests/claims.py
+++ b/src/sassafrasdale/requests/claims.py
@@ -88,7 +88,7 @@
 
         match claims.claim(key, fingerprint, uuid4().hex, "entry-1"):
             case Granted(claim):
-                ...  # send, then settle, abandon or mark unknown
+                ...  # send, then store the response, release or mark unknown
 
     :param store: the platform's store.
     :param clock: source of elapsed time.
@@ -142,7 +142,7 @@
         """
         return self._write_outcome(claim, claim.record.with_answer(answer))
 
-    def abandon(self, claim: Claim) -> bool:
+    def release(self, claim: Claim) -> bool:
         """Release a claim whose request has not run and never will.
 
         :returns: whether the store has confirmed it.
--- a/src/sassafrasdale/requests/dispatcher.py
+++ b/src/sassafrasdale/requests/dispatcher.py
@@ -178,16 +178,16 @@
         def finish_claim(generation: Generation) -> None:
             match generation.outcome:
                 case Answered() as answered:
-                    claimant.settle(obtained, answered)
+                    claimant.store_response(obtained, answered)
                 case NotRun():
-                    claimant.abandon(obtained)
+                    claimant.release(obtained)
                 case _:
                     claimant.mark_unknown(obtained)
 
         try:
             return self.generate(call, on_end=finish_claim)
         except BaseException:
-            claimant.abandon(obtained)
+            claimant.release(obtained)
             raise
 
     def take_over(self, call: ModelCall, progress: Progress) -> Generation:
--- a/src/sassafrasdale/requests/guarded.py
+++ b/src/sassafrasdale/requests/guarded.py
@@ -118,7 +118,7 @@
             answered = Answered(response.status, response.headers, response.body)
             # The response is returned even if it can't be stored. A retry that comes
             # before it is stored finds the claim and polls it.
-            spawn(self._claimant.settle, claim, answered)
+            spawn(self._claimant.store_response, claim, answered)
             return answered
 
     def _send(self) -> EndpointAnswer:
@@ -137,7 +137,7 @@
     def _withdraw(
         self, claim: Claim, reason: str, retry_after: timedelta | None = None
     ) -> NotRun:
-        spawn(self._claimant.abandon, claim)
+        spawn(self._claimant.release, claim)
         return self._refuse(reason, retry_after)
 
     def _refuse(self, reason: str, retry_after: timedelta | None = None) -> NotRun:
--- a/tests/requests/fakes.py
+++ b/tests/requests/fakes.py
@@ -55,10 +55,10 @@
 
     def ask(self, method: str, target: str, *, document=None, limit=None):
         self.asked.append(target)
-        answer = self._controls.get(target.rpartition("/")[2], EndpointError("no"))
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        response = self._controls.get(target.rpartition("/")[2], EndpointError("no"))
+        if isinstance(response, Exception):
+            raise response
+        return response
 
     def drop_connections(self) -> None:
         return
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -62,7 +62,7 @@
 
 
 def test_released_claim_can_be_claimed_again(claims):
-    claims.abandon(claim(claims, "a").claim)
+    claims.release(claim(claims, "a").claim)
     again = claim(claims, "b")
     assert again.claim.record.claim_id == "b"
     claims.settle(again.claim, ANSWER)
@@ -194,7 +194,7 @@
 
 
 def test_retry_in_an_outage_of_a_released_claim(claims, store):
-    claims.abandon(claim(claims, "a").claim)
+    claims.release(claim(claims, "a").claim)
     store.faults = ["unreached"]
     with pytest.raises(ClaimRefused):
         claim(claims, "b")
--- a/tests/requests/test_claims_model.py
+++ b/tests/requests/test_claims_model.py
@@ -53,20 +53,20 @@
         match result:
             case Granted(claim):
                 self._send(claim)
-            case Answered(answer):
-                self._reply(answer)
+            case Answered(response):
+                self._reply(response)
             case _:
                 self.reply = "unknown"
 
     def _send(self, claim) -> None:
         match wait():
             case None:
-                answer = self._execute()
-                self._reply(answer)
-                self.claims.settle(claim, answer)
+                response = self._execute()
+                self._reply(response)
+                self.claims.settle(claim, response)
             case "unreached":
                 self.reply = "not run"
-                self.claims.abandon(claim)
+                self.claims.release(claim)
             case fault:
                 if fault == "lost_after":
                     self._execute()
@@ -82,9 +82,9 @@
         self.model.runs += 1
         return StoredAnswer(200, (), uuid4().bytes)
 
-    def _reply(self, answer: StoredAnswer) -> None:
+    def _reply(self, response: StoredAnswer) -> None:
         self.reply = "answered"
-        self.model.responses.add(answer.body)
+        self.model.responses.add(response.body)
 
 
 class ClaimsModel(RuleBasedStateMachine):
--- a/tests/requests/test_generation.py
+++ b/tests/requests/test_generation.py
@@ -51,7 +51,7 @@
     The engine's queue takes longer than the silence time-out. Neither the first call
     nor the reconnection gets an event in time, though the engine is healthy.
     """
-    silence = AnswerLost("no answer")
+    silence = AnswerLost("no response")
     engine = FakeAdapter([silence, silence, [WHOLE]], {"health": {}})
     other = FakeAdapter([[WHOLE]])
     made = generation(Choices(endpoint("one", engine), endpoint("two", other)))
@@ -63,7 +63,7 @@
 def test_a_dead_engine_is_replaced():
     """As above, but the engine is dead, so another one recomputes the tokens."""
     broken = [[token("a")], AnswerLost("silent")]
-    engine = FakeAdapter([broken, AnswerLost("no answer")])
+    engine = FakeAdapter([broken, AnswerLost("no response")])
     other = FakeAdapter([[WHOLE[1:]]])
     made = generation(Choices(endpoint("one", engine), endpoint("two", other)))
     made.run()
@@ -218,8 +218,8 @@
     call = replace(model_call(), streamed=streamed)
     made = generation(Choices(endpoint("one", engine)), call)
     made.run()
-    answer = generation_answer(made)
-    assert (answer.status, answer.body) == (400, b'{"error": "too long"}')
+    response = generation_answer(made)
+    assert (response.status, response.body) == (400, b'{"error": "too long"}')
 
 
 def test_an_unforeseen_error_ends_the_request_at_once():
