--- a/src/sassafrasdale/endpoints/adapters.py
+++ b/src/sassafrasdale/endpoints/adapters.py
@@ -177,7 +177,7 @@
 
 
 def _socket_timeout(limit: timedelta) -> float:
-    """Return ``limit`` as a socket time-out, in seconds and above 0."""
+    """Return ``limit`` as a socket timeout, in seconds and above 0."""
     return max(limit.total_seconds(), 0.001)
 
 
@@ -255,7 +255,7 @@
     def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
         """Send ``request`` and return its complete response within ``limit``."""
         # The library sets the socket's timeout from the connection's own, which is
-        # the connect time-out and too short for a slow response.
+        # the connect timeout and too short for a slow response.
         self._connection.timeout = None
         try:
             with timeout(limit):
--- a/src/sassafrasdale/requests/dispatcher.py
+++ b/src/sassafrasdale/requests/dispatcher.py
@@ -48,7 +48,7 @@
     :param gates: admit requests to each service.
     :param registry: holds generations.
     :param claims: claims of non-idempotent calls.
-    :param ledger: counts how requests end.
+    :param ledger: counts requests by outcome.
     :param is_alive: whether the entry of a given name is considered alive.
     :param clock: source of time.
     :param rng: source of claim ids.
--- a/src/sassafrasdale/requests/transfers.py
+++ b/src/sassafrasdale/requests/transfers.py
@@ -24,7 +24,7 @@
 
 # Maximum number of peers to which one generation is offered, one after the other.
 MAX_RECEIVERS = 3
-# Time-out of one offer, so that an unresponsive receiver leaves time for another.
+# Timeout of one offer, so that an unresponsive receiver leaves time for another.
 OFFER_TIMEOUT = timedelta(seconds=1)
 
 log = Logger("transfers")
--- a/tests/requests/test_generation.py
+++ b/tests/requests/test_generation.py
@@ -48,7 +48,7 @@
 def test_a_queued_stream_stays_on_its_engine():
     """A request runs on several engines while their queues are long.
 
-    The engine's queue takes longer than the silence time-out. Neither the first call
+    The engine's queue takes longer than the silence timeout. Neither the first call
     nor the reconnection gets an event in time, though the engine is healthy.
     """
     silence = AnswerLost("no response")
