--- a/src/sassafrasdale/callers/__init__.py
+++ b/src/sassafrasdale/callers/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP for callers and administration."""
+"""HTTP interface for callers and for administration."""
--- a/src/sassafrasdale/callers/administration.py
+++ b/src/sassafrasdale/callers/administration.py
@@ -1,4 +1,4 @@
-"""What operators may ask an entry: the text and what the entry knows."""
+"""HTTP handlers for operators: the text, and the status of the entry."""
 
 import random
 from collections.abc import Callable
@@ -7,9 +7,9 @@
 
 from sassafrasdale.callers.exceptions import CallerError
 from sassafrasdale.callers.messages import (
-    HttpAnswer,
     HttpRequest,
-    json_answer,
+    HttpResponse,
+    json_response,
     problem,
 )
 from sassafrasdale.callers.routes import Route, route
@@ -33,14 +33,14 @@
 
 
 class Administration:
-    """The operators' side of one entry.
-
-    :param current: the text in force.
-    :param register: the text in the platform's store.
-    :param accept: puts an accepted edit in force here and tells the peers.
-    :param status: gives what the entry knows, as a JSON document.
-    :param burn: gives the counts for the burn report, as a JSON document.
-    :param rng: source of edit ids.
+    """HTTP handlers of one entry for its operators.
+
+    :param current: the revision of the text in force.
+    :param register: stores the text in the platform's store.
+    :param accept: puts an accepted edit in force here and offers it to the peers.
+    :param status: returns the status report as a JSON document.
+    :param burn: returns the counts for the burn report as a JSON document.
+    :param rng: random source of edit ids.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._rng = rng
 
     def routes(self) -> list[Route]:
-        """Return the routes of this side."""
+        """Return the routes for operators."""
         revision = r"/admin/v1/text/history/(?P<revision>\d{1,12})"
         return [
             route("GET", "/admin/v1/text", self.show),
@@ -73,29 +73,31 @@
             route("GET", "/admin/v1/burn", self.burn),
         ]
 
-    def show(self, request: HttpRequest) -> HttpAnswer:
-        """Give the text in force, or wait for a newer one."""
-        known = request.header("If-None-Match")
-        if known is not None:
+    def show(self, request: HttpRequest) -> HttpResponse:
+        """Return the text in force; with ``wait_ms``, wait for a newer revision."""
+        known_tag = request.header("If-None-Match")
+        if known_tag is not None:
             wait = min(_milliseconds(request, "wait_ms"), MAX_WAIT)
-            self._current.wait_newer(_revision(known, "If-None-Match"), wait)
+            self._current.wait_newer(_revision(known_tag, "If-None-Match"), wait)
         record = self._current.record
         if record is None:
             return problem(404, "No text", "no text was ever accepted", field="text")
-        if known is not None and record.revision <= _revision(known, "If-None-Match"):
-            return HttpAnswer(304, (_etag(record),), b"")
-        return _text_answer(record)
-
-    def check(self, request: HttpRequest) -> HttpAnswer:
-        """Check a text without writing it."""
+        if known_tag is not None and record.revision <= _revision(
+            known_tag, "If-None-Match"
+        ):
+            return HttpResponse(304, (_etag(record),), b"")
+        return _text_response(record)
+
+    def check(self, request: HttpRequest) -> HttpResponse:
+        """Check a text without storing it."""
         try:
             parse_text(_decode(request))
         except TextError as error:
-            return _faults_answer(error)
-        return json_answer({"faults": []})
+            return _faults_response(error)
+        return json_response({"faults": []})
 
-    def put(self, request: HttpRequest) -> HttpAnswer:
-        """Accept a new text in place of the revision that the operator saw."""
+    def put(self, request: HttpRequest) -> HttpResponse:
+        """Store a new text if the current revision is the one in If-Match."""
         expected = request.header("If-Match")
         if expected is None:
             raise CallerError(
@@ -114,41 +116,41 @@
                 request.header("X-Author") or "",
             )
         except TextError as error:
-            return _faults_answer(error)
+            return _faults_response(error)
         except TextConflict as error:
-            return _conflict_answer(error, text)
+            return _conflict_response(error, text)
         except TextOutcomeUnknown as error:
-            return _store_answer(error, OutcomeName.UNKNOWN)
+            return _store_error_response(error, OutcomeName.UNKNOWN)
         except StoreError as error:
-            return _store_answer(error, OutcomeName.NOT_RUN)
+            return _store_error_response(error, OutcomeName.NOT_RUN)
         self._accept(record)
-        return json_answer({"revision": record.revision}, headers=(_etag(record),))
+        return json_response({"revision": record.revision}, headers=(_etag(record),))
 
-    def history(self, request: HttpRequest) -> HttpAnswer:
+    def history(self, request: HttpRequest) -> HttpResponse:
         """List the accepted edits."""
         try:
             records = self._register.history()
         except StoreError as error:
-            return _store_answer(error, OutcomeName.NOT_RUN)
-        return json_answer({"edits": [_summary(record) for record in records]})
+            return _store_error_response(error, OutcomeName.NOT_RUN)
+        return json_response({"edits": [_summary(record) for record in records]})
 
-    def revision(self, request: HttpRequest, revision: str) -> HttpAnswer:
-        """Give the text of one accepted edit."""
+    def revision(self, request: HttpRequest, revision: str) -> HttpResponse:
+        """Return the text of one accepted edit."""
         try:
             record = self._register.revision(int(revision))
         except StoreError as error:
-            return _store_answer(error, OutcomeName.NOT_RUN)
+            return _store_error_response(error, OutcomeName.NOT_RUN)
         if record is None:
             return problem(404, "No such revision", revision, field="revision")
-        return _text_answer(record)
+        return _text_response(record)
 
-    def status(self, request: HttpRequest) -> HttpAnswer:
-        """Give what this entry knows."""
-        return json_answer(self._status())
+    def status(self, request: HttpRequest) -> HttpResponse:
+        """Return the status report of this entry."""
+        return json_response(self._status())
 
-    def burn(self, request: HttpRequest) -> HttpAnswer:
-        """Give the counts for the burn report."""
-        return json_answer(self._burn())
+    def burn(self, request: HttpRequest) -> HttpResponse:
+        """Return the counts for the burn report."""
+        return json_response(self._burn())
 
     def _edit_id(self) -> str:
         return str(UUID(int=self._rng.getrandbits(128), version=4))
@@ -169,24 +171,24 @@
 
 
 def _milliseconds(request: HttpRequest, name: str) -> timedelta:
-    given = request.query.get(name, "0")
-    if not given.isdecimal() or len(given) > 9:
+    value = request.query.get(name, "0")
+    if not value.isdecimal() or len(value) > 9:
         raise CallerError(f"{name} must be a number of milliseconds", field=name)
-    return timedelta(milliseconds=int(given))
+    return timedelta(milliseconds=int(value))
 
 
 def _etag(record: TextRecord) -> tuple[str, str]:
     return ("ETag", f'"{record.revision}"')
 
 
-def _text_answer(record: TextRecord) -> HttpAnswer:
+def _text_response(record: TextRecord) -> HttpResponse:
     headers = (
         ("Content-Type", YAML),
         _etag(record),
         ("X-Author", record.author),
         ("X-Edit-Id", record.edit_id),
     )
-    return HttpAnswer(200, headers, record.text.encode())
+    return HttpResponse(200, headers, record.text.encode())
 
 
 def _summary(record: TextRecord) -> dict:
@@ -198,7 +200,7 @@
     }
 
 
-def _faults_answer(error: TextError) -> HttpAnswer:
+def _faults_response(error: TextError) -> HttpResponse:
     faults = [
         {"field": f.field, "line": f.line, "message": f.message} for f in error.faults
     ]
@@ -206,10 +208,10 @@
     return problem(422, "Faulty text", detail, faults=faults)
 
 
-def _conflict_answer(error: TextConflict, text: str) -> HttpAnswer:
+def _conflict_response(error: TextConflict, text: str) -> HttpResponse:
     current = error.current
     before = current.text if current else ""
-    name = f"revision {current.revision if current else 0}"
+    current_name = f"revision {current.revision if current else 0}"
     return problem(
         412,
         "Conflict",
@@ -217,11 +219,13 @@
         field="If-Match",
         revision=current.revision if current else 0,
         author=current.author if current else "",
-        difference=format_difference(before, text, name, "your text"),
+        difference=format_difference(before, text, current_name, "your text"),
     )
 
 
-def _store_answer(error: SassafrasdaleError, outcome: OutcomeName) -> HttpAnswer:
+def _store_error_response(
+    error: SassafrasdaleError, outcome: OutcomeName
+) -> HttpResponse:
     return problem(
         503,
         "Store out of reach",
--- a/src/sassafrasdale/callers/app.py
+++ b/src/sassafrasdale/callers/app.py
@@ -1,4 +1,4 @@
-"""What callers may ask an entry."""
+"""HTTP handlers for callers: chat completions, services, fetches and health."""
 
 import random
 from collections.abc import Callable
@@ -8,10 +8,10 @@
 from sassafrasdale.callers.generations import generation_answer
 from sassafrasdale.callers.headers import read_call, read_customer
 from sassafrasdale.callers.messages import (
-    HttpAnswer,
     HttpRequest,
-    json_answer,
-    outcome_answer,
+    HttpResponse,
+    json_response,
+    outcome_response,
     problem,
 )
 from sassafrasdale.callers.models import parse_chat
@@ -32,11 +32,11 @@
 from sassafrasdale.text.current import CurrentText
 from sassafrasdale.text.structures import Service, ServiceKind, Text
 
-NOT_READY_RETRY = timedelta(seconds=1)
-# Looks for the holder of a request, and the pause between two of them.
-SEARCHES = 3
-SEARCH_AGAIN = timedelta(milliseconds=100)
-# Headers of a caller that are this system's own and do not pass through.
+NOT_READY_RETRY_AFTER = timedelta(seconds=1)
+# Searches for the entry that holds a request, and the pause between two of them.
+MAX_SEARCHES = 3
+SEARCH_INTERVAL = timedelta(milliseconds=100)
+# Headers of a caller that are meant for this entry and aren't forwarded.
 OWN_HEADERS = frozenset(
     {
         "x-customer",
@@ -51,20 +51,22 @@
     }
 )
 
-Relay = Callable[[HttpRequest, str], HttpAnswer | None]
+Relay = Callable[[HttpRequest, str], HttpResponse | None]
 
 
 class CallerApp:
-    """The callers' side of one entry.
+    """HTTP handlers of one entry for its callers.
 
-    :param current: the text in force.
+    :param current: the revision of the text in force.
     :param dispatcher: runs the calls.
-    :param is_ready: whether the balancer should send callers here.
-    :param takes_work: whether the entry takes new work; for a moment longer.
-    :param relay: fetches a request that a peer holds, or gives None.
+    :param is_ready: whether the load balancer should send callers here.
+    :param accepts_requests: whether the entry accepts new requests; it still does for
+        a moment after it is no longer ready.
+    :param relay: fetches a response from the peer that holds the request; returns
+        None if there is none.
     :param metrics: the entry's metrics.
     :param clock: source of time.
-    :param rng: source of request ids.
+    :param rng: random source of request ids.
     """
 
     def __init__(
@@ -73,7 +75,7 @@
         current: CurrentText,
         dispatcher: Dispatcher,
         is_ready: Callable[[], bool],
-        takes_work: Callable[[], bool],
+        accepts_requests: Callable[[], bool],
         relay: Relay,
         metrics: Metrics,
         clock: Clock,
@@ -82,14 +84,14 @@
         self._current = current
         self._dispatcher = dispatcher
         self._is_ready = is_ready
-        self._takes_work = takes_work
+        self._accepts_requests = accepts_requests
         self._relay = relay
         self._metrics = metrics
         self._clock = clock
         self._rng = rng
 
     def routes(self) -> list[Route]:
-        """Return the routes of this side."""
+        """Return the routes for callers."""
         return [
             route("POST", "/v1/chat/completions", self.chat),
             route("*", "/v1/services/(?P<service>[^/]+)(?P<rest>/.*)", self.service),
@@ -99,23 +101,23 @@
             route("GET", "/metrics", self.metrics),
         ]
 
-    def live(self, request: HttpRequest) -> HttpAnswer:
-        """Answer that the process runs."""
-        return json_answer({"live": True})
+    def live(self, request: HttpRequest) -> HttpResponse:
+        """Report that the process is running."""
+        return json_response({"live": True})
 
-    def ready(self, request: HttpRequest) -> HttpAnswer:
-        """Answer whether the balancer should send callers here."""
+    def ready(self, request: HttpRequest) -> HttpResponse:
+        """Report whether the load balancer should send callers here."""
         ready = self._is_ready()
-        return json_answer({"ready": ready}, status=200 if ready else 503)
+        return json_response({"ready": ready}, status=200 if ready else 503)
 
-    def metrics(self, request: HttpRequest) -> HttpAnswer:
-        """Give the metrics' scrape page."""
+    def metrics(self, request: HttpRequest) -> HttpResponse:
+        """Return the metrics for a scraper."""
         page = self._metrics.metrics_page()
-        return HttpAnswer(200, (("Content-Type", self._metrics.content_type),), page)
+        return HttpResponse(200, (("Content-Type", self._metrics.content_type),), page)
 
-    def chat(self, request: HttpRequest) -> HttpAnswer:
-        """Run a model call."""
-        text = self._text()
+    def chat(self, request: HttpRequest) -> HttpResponse:
+        """Run a chat completion."""
+        text = self._text_for_new_request()
         chat = parse_chat(request.body)
         service = _service(text, chat.model, ServiceKind.MODEL, "model")
         call = read_call(
@@ -133,7 +135,7 @@
             return generation_answer(self._dispatcher.generate(model_call))
         return self._chat_once(model_call)
 
-    def _chat_once(self, call: ModelCall) -> HttpAnswer:
+    def _chat_once(self, call: ModelCall) -> HttpResponse:
         if call.streamed:
             raise CallerError(
                 "a request with an Idempotency-Key is answered whole, not streamed",
@@ -143,41 +145,43 @@
         if isinstance(started, Generation):
             return generation_answer(started)
         request_id = ("X-Request-Id", call.call.request_id)
-        return outcome_answer(started).with_headers(request_id)
+        return outcome_response(started).with_headers(request_id)
 
-    def service(self, request: HttpRequest, service: str, rest: str) -> HttpAnswer:
-        """Pass a call through to a plain service."""
-        text = self._text()
-        found = _service(text, service, ServiceKind.PLAIN, "service")
+    def service(self, request: HttpRequest, service: str, rest: str) -> HttpResponse:
+        """Forward a call to a plain service."""
+        text = self._text_for_new_request()
+        plain_service = _service(text, service, ServiceKind.PLAIN, "service")
         call = read_call(
             request,
             text,
-            found,
-            idempotent=found.is_idempotent(request.method, rest),
+            plain_service,
+            idempotent=plain_service.is_idempotent(request.method, rest),
             clock=self._clock,
             rng=self._rng,
         )
         target = request.target.removeprefix(f"/v1/services/{service}")
         outcome = self._dispatcher.serve(
-            ServiceCall(call, request.method, target, _passed_on(request), request.body)
+            ServiceCall(
+                call, request.method, target, _forwarded_headers(request), request.body
+            )
         )
-        return outcome_answer(outcome).with_headers(("X-Request-Id", call.request_id))
+        return outcome_response(outcome).with_headers(("X-Request-Id", call.request_id))
 
-    def fetch(self, request: HttpRequest, request_id: str) -> HttpAnswer:
-        """Give the answer to an earlier request, or the rest of its stream."""
-        customer = read_customer(request, self._text_or_fail())
+    def fetch(self, request: HttpRequest, request_id: str) -> HttpResponse:
+        """Return the response to an earlier request, or the rest of its stream."""
+        customer = read_customer(request, self._text_in_force())
         after = _last_event(request)
-        # A search that falls into a hand-over may ask the receiver, which may be
-        # this entry, too early and the giver too late. The giver drops a request
-        # only after it was taken, so a later search finds it.
-        searches = 1 if request.header(RELAYED) else SEARCHES
+        # A search during a hand-over may ask the receiver (which may be this entry)
+        # too early and the sender too late. The sender drops a request only after
+        # the receiver has accepted it, so a later search finds it.
+        searches = 1 if request.header(RELAYED) else MAX_SEARCHES
         for attempt in range(searches):
             if attempt:
-                sleep(SEARCH_AGAIN)
-            found = self._search(request, request_id, customer, after)
-            if found is not None:
-                return found
-        # It may have run: its holder may have died with all it knew.
+                sleep(SEARCH_INTERVAL)
+            response = self._search(request, request_id, customer, after)
+            if response is not None:
+                return response
+        # It may have run: the entry that held it may have crashed.
         return problem(
             404,
             "Not found",
@@ -188,22 +192,24 @@
 
     def _search(
         self, request: HttpRequest, request_id: str, customer: str, after: int
-    ) -> HttpAnswer | None:
-        """Return the answer of this entry or of a peer, or None if none holds it."""
+    ) -> HttpResponse | None:
+        """Return the response of this entry or a peer, or None if none holds it."""
         try:
             generation = self._dispatcher.registry.find(request_id, customer)
         except RequestNotHeld:
             return self._relay(request, request_id)
         return generation_answer(generation, after)
 
-    def _text(self) -> Text:
-        if not self._takes_work():
-            raise NotReady("this entry takes no new work", retry_after=NOT_READY_RETRY)
-        return self._text_or_fail()
+    def _text_for_new_request(self) -> Text:
+        if not self._accepts_requests():
+            raise NotReady(
+                "this entry takes no new work", retry_after=NOT_READY_RETRY_AFTER
+            )
+        return self._text_in_force()
 
-    def _text_or_fail(self) -> Text:
+    def _text_in_force(self) -> Text:
         if self._current.text is None:
-            raise NotReady("no text is in force yet", retry_after=NOT_READY_RETRY)
+            raise NotReady("no text is in force yet", retry_after=NOT_READY_RETRY_AFTER)
         return self._current.text
 
 
@@ -216,7 +222,7 @@
     return service
 
 
-def _passed_on(request: HttpRequest) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(request: HttpRequest) -> tuple[tuple[str, str], ...]:
     dropped = HOP_BY_HOP | OWN_HEADERS
     return tuple(
         (name, value) for name, value in request.headers.items() if name not in dropped
@@ -224,18 +230,18 @@
 
 
 def _last_event(request: HttpRequest) -> int:
-    given = request.header("Last-Event-ID")
-    if given is None:
+    position = request.header("Last-Event-ID")
+    if position is None:
         return 0
-    if not given.isdecimal() or len(given) > 9:
+    if not position.isdecimal() or len(position) > 9:
         raise CallerError(
             "Last-Event-ID must be the position of an event", field="Last-Event-ID"
         )
-    return int(given)
+    return int(position)
 
 
-def error_answer(error: Exception) -> HttpAnswer | None:
-    """Return what a caller is told of an error, or None if it is unforeseen."""
+def error_response(error: Exception) -> HttpResponse | None:
+    """Return the response for a known error, or None for an unexpected one."""
     match error:
         case CallerError():
             return problem(
--- a/src/sassafrasdale/callers/exceptions.py
+++ b/src/sassafrasdale/callers/exceptions.py
@@ -1,12 +1,12 @@
-"""Errors of what callers send."""
+"""Errors in the requests of callers."""
 
 from sassafrasdale.exceptions import SassafrasdaleError
 
 
 class CallerError(SassafrasdaleError):
-    """A caller sent something wrong; ``field`` names it.
+    """A request is invalid; ``field`` names the part at fault.
 
-    :param status: HTTP status of the answer.
+    :param status: HTTP status of the response.
     """
 
     def __init__(self, message: str, *, field: str | None, status: int = 400) -> None:
@@ -15,4 +15,4 @@
 
 
 class NotReady(SassafrasdaleError):
-    """The entry has no text in force yet, or is leaving."""
+    """The entry has no text in force yet, or is shutting down."""
--- a/src/sassafrasdale/callers/headers.py
+++ b/src/sassafrasdale/callers/headers.py
@@ -1,4 +1,4 @@
-"""The headers by which a caller says who calls, until when and how urgently."""
+"""Request headers for the customer, deadline, priority and idempotency key."""
 
 import random
 import re
@@ -25,10 +25,10 @@
     clock: Clock,
     rng: random.Random,
 ) -> Call:
-    """Return the caller's part of a request.
+    """Return the call that the headers of a request describe.
 
-    :param idempotent: what the service's rules say of the request.
-    :raises CallerError: a header is missing or faulty.
+    :param idempotent: whether the request is idempotent by the service's rules.
+    :raises CallerError: a header is missing or invalid.
     """
     key = request.header("Idempotency-Key")
     if key is not None:
@@ -64,10 +64,10 @@
 
 
 def _request_id(request: HttpRequest, rng: random.Random) -> str:
-    given = request.header("X-Request-Id")
-    if given is None:
+    value = request.header("X-Request-Id")
+    if value is None:
         return str(UUID(int=rng.getrandbits(128), version=4))
-    return _identifier(given, "X-Request-Id")
+    return _identifier(value, "X-Request-Id")
 
 
 def _identifier(value: str, field: str) -> str:
@@ -79,22 +79,22 @@
 
 
 def _timeout(request: HttpRequest, service: Service) -> timedelta:
-    given = request.header("X-Timeout-Ms")
-    if given is None:
+    value = request.header("X-Timeout-Ms")
+    if value is None:
         return service.timeout
-    if not given.isdecimal() or not given.isascii() or int(given[:12]) == 0:
+    if not value.isdecimal() or not value.isascii() or int(value[:12]) == 0:
         raise CallerError(
             "X-Timeout-Ms must be a whole number of milliseconds above 0",
             field="X-Timeout-Ms",
         )
-    return min(timedelta(milliseconds=int(given[:12])), MAX_TIMEOUT)
+    return min(timedelta(milliseconds=int(value[:12])), MAX_TIMEOUT)
 
 
 def _priority(request: HttpRequest, service: Service) -> int:
-    given = request.header("Priority")
-    if given is None:
+    value = request.header("Priority")
+    if value is None:
         return service.priority
-    urgency = _URGENCY.search(given)
+    urgency = _URGENCY.search(value)
     if urgency is None:
         return service.priority
     level = int(urgency.group(1))
--- a/src/sassafrasdale/callers/messages.py
+++ b/src/sassafrasdale/callers/messages.py
@@ -1,4 +1,4 @@
-"""HTTP requests and answers of the callers' side, free of WSGI."""
+"""HTTP requests and responses, independent of WSGI."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -16,7 +16,7 @@
 
 JSON = "application/json"
 PROBLEM = "application/problem+json"
-STATUS_LIMITED = 429
+STATUS_RATE_LIMITED = 429
 STATUS_NOT_RUN = 503
 STATUS_UNKNOWN = 504
 
@@ -27,9 +27,9 @@
 
     :param method: HTTP method.
     :param path: decoded path.
-    :param target: path and query as they came.
-    :param query: decoded query, the last value of each name.
-    :param headers: headers by lower-case name.
+    :param target: path and query as received.
+    :param query: decoded query, with the last value of each name.
+    :param headers: headers by lowercase name.
     :param body: whole body.
     """
 
@@ -46,24 +46,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
-    """One HTTP answer to a caller; the body may come in parts."""
+class HttpResponse:
+    """One HTTP response to a caller; the body may be streamed."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes | Iterable[bytes]
 
-    def with_headers(self, *headers: tuple[str, str]) -> "HttpAnswer":
-        """Return the same answer with ``headers`` added."""
-        return HttpAnswer(self.status, (*self.headers, *headers), self.body)
+    def with_headers(self, *headers: tuple[str, str]) -> "HttpResponse":
+        """Return the same response with ``headers`` added."""
+        return HttpResponse(self.status, (*self.headers, *headers), self.body)
 
 
-def json_answer(
+def json_response(
     document: object, *, status: int = 200, headers: tuple = ()
-) -> HttpAnswer:
-    """Return ``document`` as a JSON answer."""
+) -> HttpResponse:
+    """Return ``document`` as a JSON response."""
     body = json.dumps(document).encode() + b"\n"
-    return HttpAnswer(status, (("Content-Type", JSON), *headers), body)
+    return HttpResponse(status, (("Content-Type", JSON), *headers), body)
 
 
 def problem(
@@ -75,12 +75,12 @@
     retry_after: timedelta | None = None,
     outcome: OutcomeName = OutcomeName.NOT_RUN,
     **more: object,
-) -> HttpAnswer:
+) -> HttpResponse:
     """Return a problem document (RFC 9457).
 
-    :param field: the offending input, if there is one.
-    :param retry_after: when it is worth coming back.
-    :param outcome: what became of the request.
+    :param field: name of the invalid input, if there is one.
+    :param retry_after: time after which the caller may retry.
+    :param outcome: outcome of the request.
     """
     document = {
         "type": "about:blank",
@@ -93,17 +93,17 @@
     headers = [("Content-Type", PROBLEM), ("X-Outcome", outcome.value)]
     if retry_after is not None:
         headers.append(("Retry-After", str(max(1, ceil(retry_after.total_seconds())))))
-    return HttpAnswer(status, tuple(headers), json.dumps(document).encode() + b"\n")
+    return HttpResponse(status, tuple(headers), json.dumps(document).encode() + b"\n")
 
 
-def outcome_answer(outcome: Outcome) -> HttpAnswer:
-    """Return what a caller is told of ``outcome``."""
+def outcome_response(outcome: Outcome) -> HttpResponse:
+    """Return the response that reports ``outcome``."""
     match outcome:
         case Answered(status, headers, body):
-            told = ("X-Outcome", OutcomeName.ANSWERED.value)
-            return HttpAnswer(status, (*headers, told), body)
+            outcome_header = ("X-Outcome", OutcomeName.ANSWERED.value)
+            return HttpResponse(status, (*headers, outcome_header), body)
         case NotRun(reason, retry_after, limited):
-            status = STATUS_LIMITED if limited else STATUS_NOT_RUN
+            status = STATUS_RATE_LIMITED if limited else STATUS_NOT_RUN
             return problem(status, "Not run", reason, retry_after=retry_after)
         case Unknown(reason, retry_after):
             return problem(
--- a/src/sassafrasdale/callers/models.py
+++ b/src/sassafrasdale/callers/models.py
@@ -1,4 +1,4 @@
-"""Validated models of what callers send."""
+"""Models that validate the bodies of requests."""
 
 from typing import Any, Literal
 
@@ -20,7 +20,7 @@
 
 
 class ChatRequest(BaseModel):
-    """Body of ``POST /v1/chat/completions``; other fields go to the engine."""
+    """Body of ``POST /v1/chat/completions``; other fields are passed to the engine."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -35,9 +35,9 @@
         return "\n".join(f"{m.role}: {m.content}" for m in self.messages)
 
     def opening(self) -> tuple[str, ...]:
-        """Return the messages up to and including the user's first.
+        """Return the messages up to and including the first of the user.
 
-        It is empty for a first turn, which continues no conversation.
+        Empty for the first turn of a conversation, which continues none.
         """
         if self.messages[-1].role == "user" and self._turns() == 1:
             return ()
@@ -52,15 +52,15 @@
         return sum(message.role == "user" for message in self.messages)
 
     def engine_body(self, model: str) -> dict[str, Any]:
-        """Return the body for an engine that serves ``model``."""
+        """Return the request body for an engine that serves ``model``."""
         body = self.model_dump(exclude={"stream", "n"})
         return {**body, "model": model, "max_tokens": self.max_tokens}
 
 
 def parse_chat(body: bytes) -> ChatRequest:
-    """Return the checked body.
+    """Return the validated body.
 
-    :raises CallerError: naming the first faulty field.
+    :raises CallerError: with the first invalid field.
     """
     try:
         return ChatRequest.model_validate_json(body)
--- a/src/sassafrasdale/callers/relays.py
+++ b/src/sassafrasdale/callers/relays.py
@@ -1,4 +1,4 @@
-"""Fetches an answer from the entry that holds the request."""
+"""Relays a response from the peer that holds the request."""
 
 from collections.abc import Callable, Iterator
 from contextlib import suppress
@@ -9,17 +9,17 @@
 from urllib3.exceptions import HTTPError
 
 from sassafrasdale.callers.generations import moved_event
-from sassafrasdale.callers.messages import HttpAnswer, HttpRequest, problem
+from sassafrasdale.callers.messages import HttpRequest, HttpResponse, problem
 from sassafrasdale.endpoints.adapters import HOP_BY_HOP
 from sassafrasdale.green_http import http_pool
 from sassafrasdale.requests.structures import OutcomeName
 from sassafrasdale.structures import Address
 
 RELAYED = "X-Relayed"
-CONNECT_LIMIT = timedelta(seconds=1)
-# Longest silence of a holder; it sends at least an error at the deadline.
-SILENCE_LIMIT = timedelta(seconds=60)
-PASSED_ON = ("x-customer", "last-event-id", "x-timeout-ms")
+CONNECT_TIMEOUT = timedelta(seconds=1)
+# The holder sends at least an error at the request's deadline.
+READ_TIMEOUT = timedelta(seconds=60)
+RELAYED_HEADERS = ("x-customer", "last-event-id", "x-timeout-ms")
 READ_BYTES = 64 * 1024
 RETRY_AFTER = timedelta(seconds=1)
 EVENT_END = b"\n\n"
@@ -28,38 +28,38 @@
 
 
 class Relay:
-    """Passes a fetch on to the peer that holds the request.
+    """Relays a fetch to the peer that holds the request, called the holder.
 
-    :param find: gives the address of the holder, or None.
+    :param find: returns the address of the holder, or None.
     """
 
     def __init__(self, find: Find) -> None:
         self._find = find
         self._pools: dict[Address, urllib3.HTTPConnectionPool] = {}
         self._streams: set[urllib3.HTTPResponse] = set()
-        self._released = False
+        self._is_released = False
 
-    def __call__(self, request: HttpRequest, request_id: str) -> HttpAnswer | None:
-        """Return the holder's answer, or None if no peer holds the request."""
+    def __call__(self, request: HttpRequest, request_id: str) -> HttpResponse | None:
+        """Return the holder's response, or None if no peer holds the request."""
         # A relayed fetch is never relayed again: two entries that each take the
-        # other for the holder would otherwise pass it back and forth for good.
+        # other for the holder would otherwise relay it in an endless loop.
         if request.header(RELAYED):
             return None
         response = self._fetch(request, request_id)
-        return self._answer(response, request_id) if response is not None else None
+        return self._response(response, request_id) if response is not None else None
 
     def release(self) -> None:
-        """End each relayed stream: this entry leaves, another can relay it."""
-        self._released = True
+        """End all relayed streams on shutdown; other entries can relay them."""
+        self._is_released = True
         for response in tuple(self._streams):
-            # One that has just ended has no socket to shut down any more.
+            # A stream that has just ended no longer has a socket to shut down.
             with suppress(ValueError, RuntimeError, OSError):
                 response.shutdown()
 
     def _fetch(
         self, request: HttpRequest, request_id: str
     ) -> urllib3.HTTPResponse | None:
-        """Return the holder's answer, or None if none is found now."""
+        """Return the holder's response, or None if no holder is found."""
         address = self._find(request_id)
         if address is None:
             return None
@@ -74,7 +74,9 @@
             return None
         return response
 
-    def _answer(self, response: urllib3.HTTPResponse, request_id: str) -> HttpAnswer:
+    def _response(
+        self, response: urllib3.HTTPResponse, request_id: str
+    ) -> HttpResponse:
         headers = tuple(
             (name, value)
             for name, value in response.headers.items()
@@ -82,10 +84,10 @@
             and name.lower() not in ("content-length", "date", "x-entry")
         )
         if "content-length" not in response.headers:
-            parts = self._parts(response, request_id)
-            return HttpAnswer(response.status, headers, parts)
+            parts = self._event_parts(response, request_id)
+            return HttpResponse(response.status, headers, parts)
         try:
-            return HttpAnswer(response.status, headers, response.read())
+            return HttpResponse(response.status, headers, response.read())
         except (HTTPError, HTTPException, OSError) as error:
             return problem(
                 504,
@@ -95,39 +97,40 @@
                 outcome=OutcomeName.UNKNOWN,
             )
 
-    def _parts(
+    def _event_parts(
         self, response: urllib3.HTTPResponse, request_id: str
     ) -> Iterator[bytes]:
-        """Pass on whole events as they come; the caller sees a break as one.
+        """Yield complete events as they arrive.
 
-        A holder that dies leaves its chunked answer without the last chunk. The
-        error raised here leaves this answer without it too, so that the caller can
-        tell that the stream is not whole. If this entry leaves, it says so after
-        a whole event, as the holder itself would.
+        The chunked response of a holder that crashes lacks its last chunk. The
+        error raised here makes the relayed response lack it too, so that the
+        caller can tell that the stream is incomplete. When this entry shuts
+        down, it sends a "moved" event after a complete event, as the holder
+        itself would.
         """
         rest = b""
         self._streams.add(response)
         try:
-            while not self._released and (part := response.read1(READ_BYTES)):
-                whole, mark, rest = (rest + part).rpartition(EVENT_END)
-                if mark:
-                    yield whole + mark
-            if rest and not self._released:
+            while not self._is_released and (part := response.read1(READ_BYTES)):
+                events, separator, rest = (rest + part).rpartition(EVENT_END)
+                if separator:
+                    yield events + separator
+            if rest and not self._is_released:
                 yield rest
         except (HTTPError, HTTPException, OSError) as error:
-            if not self._released:
+            if not self._is_released:
                 raise ConnectionError(f"the holder broke off: {error}") from error
         finally:
             self._streams.discard(response)
             response.close()
-        if self._released:
+        if self._is_released:
             yield moved_event(request_id)
 
     def _open(self, address: Address, request: HttpRequest) -> urllib3.HTTPResponse:
         pool = self._pools.get(address)
         if pool is None:
             pool = self._pools[address] = http_pool(address)
-        headers = {n: v for n, v in request.headers.items() if n in PASSED_ON}
+        headers = {n: v for n, v in request.headers.items() if n in RELAYED_HEADERS}
         return pool.urlopen(
             "GET",
             request.target,
@@ -135,7 +138,7 @@
             preload_content=False,
             redirect=False,
             timeout=urllib3.Timeout(
-                connect=CONNECT_LIMIT.total_seconds(),
-                read=SILENCE_LIMIT.total_seconds(),
+                connect=CONNECT_TIMEOUT.total_seconds(),
+                read=READ_TIMEOUT.total_seconds(),
             ),
         )
--- a/src/sassafrasdale/callers/routes.py
+++ b/src/sassafrasdale/callers/routes.py
@@ -1,21 +1,21 @@
-"""Which handler answers which method and path."""
+"""Maps methods and paths to handlers."""
 
 import re
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from sassafrasdale.callers.messages import HttpAnswer, HttpRequest, problem
+from sassafrasdale.callers.messages import HttpRequest, HttpResponse, problem
 
-Handler = Callable[..., HttpAnswer]
+Handler = Callable[..., HttpResponse]
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One handler and what it answers.
+    """One handler, with the methods and paths that it serves.
 
     :param methods: HTTP methods; empty for any.
-    :param pattern: pattern of the whole path; its groups are the handler's
-        further arguments.
+    :param pattern: matches the whole path; its groups are passed to the handler as
+        keyword arguments.
     """
 
     methods: frozenset[str]
@@ -24,34 +24,34 @@
 
 
 def route(methods: str, pattern: str, handler: Handler) -> Route:
-    """Return the route for ``methods`` separated by blanks, ``*`` for any."""
+    """Return the route for space-separated ``methods``, ``*`` for any."""
     names = frozenset() if methods == "*" else frozenset(methods.split())
     return Route(names, re.compile(pattern), handler)
 
 
 class Router:
-    """Finds the handler of a request.
+    """Passes each request to its handler.
 
-    :param routes: tried in this order.
+    :param routes: routes, tried in this order.
     """
 
     def __init__(self, routes: list[Route]) -> None:
         self._routes = routes
 
-    def answer(self, request: HttpRequest) -> HttpAnswer:
-        """Return the handler's answer, or 404 or 405."""
+    def handle(self, request: HttpRequest) -> HttpResponse:
+        """Return the handler's response, or a 404 or 405."""
         allowed: set[str] = set()
-        for entry in self._routes:
-            match = entry.pattern.fullmatch(request.path)
+        for each in self._routes:
+            match = each.pattern.fullmatch(request.path)
             if match is None:
                 continue
-            if not entry.methods or request.method in entry.methods:
-                return entry.handler(request, **match.groupdict())
-            allowed |= entry.methods
+            if not each.methods or request.method in each.methods:
+                return each.handler(request, **match.groupdict())
+            allowed |= each.methods
         if not allowed:
             return problem(404, "Not found", f"nothing at {request.path[:200]}")
-        listed = ", ".join(sorted(allowed))
-        wrong = problem(
-            405, "Wrong method", f"{request.path[:200]} takes {listed}", field="method"
+        methods = ", ".join(sorted(allowed))
+        response = problem(
+            405, "Wrong method", f"{request.path[:200]} takes {methods}", field="method"
         )
-        return wrong.with_headers(("Allow", listed))
+        return response.with_headers(("Allow", methods))
--- a/src/sassafrasdale/callers/server.py
+++ b/src/sassafrasdale/callers/server.py
@@ -8,149 +8,149 @@
 
 from logbook import Logger
 
-from sassafrasdale.callers.messages import HttpAnswer, HttpRequest, problem
+from sassafrasdale.callers.messages import HttpRequest, HttpResponse, problem
 from sassafrasdale.green import Timeout, timeout
 from sassafrasdale.green_wsgi import WsgiProtocol, serve_wsgi
 from sassafrasdale.requests.structures import OutcomeName
 
-# Connections at once; more wait in the listening socket's backlog.
+# Concurrent connections; further ones wait in the backlog of the listening socket.
 MAX_CONNECTIONS = 4000
 # An idle connection of a caller is closed after this time.
-IDLE_LIMIT = timedelta(seconds=75)
+IDLE_TIMEOUT = timedelta(seconds=75)
 MAX_TARGET_BYTES = 8192
-# Bytes of a refused body that are read and thrown away. A connection closed over
-# unread bytes is reset, and the caller may lose the answer that says why.
+# Bytes of a refused body that are read and discarded. A connection that is closed
+# with unread bytes is reset, and the caller may lose the response with the reason.
 MAX_DISCARDED_BYTES = 4 * 1024 * 1024
-# Where the WSGI environment has the connection itself.
+# Key of the connection in the WSGI environment.
 CONNECTION = "sassafrasdale.connection"
 
 log = Logger("callers")
 
 
 class BodyError(Exception):
-    """The body can't be taken; the answer says why."""
+    """The body can't be read; the response gives the reason."""
 
-    def __init__(self, answer: HttpAnswer) -> None:
-        super().__init__(answer.status)
-        self.answer = answer
+    def __init__(self, response: HttpResponse) -> None:
+        super().__init__(response.status)
+        self.response = response
 
 
 class CallerServer:
     """WSGI application and its server.
 
-    :param answer: gives the answer to a request; never raises.
-    :param name: name of this entry, told in every answer.
-    :param max_body_bytes: a longer body is refused.
-    :param body_limit: longest time for a caller to send its body.
+    :param handler: returns the response to a request; never raises.
+    :param name: name of this entry, sent in a header of every response.
+    :param max_body_bytes: maximum size of a body; a longer one is refused.
+    :param body_timeout: maximum time for a caller to send its body.
     """
 
     def __init__(
         self,
-        answer: Callable[[HttpRequest], HttpAnswer],
+        handler: Callable[[HttpRequest], HttpResponse],
         *,
         name: str,
         max_body_bytes: int,
-        body_limit: timedelta,
+        body_timeout: timedelta,
     ) -> None:
-        self._answer = answer
+        self._handler = handler
         self._name = name
         self._max_body_bytes = max_body_bytes
-        self._body_limit = body_limit
-        self._open_answers = 0
+        self._body_timeout = body_timeout
+        self._open_responses = 0
         self._closing = False
 
     @property
-    def open_answers(self) -> int:
-        """Answers that are under way."""
-        return self._open_answers
+    def open_responses(self) -> int:
+        """Number of responses that are not yet complete."""
+        return self._open_responses
 
     def serve(self, listener: socket.socket) -> None:
         """Serve until the listening socket is closed."""
         serve_wsgi(
             listener,
             self,
-            protocol=_protocol(self._body_limit),
+            protocol=_protocol(self._body_timeout),
             max_size=MAX_CONNECTIONS,
             log_output=False,
             debug=False,
-            socket_timeout=IDLE_LIMIT.total_seconds(),
+            socket_timeout=IDLE_TIMEOUT.total_seconds(),
             url_length_limit=MAX_TARGET_BYTES,
         )
 
     def close_connections(self) -> None:
-        """End each connection with its next answer: the entry is leaving."""
+        """Close each connection after its next response, as the entry shuts down."""
         self._closing = True
 
     def __call__(self, environ: dict, start_response: Callable) -> Iterable[bytes]:
-        """Answer one request, as WSGI has it."""
-        self._open_answers += 1
-        answer = self._answered(environ)
+        """Handle one WSGI request."""
+        self._open_responses += 1
+        response = self._handle(environ)
         if self._closing:
             environ[CONNECTION].close_connection = 1
-        status = f"{answer.status} {_phrase(answer.status)}"
-        start_response(status, self._headers(answer))
-        return _CountedBody(self, answer.body)
+        status = f"{response.status} {_phrase(response.status)}"
+        start_response(status, self._headers(response))
+        return _CountedBody(self, response.body)
 
-    def answer_ended(self) -> None:
-        """Count an answer as ended."""
-        self._open_answers -= 1
+    def finish_response(self) -> None:
+        """Count a response as complete."""
+        self._open_responses -= 1
 
-    def _answered(self, environ: dict) -> HttpAnswer:
+    def _handle(self, environ: dict) -> HttpResponse:
         try:
             body = self._read_body(environ)
         except BodyError as error:
             environ[CONNECTION].close_connection = 1
             self._discard_body(environ)
-            return error.answer
-        return self._answer(_request(environ, body))
+            return error.response
+        return self._handler(_request(environ, body))
 
-    def _headers(self, answer: HttpAnswer) -> list[tuple[str, str]]:
-        headers = [*answer.headers, ("X-Entry", self._name)]
-        if isinstance(answer.body, bytes):
-            headers.append(("Content-Length", str(len(answer.body))))
+    def _headers(self, response: HttpResponse) -> list[tuple[str, str]]:
+        headers = [*response.headers, ("X-Entry", self._name)]
+        if isinstance(response.body, bytes):
+            headers.append(("Content-Length", str(len(response.body))))
         return headers
 
     def _read_body(self, environ: dict) -> bytes:
         """Return the body.
 
-        :raises BodyError: it is too long, too slow, or broke off.
+        :raises BodyError: the body is too long, arrives too slowly or is truncated.
         """
-        given = environ.get("CONTENT_LENGTH") or ""
+        content_length = environ.get("CONTENT_LENGTH") or ""
         chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
-        if given and not given.isdecimal():
+        if content_length and not content_length.isdecimal():
             raise BodyError(_bad(400, "Content-Length is no number", "Content-Length"))
-        if given and int(given) > self._max_body_bytes:
-            raise BodyError(self._too_long())
-        if not given and not chunked:
+        if content_length and int(content_length) > self._max_body_bytes:
+            raise BodyError(self._body_too_long())
+        if not content_length and not chunked:
             return b""
-        wanted = int(given) if given else self._max_body_bytes + 1
+        size = int(content_length) if content_length else self._max_body_bytes + 1
         try:
-            with timeout(self._body_limit):
-                body = environ["wsgi.input"].read(wanted)
+            with timeout(self._body_timeout):
+                body = environ["wsgi.input"].read(size)
         except Timeout as error:
-            answer = _bad(408, "the body came too slowly", "body")
-            raise BodyError(answer) from error
+            response = _bad(408, "the body came too slowly", "body")
+            raise BodyError(response) from error
         except (OSError, ValueError) as error:
             raise BodyError(_bad(400, "the body can't be read", "body")) from error
-        if given and len(body) < wanted:
+        if content_length and len(body) < size:
             raise BodyError(_bad(400, "the body broke off", "body"))
         if len(body) > self._max_body_bytes:
-            raise BodyError(self._too_long())
+            raise BodyError(self._body_too_long())
         return body
 
     def _discard_body(self, environ: dict) -> None:
         try:
-            with timeout(self._body_limit):
+            with timeout(self._body_timeout):
                 environ["wsgi.input"].read(MAX_DISCARDED_BYTES)
         except (Timeout, OSError, ValueError):
             return
 
-    def _too_long(self) -> HttpAnswer:
+    def _body_too_long(self) -> HttpResponse:
         return _bad(413, f"the body is over {self._max_body_bytes} bytes", "body")
 
 
 class _CountedBody:
-    """A body that tells the server when it has ended, whichever way."""
+    """A response body that reports its end to the server, also after an error."""
 
     def __init__(self, server: CallerServer, body: bytes | Iterable[bytes]) -> None:
         self._server = server
@@ -163,36 +163,37 @@
         return next(self._parts)
 
     def close(self) -> None:
-        """End the body; WSGI calls this also when the caller went away."""
+        """End the body; WSGI calls this also when the caller has disconnected."""
         close = getattr(self._parts, "close", None)
         if close is not None:
             close()
-        self._server.answer_ended()
+        self._server.finish_response()
 
 
-def _protocol(head_limit: timedelta) -> type[WsgiProtocol]:
-    """Return the connection class that gives a slow sender ``head_limit``."""
+def _protocol(head_timeout: timedelta) -> type[WsgiProtocol]:
+    """Return a connection class that limits the time for a head."""
 
     class LimitedProtocol(WsgiProtocol):
-        """Connection that is closed if a request's head comes too slowly.
+        """Connection that is closed if a request's head arrives too slowly.
 
-        A sender that trickles its head would hold a connection for good: each
-        byte restarts the socket's time-out, but not these.
+        A client that sends its head byte by byte could otherwise occupy a
+        connection forever: each byte restarts the socket's timeout, but not this
+        limit.
         """
 
-        # The server would gather a stream's events until they have 4 KiB: a
-        # caller would wait for two dozen tokens to see the first. What comes
-        # together is joined before it gets here.
+        # By default the server buffers a stream's events up to 4 KiB: a caller
+        # would see the first token only after two dozen. Events that are ready
+        # together have already been joined.
         minimum_chunk_size = 1
 
         def get_environ(self) -> dict:
-            """Return the WSGI environment, with this connection in it."""
+            """Return the WSGI environment with this connection added."""
             return {**super().get_environ(), CONNECTION: self}
 
         def parse_request(self) -> bool:
             """Read the headers within the limit."""
             try:
-                with timeout(head_limit):
+                with timeout(head_timeout):
                     return super().parse_request()
             except Timeout:
                 self.close_connection = 1
@@ -200,11 +201,11 @@
 
         def _read_request_line(self) -> bytes:
             # An idle connection may wait long for its next request; the limit
-            # begins with that request's first byte.
+            # starts at the first byte of that request.
             try:
                 if not self.rfile.peek(1):
                     return b""
-                with timeout(head_limit):
+                with timeout(head_timeout):
                     return super()._read_request_line()
             except (Timeout, ConnectionError):
                 return b""
@@ -240,7 +241,7 @@
         return "Status"
 
 
-def _bad(status: int, detail: str, field: str) -> HttpAnswer:
+def _bad(status: int, detail: str, field: str) -> HttpResponse:
     return problem(
         status, "Bad request", detail, field=field, outcome=OutcomeName.NOT_RUN
     )
--- a/src/sassafrasdale/entry/__init__.py
+++ b/src/sassafrasdale/entry/__init__.py
@@ -1,4 +1,4 @@
-"""One entry process: its parts, its messages, its start and its stop."""
+"""The entry process: its components, message handling, startup and shutdown."""
 
 from sassafrasdale.entry.process import Entry, run_entry
 
--- a/src/sassafrasdale/entry/coordinator.py
+++ b/src/sassafrasdale/entry/coordinator.py
@@ -1,4 +1,4 @@
-"""Heeds the messages of an entry's tasks, one after the other."""
+"""Handles the messages that an entry's tasks post, one at a time."""
 
 from collections.abc import Callable
 from datetime import datetime, timedelta
@@ -39,29 +39,30 @@
 
 log = Logger("entry")
 
-# A text that came from a peer is trusted to be the newest after this time, in
-# which every peer has been probed or has told of a newer one.
-PEER_TEXT_SETTLE = timedelta(seconds=3)
+# A text received from a peer counts as the newest after this delay: by then every
+# peer has been probed or has reported a newer revision.
+PEER_TEXT_TRUST_DELAY = timedelta(seconds=3)
 
 Leave = Callable[[datetime | None], None]
 
 
 class Coordinator:
-    """Brings what the tasks tell to the parts of one entry that need it.
+    """Passes the messages of the tasks on to the components of one entry.
 
     :param name: name of this entry.
-    :param inbox: where the tasks post.
-    :param life: lifecycle of the entry.
-    :param leave: called when this entry is to leave, with the time if announced.
-    :param current: the text in force.
-    :param directory: the endpoints known.
+    :param inbox: queue to which the tasks post their messages.
+    :param lifecycle: lifecycle of the entry.
+    :param leave: called when this entry has to shut down, with the announced time at
+        which the platform takes its instance, or None.
+    :param current: the revision of the text in force.
+    :param directory: the known endpoints.
     :param selector: chooses endpoints.
-    :param gates: let requests into each service.
-    :param ledger: counts how requests end.
+    :param gates: admission control of each service.
+    :param ledger: counts requests by outcome.
     :param metrics: the entry's metrics.
     :param peers: the other entries.
-    :param registry: the generations held.
-    :param mover: moves generations off leaving endpoints.
+    :param registry: the generations that this entry holds.
+    :param mover: moves generations away from leaving endpoints.
     :param transfers: hand-overs from and to peers.
     :param clock: source of time.
     """
@@ -71,7 +72,7 @@
         name: str,
         *,
         inbox: Queue,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         leave: Leave,
         current: CurrentText,
         directory: Directory,
@@ -87,7 +88,7 @@
     ) -> None:
         self._name = name
         self._inbox = inbox
-        self._life = life
+        self._lifecycle = lifecycle
         self._leave = leave
         self._current = current
         self._directory = directory
@@ -100,76 +101,76 @@
         self._mover = mover
         self._transfers = transfers
         self._clock = clock
-        self._listed = False
+        self._has_instances = False
         self._text_trusted_at: timedelta | None = None
         self._prices: tuple[Price, ...] = ()
 
     @property
     def prices(self) -> tuple[Price, ...]:
-        """The platform's prices, as last listed."""
+        """Prices of instances, as the platform last listed them."""
         return self._prices
 
     def run(self) -> None:
-        """Take messages of the other tasks, one after the other."""
+        """Handle the messages of the other tasks, one at a time."""
         while True:
             message = self._inbox.get()
             try:
-                self._heed(message)
+                self._handle(message)
             except Exception:
-                log.exception("message {} was not heeded", type(message).__name__)
+                log.exception("failed to handle message {}", type(message).__name__)
 
     def accept_from_store(self, record: TextRecord) -> None:
-        """Put an edit in force that the store holds or has just accepted."""
+        """Put an edit in force that was read from or just accepted by the store."""
         self._text_trusted_at = self._clock.elapsed()
         self._accept(record)
 
-    def prepare(self) -> None:
+    def update_readiness(self) -> None:
         """Become ready once there is a list of instances and a trusted text.
 
-        An entry that starts while the store is out takes the text from a peer,
-        which may itself be behind; it is trusted once every peer had time to
-        tell of a newer one.
+        An entry that starts while the store is unavailable gets the text from a
+        peer, which may have an older revision; the text is trusted once every
+        peer has had time to report a newer one.
         """
-        if not self._life.allows("prepare"):
+        if not self._lifecycle.allows("prepare"):
             return
-        if self._current.text is None or not self._listed:
+        if self._current.text is None or not self._has_instances:
             return
         if self._clock.elapsed() < self._text_trusted_at:
             return
-        self._life.fire("prepare")
+        self._lifecycle.fire("prepare")
         log.info("ready with revision {}", self._current.revision)
 
-    def _heed(self, message: object) -> None:
+    def _handle(self, message: object) -> None:
         match message:
             case TextAccepted(record):
                 self.accept_from_store(record)
             case TextOffered(record):
-                self._heed_peer_text(record)
+                self._handle_peer_text(record)
             case InstancesListed(instances):
-                self._heed_instances(instances)
+                self._handle_instances(instances)
             case PricesListed(prices):
                 self._prices = prices
                 self._selector.set_prices(prices)
             case NoticeGiven(notice):
-                self._heed_notice(notice)
+                self._handle_notice(notice)
                 self._peers.spread_notice(notice)
             case NoticeHeard(notice):
-                self._heed_notice(notice)
+                self._handle_notice(notice)
             case MembersChanged(members):
-                self._heed_members(members)
+                self._handle_members(members)
             case HandOverOffered(handover, reply):
-                stays = self._life.state == "ready"
-                self._transfers.take(handover, reply, stays=stays)
+                keeps_running = self._lifecycle.state == "ready"
+                self._transfers.take(handover, reply, stays=keeps_running)
             case FindAsked(request_id, reply):
                 reply(self._registry.holds(request_id))
 
-    def _heed_peer_text(self, record: TextRecord) -> None:
+    def _handle_peer_text(self, record: TextRecord) -> None:
         if self._text_trusted_at is None:
-            self._text_trusted_at = self._clock.elapsed() + PEER_TEXT_SETTLE
+            self._text_trusted_at = self._clock.elapsed() + PEER_TEXT_TRUST_DELAY
         self._accept(record)
 
-    def _heed_instances(self, instances: tuple[Instance, ...]) -> None:
-        self._listed = True
+    def _handle_instances(self, instances: tuple[Instance, ...]) -> None:
+        self._has_instances = True
         self._peers.set_candidates(instances)
         for endpoint in self._directory.replace(instances):
             self._mover.empty(endpoint)
@@ -179,7 +180,7 @@
         if own is not None and own.state is InstanceState.LEAVING:
             self._leave(None)
 
-    def _heed_notice(self, notice: Notice) -> None:
+    def _handle_notice(self, notice: Notice) -> None:
         if notice.instance == self._name:
             self._leave(notice.leaves_at)
             return
@@ -190,7 +191,7 @@
         self._refresh()
         self._mover.empty(endpoint)
 
-    def _heed_members(self, members: tuple[Member, ...]) -> None:
+    def _handle_members(self, members: tuple[Member, ...]) -> None:
         alive = sum(member.is_usable for member in members)
         self._gates.set_live_entries(alive + 1)
         self._selector.set_other_entries(alive)
@@ -199,11 +200,11 @@
             self._metrics.set_peers(state.name.lower(), count)
 
     def _accept(self, record: TextRecord) -> None:
-        """Put an accepted edit in force here, and tell the peers of it."""
+        """Put an accepted edit in force here, and offer it to the peers."""
         try:
             accepted = self._current.accept(record)
         except TextError as error:
-            log.error("revision {} is faulty: {}", record.revision, error)
+            log.error("revision {} is invalid: {}", record.revision, error)
             return
         if not accepted:
             return
@@ -214,6 +215,6 @@
         log.info("revision {} is in force", record.revision)
 
     def _refresh(self) -> None:
-        """Take over what the directory knows now."""
+        """Update the components that read the directory."""
         self._selector.refresh()
         self._gates.refresh()
--- a/src/sassafrasdale/entry/drain.py
+++ b/src/sassafrasdale/entry/drain.py
@@ -1,4 +1,4 @@
-"""The stop of an entry: finishes what fits, hands over what doesn't."""
+"""Shutdown of an entry: finishes requests in time, hands over the others."""
 
 import socket
 from datetime import datetime, timedelta
@@ -16,31 +16,33 @@
 
 log = Logger("entry")
 
-# Time for the balancer to see that the entry is not ready any more.
-UNREADY_LEAD = timedelta(seconds=1)
-# Share of a short notice that the lead takes at most.
-LEAD_SHARE = 0.25
+# Time for the load balancer to see that the entry is no longer ready.
+UNREADY_DELAY = timedelta(seconds=1)
+# Largest fraction of the remaining time that the above may take, for short notices.
+MAX_UNREADY_FRACTION = 0.25
 DRAIN_POLL = timedelta(milliseconds=50)
-# What is left this long before the end of a stop is handed over.
+# All generations still running this long before the end are handed over.
 HAND_OVER_RESERVE = timedelta(seconds=2)
-# What is relayed is ended this long before, and callers go on through others.
+# Relayed streams are ended this long before the end; callers resume them through
+# other entries.
 RELAY_RESERVE = timedelta(seconds=1)
-# Whoever still waits is told what is known this long before.
-ANSWER_RESERVE = timedelta(milliseconds=300)
-# A connection that was accepted last still gets its answer within this time.
-LAST_CALL = timedelta(milliseconds=100)
+# Callers that still wait this long before the end get a response with what is known
+# of their request.
+RESPONSE_RESERVE = timedelta(milliseconds=300)
+# Time for the response on the connection that was accepted last.
+LAST_RESPONSE_TIME = timedelta(milliseconds=100)
 
 
 class Drain:
-    """One stop of one entry.
+    """Shutdown of one entry.
 
-    :param timeout: longest time of a planned stop.
-    :param life: lifecycle of the entry.
-    :param server: the callers' server.
-    :param relay: fetches that go on to peers.
+    :param timeout: longest time of a planned shutdown.
+    :param lifecycle: lifecycle of the entry.
+    :param server: HTTP server for the callers.
+    :param relay: fetches that are relayed to peers.
     :param peers: the other entries.
-    :param dispatcher: the requests held.
-    :param transfers: hand-overs to peers.
+    :param dispatcher: runs the requests that this entry holds.
+    :param transfers: hands generations over to peers.
     :param clock: source of time.
     """
 
@@ -48,7 +50,7 @@
         self,
         timeout: timedelta,
         *,
-        life: Lifecycle,
+        lifecycle: Lifecycle,
         server: CallerServer,
         relay: Relay,
         peers: PeerNode,
@@ -57,7 +59,7 @@
         clock: Clock,
     ) -> None:
         self._timeout = timeout
-        self._life = life
+        self._lifecycle = lifecycle
         self._server = server
         self._relay = relay
         self._peers = peers
@@ -65,50 +67,50 @@
         self._transfers = transfers
         self._clock = clock
         self._leave_by: datetime | None = None
-        self._takes_work = True
+        self._accepts_requests = True
 
     @property
-    def takes_work(self) -> bool:
-        """Whether new requests are still taken."""
-        return self._takes_work
+    def accepts_requests(self) -> bool:
+        """Whether new requests are still accepted."""
+        return self._accepts_requests
 
-    def announce(self, leave_by: datetime) -> None:
-        """Take the time at which the platform takes this instance."""
+    def set_departure_time(self, leave_by: datetime) -> None:
+        """Set the time at which the platform takes this instance away."""
         self._leave_by = leave_by
 
     def run(self, listener: socket.socket) -> None:
-        """Finish what is in flight, hand over what doesn't fit.
+        """Finish the requests in flight, and hand over those that take too long.
 
-        Connections are taken until the end: peers fetch here what this entry
-        still holds, for callers who come back through them.
+        Connections are accepted until the end: peers fetch from here what this
+        entry still holds, for callers that reconnect through them.
         """
         began = self._clock.elapsed()
-        self._life.fire("leave")
+        self._lifecycle.fire("leave")
         self._peers.announce_leaving()
-        left = self._time_to_leave(began)
+        left = self._remaining_time(began)
         log.info("leaving within {}", left)
         self._transfers.give_what_does_not_fit(left)
-        sleep(min(UNREADY_LEAD, left * LEAD_SHARE))
-        self._takes_work = False
+        sleep(min(UNREADY_DELAY, left * MAX_UNREADY_FRACTION))
+        self._accepts_requests = False
         self._server.close_connections()
-        while (left := self._time_to_leave(began)) and self._is_busy():
+        while (left := self._remaining_time(began)) and self._is_busy():
             if left < HAND_OVER_RESERVE:
                 self._transfers.give_what_does_not_fit(timedelta())
             if left < RELAY_RESERVE:
                 self._relay.release()
-            if left < ANSWER_RESERVE:
+            if left < RESPONSE_RESERVE:
                 self._dispatcher.give_up_all()
             self._transfers.give_undelivered()
             sleep(DRAIN_POLL)
         listener.close()
-        sleep(min(LAST_CALL, self._time_to_leave(began)))
-        self._life.fire("drained")
+        sleep(min(LAST_RESPONSE_TIME, self._remaining_time(began)))
+        self._lifecycle.fire("drained")
         log.info("stopped")
 
-    def _time_to_leave(self, began: timedelta) -> timedelta:
-        """Return what is left of a stop that began at ``began``.
+    def _remaining_time(self, began: timedelta) -> timedelta:
+        """Return the time left of a shutdown that began at ``began``.
 
-        A notice may come during a planned stop, and then counts if it is sooner.
+        A notice may arrive during a planned shutdown; the earlier end counts.
         """
         left = began + self._timeout - self._clock.elapsed()
         if self._leave_by is not None:
@@ -118,5 +120,5 @@
     def _is_busy(self) -> bool:
         registry = self._dispatcher.registry
         return bool(
-            self._server.open_answers or registry.running or registry.undelivered
+            self._server.open_responses or registry.running or registry.undelivered
         )
--- a/src/sassafrasdale/entry/process.py
+++ b/src/sassafrasdale/entry/process.py
@@ -1,4 +1,4 @@
-"""One entry process: its parts and tasks, and how they are joined."""
+"""The entry process: creates its components and runs its tasks."""
 
 import os
 import random
@@ -8,8 +8,8 @@
 from logbook import Logger
 
 from sassafrasdale.callers.administration import Administration
-from sassafrasdale.callers.app import CallerApp, error_answer
-from sassafrasdale.callers.messages import HttpAnswer, HttpRequest, problem
+from sassafrasdale.callers.app import CallerApp, error_response
+from sassafrasdale.callers.messages import HttpRequest, HttpResponse, problem
 from sassafrasdale.callers.relays import Relay
 from sassafrasdale.callers.routes import Router
 from sassafrasdale.callers.server import CallerServer
@@ -60,14 +60,14 @@
 
 log = Logger("entry")
 
-# Pause between two looks at what is held: deadlines and unread answers.
+# Period at which held requests are checked for deadlines and unread responses.
 SWEEP_INTERVAL = timedelta(milliseconds=100)
-# Pause between two plans for the streams of leaving endpoints.
-REVIEW_INTERVAL = timedelta(milliseconds=500)
+# Period at which the moves of streams off leaving endpoints are planned.
+MOVE_PLAN_INTERVAL = timedelta(milliseconds=500)
 
 
 class Entry:
-    """All tasks of one entry process.
+    """One entry process, with all its tasks.
 
     :param settings: settings of the process.
     :param clock: source of time.
@@ -88,7 +88,7 @@
         self._settings = settings
         self._clock = clock or SystemClock()
         self._rng = rng or random.Random()
-        self._life = Lifecycle(load_chart("entry"))
+        self._lifecycle = Lifecycle(load_chart("entry"))
         self._inbox: Queue = Queue()
         self._stopped = Event()
         self._relay = Relay(self._find_holder)
@@ -144,30 +144,32 @@
             clock=self._clock,
         )
         self._server = CallerServer(
-            self._answer,
+            self._handle,
             name=settings.name,
             max_body_bytes=settings.max_body_bytes,
-            body_limit=settings.header_timeout,
+            body_timeout=settings.header_timeout,
         )
         self._drain = self._make_drain()
         self._coordinator = self._make_coordinator()
-        self._router = Router([*self._callers().routes(), *self._operators().routes()])
+        self._router = Router(
+            [*self._make_caller_app().routes(), *self._make_administration().routes()]
+        )
 
     def run(self) -> None:
-        """Serve until the process is told to stop, then finish what is held."""
+        """Serve until the process is asked to stop, then shut down in order."""
         listener = listen(self._settings.address)
         heed_signals({signal.SIGTERM: self._stop, signal.SIGINT: self._stop})
         self._peers.start()
-        watched = (self._cloud, self._inbox, self._rng)
+        watcher_arguments = (self._cloud, self._inbox, self._rng)
         for task in (
             TextWatcher(self._register, self._inbox, self._rng).run,
-            InstanceWatcher(*watched).run,
-            NoticeWatcher(*watched).run,
-            PriceWatcher(*watched).run,
+            InstanceWatcher(*watcher_arguments).run,
+            NoticeWatcher(*watcher_arguments).run,
+            PriceWatcher(*watcher_arguments).run,
             LoadReader(self._directory, self._is_engine, self._clock, self._rng).run,
             self._coordinator.run,
             self._sweep,
-            self._review,
+            self._plan_moves,
         ):
             spawn(run_for_good, task)
         duties = [
@@ -176,17 +178,17 @@
         spawn(self._server.serve, listener)
         log.info("listening on {}", self._settings.address)
         self._stopped.wait()
-        self._give_up(duties)
+        self._stop_duties(duties)
         self._drain.run(listener)
         self._peers.stop()
 
-    def _callers(self) -> CallerApp:
+    def _make_caller_app(self) -> CallerApp:
         return CallerApp(
             current=self._current,
             dispatcher=self._dispatcher,
-            is_ready=lambda: self._life.state == "ready",
-            takes_work=lambda: (
-                self._drain.takes_work and self._life.state != "starting"
+            is_ready=lambda: self._lifecycle.state == "ready",
+            accepts_requests=lambda: (
+                self._drain.accepts_requests and self._lifecycle.state != "starting"
             ),
             relay=self._relay,
             metrics=self._metrics,
@@ -194,10 +196,10 @@
             rng=self._rng,
         )
 
-    def _operators(self) -> Administration:
+    def _make_administration(self) -> Administration:
         report = StatusReport(
             settings=self._settings,
-            life=self._life,
+            lifecycle=self._lifecycle,
             current=self._current,
             directory=self._directory,
             peers=self._peers,
@@ -218,7 +220,7 @@
         return Coordinator(
             self._settings.name,
             inbox=self._inbox,
-            life=self._life,
+            lifecycle=self._lifecycle,
             leave=self._leave,
             current=self._current,
             directory=self._directory,
@@ -236,7 +238,7 @@
     def _make_drain(self) -> Drain:
         return Drain(
             self._settings.drain_timeout,
-            life=self._life,
+            lifecycle=self._lifecycle,
             server=self._server,
             relay=self._relay,
             peers=self._peers,
@@ -245,14 +247,14 @@
             clock=self._clock,
         )
 
-    def _answer(self, request: HttpRequest) -> HttpAnswer:
+    def _handle(self, request: HttpRequest) -> HttpResponse:
         try:
-            return self._router.answer(request)
+            return self._router.handle(request)
         except Exception as error:
-            answer = error_answer(error)
-            if answer is not None:
-                return answer
-            log.exception("unforeseen error at {} {}", request.method, request.path)
+            response = error_response(error)
+            if response is not None:
+                return response
+            log.exception("unexpected error in {} {}", request.method, request.path)
             return problem(
                 500,
                 "Internal error",
@@ -263,19 +265,19 @@
     def _sweep(self) -> None:
         while True:
             sleep(SWEEP_INTERVAL)
-            self._coordinator.prepare()
+            self._coordinator.update_readiness()
             self._dispatcher.registry.sweep()
             self._gates.sweep()
 
-    def _review(self) -> None:
+    def _plan_moves(self) -> None:
         while True:
-            sleep(REVIEW_INTERVAL)
+            sleep(MOVE_PLAN_INTERVAL)
             self._mover.review()
 
     def _is_engine(self, service: str) -> bool:
         text = self._current.text
-        found = text.services.get(service) if text else None
-        return found is not None and found.kind is ServiceKind.MODEL
+        known = text.services.get(service) if text else None
+        return known is not None and known.kind is ServiceKind.MODEL
 
     def _is_alive(self, name: str) -> bool:
         return any(
@@ -289,23 +291,23 @@
 
     def _leave(self, leave_by: datetime | None) -> None:
         if leave_by is not None:
-            self._drain.announce(leave_by)
+            self._drain.set_departure_time(leave_by)
         self._stop()
 
     def _stop(self) -> None:
-        """Begin to leave; runs as a signal handler too, so it only posts."""
+        """Begin the shutdown; also a signal handler, so it only sends an event."""
         if not self._stopped.ready():
             self._stopped.send(None)
 
-    def _give_up(self, duties: list[GreenThread]) -> None:
-        """End the duties, and release the lease so that nobody waits for it."""
+    def _stop_duties(self, duties: list[GreenThread]) -> None:
+        """Stop the duties, and release the lease so that no entry waits for its end."""
         for task in duties:
             task.kill()
         spawn(self._lease.release)
 
     def _fleet_view(self) -> FleetView | None:
-        """Return what the capacity duty plans by, or None before it is known."""
-        if self._life.state != "ready":
+        """Return the input of the capacity duty, or None before this entry is ready."""
+        if self._lifecycle.state != "ready":
             return None
         alive = sum(member.is_usable for member in self._peers.members())
         return FleetView(
@@ -317,12 +319,12 @@
 
 
 def run_entry(settings: EntrySettings) -> None:
-    """Run an entry process until it is told to stop.
+    """Run an entry process until it is asked to stop.
 
     :param settings: settings of the process.
     """
     logs = start_logs(settings.name, settings.log_level)
     Entry(settings).run()
     logs.close()
-    # The hub may still hold idle connections; nothing of value is left in them.
+    # The event loop may still have idle connections; they carry no requests.
     os._exit(0)
--- a/src/sassafrasdale/entry/status.py
+++ b/src/sassafrasdale/entry/status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators about itself, as JSON documents."""
+"""Reports of an entry for operators, as JSON documents."""
 
 from dataclasses import dataclass
 
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReport:
-    """The parts of an entry that its reports are made from."""
+    """Builds the reports from the components of an entry."""
 
     settings: EntrySettings
-    life: Lifecycle
+    lifecycle: Lifecycle
     current: CurrentText
     directory: Directory
     peers: PeerNode
@@ -31,11 +31,11 @@
         return {"entry": self.settings.name, **self.ledger.burn()}
 
     def status(self) -> dict:
-        """Return what the entry knows."""
+        """Return the status report: state, peers, endpoints, requests in flight."""
         return {
             "entry": self.settings.name,
             "availability_zone": self.settings.availability_zone,
-            "state": self.life.state,
+            "state": self.lifecycle.state,
             "revision": self.current.revision,
             "duties": {DUTY: self.capacity.state},
             "peers": [_peer_status(member) for member in self.peers.members()],
--- a/tests/callers/__init__.py
+++ b/tests/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the callers' side."""
+"""Tests of the HTTP interface for callers."""
--- a/tests/callers/conftest.py
+++ b/tests/callers/conftest.py
@@ -1,4 +1,4 @@
-"""One small deployment that the tests of the callers' side share."""
+"""A small deployment shared by the tests of the HTTP interface."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 @pytest.fixture(scope="package")
 def fleet() -> Iterator[Fleet]:
-    """Return the Authority's deployment behind one entry."""
+    """Return the example deployment behind one entry."""
     options = {"max_body_bytes": 4096, "header_timeout": "1s"}
     text = EXAMPLE.read_text(encoding="utf-8")
     with Fleet(text, entries=1, entry_options=options) as running:
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear error that names the field, and harms nothing."""
+"""Invalid input gets an error that names the field, and the entry keeps serving."""
 
 import socket
 import time
@@ -13,7 +13,7 @@
 CHAT_PATH = "/v1/chat/completions"
 LOOKUP = "/v1/services/records/lookups/7"
 CERTIFICATES = "/v1/services/records/certificates"
-ANSWER_LIMIT = timedelta(seconds=5)
+MAX_RESPONSE_TIME = timedelta(seconds=5)
 
 CASES = {
     "no customer": ("GET", LOOKUP, None, {"X-Customer": ""}, 400, "X-Customer"),
@@ -93,13 +93,13 @@
 @pytest.mark.parametrize("name", CASES)
 def test_bad_input_names_its_field(fleet: Fleet, name: str):
     method, path, body, headers, status, field = CASES[name]
-    answer = fleet.entries[0].client.call(method, path, body, {**CALLER, **headers})
-    document = answer.json()
-    assert (answer.status, document.get("field")) == (status, field), document
-    assert answer.headers["Content-Type"] == "application/problem+json"
-    # That no entry holds a request says nothing about whether it ran.
+    response = fleet.entries[0].client.call(method, path, body, {**CALLER, **headers})
+    document = response.json()
+    assert (response.status, document.get("field")) == (status, field), document
+    assert response.headers["Content-Type"] == "application/problem+json"
+    # A request that no entry holds may still have run.
     outcome = "unknown" if name == "unknown request" else "not-run"
-    assert answer.headers["X-Outcome"] == outcome
+    assert response.headers["X-Outcome"] == outcome
     _assert_serves(fleet)
 
 
@@ -109,9 +109,11 @@
     faulty = before.data.replace(b"share: 0.95", b"share: 7").replace(
         b"weight: 4", b"weight: -4"
     )
-    answer = call("PUT", "/admin/v1/text", faulty, {"If-Match": before.headers["ETag"]})
-    assert answer.status == 422
-    faults = answer.json()["faults"]
+    response = call(
+        "PUT", "/admin/v1/text", faulty, {"If-Match": before.headers["ETag"]}
+    )
+    assert response.status == 422
+    faults = response.json()["faults"]
     assert len(faults) >= 3
     assert all(fault["field"] and fault["line"] for fault in faults)
     after = call("GET", "/admin/v1/text")
@@ -129,18 +131,17 @@
     ids=["request line", "head", "body"],
 )
 def test_slow_sender_is_cut_off(fleet: Fleet, sent: bytes):
-    """Callers found no free connection.
+    """Slow senders occupied all connections.
 
-    A sender that trickles a byte at a time restarts the socket's time-out with
-    each. It held its connection and task for good, and enough of them kept
-    everybody else out.
+    Each byte of a slow sender restarts the socket's timeout. Such a sender kept its
+    connection and task forever, and enough of them left no connection for others.
     """
     host, port = fleet.entries[0].address.split(":")
     with socket.create_connection((host, int(port)), timeout=5) as slow:
         slow.sendall(sent)
         began = time.monotonic()
-        received = _trickle_until_closed(slow)
-        assert time.monotonic() - began < ANSWER_LIMIT.total_seconds()
+        received = _send_slowly_until_closed(slow)
+        assert time.monotonic() - began < MAX_RESPONSE_TIME.total_seconds()
     assert b" 200 " not in received
     _assert_serves(fleet)
 
@@ -153,7 +154,7 @@
     _assert_serves(fleet)
 
 
-def _trickle_until_closed(slow: socket.socket) -> bytes:
+def _send_slowly_until_closed(slow: socket.socket) -> bytes:
     received = b""
     slow.settimeout(0.2)
     while True:
@@ -173,5 +174,5 @@
 
 
 def _assert_serves(fleet: Fleet) -> None:
-    answer = fleet.entries[0].client.call("GET", LOOKUP, headers=CALLER)
-    assert answer.status == 200
+    response = fleet.entries[0].client.call("GET", LOOKUP, headers=CALLER)
+    assert response.status == 200
--- a/tests/callers/test_fetches.py
+++ b/tests/callers/test_fetches.py
@@ -1,4 +1,4 @@
-"""Fetches of requests that move from one entry to another meanwhile."""
+"""Fetches of requests that are being handed over from one entry to another."""
 
 from random import Random
 from types import SimpleNamespace
@@ -6,7 +6,7 @@
 import pytest
 
 from sassafrasdale.callers.app import CallerApp
-from sassafrasdale.callers.messages import HttpAnswer, HttpRequest
+from sassafrasdale.callers.messages import HttpRequest, HttpResponse
 from sassafrasdale.callers.relays import RELAYED
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.endpoints.engines import DONE
@@ -14,7 +14,7 @@
 from sassafrasdale.requests.registry import Registry
 from tests.requests.fakes import LAST, Choices, generation, token
 
-ANSWER = HttpAnswer(200, (), b"of a peer")
+PEER_RESPONSE = HttpResponse(200, (), b"of a peer")
 
 
 def _fetch(relay, registry, **headers):
@@ -22,7 +22,7 @@
         current=SimpleNamespace(text=SimpleNamespace(customers={"labs"})),
         dispatcher=SimpleNamespace(registry=registry),
         is_ready=lambda: True,
-        takes_work=lambda: True,
+        accepts_requests=lambda: True,
         relay=relay,
         metrics=None,
         clock=ManualClock(),
@@ -39,36 +39,37 @@
 
 
 def test_the_request_comes_here_while_a_peer_is_asked(registry):
-    """A caller is told 404 although its request is held all the time.
+    """A caller got a 404 although some entry held its request at all times.
 
-    It asks the entry that is about to take the request. That one asks the giver,
-    which has just dropped it, and nobody looks at home again.
+    It asked the entry that was about to receive the request. That entry asked the
+    sender of the hand-over, which had just dropped the request, and didn't search
+    its own requests again.
     """
 
     def relay(request, request_id):
         progress = Progress([token("a"), LAST, DONE], None, None, sent=True)
-        taken = generation(Choices(), progress=progress)
-        registry.add(taken)
-        taken.run()
+        received = generation(Choices(), progress=progress)
+        registry.add(received)
+        received.run()
         return
 
-    answer = _fetch(relay, registry)
-    assert answer.status == 200
-    assert b"".join(answer.body).count(b"id: ") == 3
+    response = _fetch(relay, registry)
+    assert response.status == 200
+    assert b"".join(response.body).count(b"id: ") == 3
 
 
 def test_the_request_goes_from_peer_to_peer_meanwhile(registry):
-    """As above, but the receiver is asked too early, and the giver too late."""
-    answers = [None, ANSWER]
-    assert _fetch(lambda *asked: answers.pop(0), registry) is ANSWER
+    """As above, but the receiver is asked too early, and the sender too late."""
+    responses = [None, PEER_RESPONSE]
+    assert _fetch(lambda *_: responses.pop(0), registry) is PEER_RESPONSE
 
 
 def test_nobody_holds_it(registry):
-    answer = _fetch(lambda *asked: None, registry)
-    assert (answer.status, dict(answer.headers)["X-Outcome"]) == (404, "unknown")
+    response = _fetch(lambda *_: None, registry)
+    assert (response.status, dict(response.headers)["X-Outcome"]) == (404, "unknown")
 
 
 def test_a_relayed_fetch_is_answered_at_once(registry):
-    asked = []
-    _fetch(lambda *each: asked.append(each), registry, **{RELAYED.lower(): "1"})
-    assert len(asked) == 1
+    relayed = []
+    _fetch(lambda *each: relayed.append(each), registry, **{RELAYED.lower(): "1"})
+    assert len(relayed) == 1
--- a/tests/callers/test_relays.py
+++ b/tests/callers/test_relays.py
@@ -1,4 +1,4 @@
-"""Fetches that are passed on to the entry that holds the request."""
+"""Fetches that are relayed to the entry that holds the request."""
 
 import threading
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
@@ -15,7 +15,7 @@
 
 
 class Holder(BaseHTTPRequestHandler):
-    """A holder that sends an event and a half, and then nothing."""
+    """A holder that sends one and a half events, and then stops responding."""
 
     protocol_version = "HTTP/1.1"
     held = threading.Event()
@@ -49,10 +49,10 @@
 
 
 def test_a_relayed_stream_ends_after_a_whole_event(holder):
-    """A caller takes half an event for a whole one when the relaying entry stops.
+    """A caller took half an event for a complete one when the relaying entry stopped.
 
-    The entry ends what it relays with an event of its own, in the middle of one
-    of the holder's.
+    The entry ended the stream with its own "moved" event in the middle of one of the
+    holder's events.
     """
     relay = Relay(lambda request_id: holder)
     parts = relay(FETCH, "r").body
--- a/tests/callers/test_session.py
+++ b/tests/callers/test_session.py
@@ -1,4 +1,4 @@
-"""The golden file of a whole session: every kind of request, as callers see it."""
+"""Snapshot of a session with every kind of request, as callers see it."""
 
 import re
 
@@ -13,8 +13,8 @@
     "messages": [{"role": "user", "content": "Draft the report of batch 7."}],
     "max_tokens": 3,
 }
-# What differs from run to run: times, made-up ids and certificate numbers, and
-# which endpoint answered.
+# Values that differ between runs: times, generated ids, certificate numbers, and the
+# endpoint that responded.
 MASKS = (
     (re.compile(r'"created": \d+'), '"created": TIME'),
     (re.compile(r"[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}"), "UUID"),
@@ -23,25 +23,25 @@
 )
 
 
-def _shown(answer: Response) -> str:
+def _format(response: Response) -> str:
     headers = sorted(
-        f"{name}: {value}" for name, value in answer.headers.items() if name != "Date"
+        f"{name}: {value}" for name, value in response.headers.items() if name != "Date"
     )
-    lines = [str(answer.status), *headers, "", answer.data.decode()]
-    shown = "\n".join(lines)
+    lines = [str(response.status), *headers, "", response.data.decode()]
+    text = "\n".join(lines)
     for pattern, mask in MASKS:
-        shown = pattern.sub(mask, shown)
-    return shown
+        text = pattern.sub(mask, text)
+    return text
 
 
 def test_whole_session(fleet: Fleet, snapshot: SnapshotAssertion):
-    """A caller looks up, issues, retries, asks whole and streamed, and resumes."""
+    """Covers lookups, keyed retries, whole and streamed chats, and a resumed stream."""
     call = fleet.entries[0].client.call
     chat = "/v1/chat/completions"
     certificates = "/v1/services/records/certificates"
     keyed = {**CALLER, "Idempotency-Key": "cube-1"}
     named = {**CALLER, "X-Request-Id": "session-1"}
-    answers = {
+    responses = {
         "lookup": call("GET", "/v1/services/records/lookups/7", headers=CALLER),
         "issue": call("POST", certificates, {"cube": 1}, keyed),
         "retry": call("POST", certificates, {"cube": 1}, keyed),
@@ -59,5 +59,5 @@
         "ready": call("GET", "/health/ready"),
         "text": call("GET", "/admin/v1/text"),
     }
-    assert answers["issue"].data == answers["retry"].data
-    assert {name: _shown(answer) for name, answer in answers.items()} == snapshot
+    assert responses["issue"].data == responses["retry"].data
+    assert {name: _format(response) for name, response in responses.items()} == snapshot
