--- a/src/sassafrasdale/callers/administration.py
+++ b/src/sassafrasdale/callers/administration.py
@@ -1,4 +1,4 @@
-"""HTTP handlers for operators: the text, and the status of the entry."""
+"""HTTP handlers for operators: the configuration, and the status of the entry."""
 
 import random
 from collections.abc import Callable
@@ -35,9 +35,9 @@
 class Administration:
     """HTTP handlers of one entry for its operators.
 
-    :param current: the revision of the text in force.
-    :param register: stores the text in the platform's store.
-    :param accept: puts an accepted edit in force here and offers it to the peers.
+    :param current: the current configuration.
+    :param register: stores the configuration in the platform's store.
+    :param accept: applies an accepted edit in this entry and offers it to the peers.
     :param status: returns the status report as a JSON document.
     :param burn: returns the counts for the burn report as a JSON document.
     :param rng: random source of edit ids.
@@ -74,7 +74,7 @@
         ]
 
     def show(self, request: HttpRequest) -> HttpResponse:
-        """Return the text in force; with ``wait_ms``, wait for a newer revision."""
+        """Return the current configuration, or wait ``wait_ms`` for a newer one."""
         known_tag = request.header("If-None-Match")
         if known_tag is not None:
             wait = min(_milliseconds(request, "wait_ms"), MAX_WAIT)
@@ -89,7 +89,7 @@
         return _text_response(record)
 
     def check(self, request: HttpRequest) -> HttpResponse:
-        """Check a text without storing it."""
+        """Check a configuration without storing it."""
         try:
             parse_text(_decode(request))
         except TextError as error:
@@ -97,7 +97,7 @@
         return json_response({"faults": []})
 
     def put(self, request: HttpRequest) -> HttpResponse:
-        """Store a new text if the current revision is the one in If-Match."""
+        """Store a new configuration if the current revision is that in If-Match."""
         expected = request.header("If-Match")
         if expected is None:
             raise CallerError(
@@ -135,7 +135,7 @@
         return json_response({"edits": [_summary(record) for record in records]})
 
     def revision(self, request: HttpRequest, revision: str) -> HttpResponse:
-        """Return the text of one accepted edit."""
+        """Return the configuration of one accepted edit."""
         try:
             record = self._register.revision(int(revision))
         except StoreError as error:
--- a/src/sassafrasdale/callers/app.py
+++ b/src/sassafrasdale/callers/app.py
@@ -57,7 +57,7 @@
 class CallerApp:
     """HTTP handlers of one entry for its callers.
 
-    :param current: the revision of the text in force.
+    :param current: the current configuration.
     :param dispatcher: runs the calls.
     :param is_ready: whether the load balancer should send callers here.
     :param accepts_requests: whether the entry accepts new requests; it still does for
@@ -169,7 +169,7 @@
 
     def fetch(self, request: HttpRequest, request_id: str) -> HttpResponse:
         """Return the response to an earlier request, or the rest of its stream."""
-        customer = read_customer(request, self._text_in_force())
+        customer = read_customer(request, self._current_text())
         after = _last_event(request)
         # A search during a hand-over may ask the receiver (which may be this entry)
         # too early and the sender too late. The sender drops a request only after
@@ -205,9 +205,9 @@
             raise NotReady(
                 "this entry takes no new work", retry_after=NOT_READY_RETRY_AFTER
             )
-        return self._text_in_force()
+        return self._current_text()
 
-    def _text_in_force(self) -> Text:
+    def _current_text(self) -> Text:
         if self._current.text is None:
             raise NotReady("no text is in force yet", retry_after=NOT_READY_RETRY_AFTER)
         return self._current.text
--- a/src/sassafrasdale/callers/exceptions.py
+++ b/src/sassafrasdale/callers/exceptions.py
@@ -15,4 +15,4 @@
 
 
 class NotReady(SassafrasdaleError):
-    """The entry has no text in force yet, or is shutting down."""
+    """The entry has no configuration yet, or is shutting down."""
--- a/src/sassafrasdale/callers/headers.py
+++ b/src/sassafrasdale/callers/headers.py
@@ -51,7 +51,7 @@
 def read_customer(request: HttpRequest, text: Text) -> str:
     """Return the name of the calling customer.
 
-    :raises CallerError: it is missing or not in the operators' text.
+    :raises CallerError: it is missing or not in the configuration.
     """
     customer = request.header("X-Customer")
     if not customer:
--- a/src/sassafrasdale/entry/coordinator.py
+++ b/src/sassafrasdale/entry/coordinator.py
@@ -39,8 +39,8 @@
 
 log = Logger("entry")
 
-# A text received from a peer counts as the newest after this delay: by then every
-# peer has been probed or has reported a newer revision.
+# A configuration received from a peer counts as the newest after this delay: by then
+# every peer has been probed or has reported a newer revision.
 PEER_TEXT_TRUST_DELAY = timedelta(seconds=3)
 
 Leave = Callable[[datetime | None], None]
@@ -54,7 +54,7 @@
     :param lifecycle: lifecycle of the entry.
     :param leave: called when this entry has to shut down, with the announced time at
         which the platform takes its instance, or None.
-    :param current: the revision of the text in force.
+    :param current: the current configuration.
     :param directory: the known endpoints.
     :param selector: chooses endpoints.
     :param gates: admission control of each service.
@@ -120,16 +120,16 @@
                 log.exception("failed to handle message {}", type(message).__name__)
 
     def accept_from_store(self, record: TextRecord) -> None:
-        """Put an edit in force that was read from or just accepted by the store."""
+        """Apply an edit that the store holds or has just accepted."""
         self._text_trusted_at = self._clock.elapsed()
         self._accept(record)
 
     def update_readiness(self) -> None:
-        """Become ready once there is a list of instances and a trusted text.
+        """Become ready with a list of instances and a trusted configuration.
 
-        An entry that starts while the store is unavailable gets the text from a
-        peer, which may have an older revision; the text is trusted once every
-        peer has had time to report a newer one.
+        An entry that starts while the store is unavailable gets the configuration
+        from a peer, which may have an older revision; it is trusted once every peer
+        has had time to report a newer one.
         """
         if not self._lifecycle.allows("prepare"):
             return
@@ -200,7 +200,7 @@
             self._metrics.set_peers(state.name.lower(), count)
 
     def _accept(self, record: TextRecord) -> None:
-        """Put an accepted edit in force here, and offer it to the peers."""
+        """Apply an accepted edit in this entry, and offer it to the peers."""
         try:
             accepted = self._current.accept(record)
         except TextError as error:
