--- a/src/sassafrasdale/text/__init__.py
+++ b/src/sassafrasdale/text/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' text: its models and its checks."""
+"""The configuration of a deployment, called the operators' text: models and checks."""
--- a/src/sassafrasdale/text/checks.py
+++ b/src/sassafrasdale/text/checks.py
@@ -1,7 +1,7 @@
-"""Checks across the fields of a text.
+"""Checks across the fields of a configuration.
 
-They read the plain data and skip what has the wrong type, which the models
-report; so one pass finds faults of both kinds.
+They read the plain data and skip values of a wrong type, which the models report,
+so that one pass finds both kinds of fault.
 """
 
 from collections import Counter
@@ -19,18 +19,18 @@
 
 
 def check_references(document: Document) -> Iterator[Fault]:
-    """Yield every fault that lies between fields rather than in one."""
+    """Yield all faults that concern several fields."""
     data = document.data
     zones = _mapping(data, "availability_zones")
     services = _mapping(data, "services")
     classes = [name for _, name in _names(data, "instance_classes", ())]
-    yield from _duplicates(document, data, "instance_classes", ())
+    yield from _check_duplicates(document, data, "instance_classes", ())
     yield from _check_delays(document, zones)
     for name, service in services.items():
         path = ("services", name)
         yield from _check_dependencies(document, service, path, services)
         yield from _check_pools(document, service, path, zones, classes)
-        yield from _check_times(document, service, path)
+        yield from _check_durations(document, service, path)
         yield from _check_weights(document, service, path)
         yield from _check_rules(document, service, path)
     yield from _check_cycles(document, services)
@@ -46,28 +46,28 @@
     return value if isinstance(value, list) else []
 
 
-def _names(data: Any, key: str, around: Path) -> Iterator[tuple[Path, str]]:
+def _names(data: Any, key: str, parent: Path) -> Iterator[tuple[Path, str]]:
     for index, name in enumerate(_sequence(data, key)):
         if isinstance(name, str):
-            yield (*around, key, index), name
+            yield (*parent, key, index), name
 
 
-def _duplicates(
-    document: Document, data: Any, key: str, around: Path
+def _check_duplicates(
+    document: Document, data: Any, key: str, parent: Path
 ) -> Iterator[Fault]:
     seen: Counter[str] = Counter()
-    for path, name in _names(data, key, around):
+    for path, name in _names(data, key, parent):
         seen[name] += 1
         if seen[name] == 2:
             yield document.fault(path, f"{name} stands twice in {key}")
 
 
-def _unknown(
-    document: Document, path: Path, what: str, name: str, known: Collection[str]
+def _check_reference(
+    document: Document, path: Path, kind: str, name: str, known: Collection[str]
 ) -> Iterator[Fault]:
     if name not in known:
         hint = document.hint(name, known)
-        yield document.fault(path, f"there is no {what} {name}{hint}")
+        yield document.fault(path, f"there is no {kind} {name}{hint}")
 
 
 def _check_delays(document: Document, zones: dict[str, Any]) -> Iterator[Fault]:
@@ -79,63 +79,69 @@
             if other == name:
                 yield document.fault(inner, "a zone has no delay to itself")
                 continue
-            yield from _unknown(document, inner, "availability zone", other, zones)
+            yield from _check_reference(
+                document, inner, "availability zone", other, zones
+            )
         missing = [other for other in zones if other not in delays and other != name]
         if delays and missing:
             yield document.fault(path, f"names no delay to {', '.join(missing)}")
 
 
 def _check_dependencies(
-    document: Document, service: Any, around: Path, services: dict[str, Any]
+    document: Document, service: Any, parent: Path, services: dict[str, Any]
 ) -> Iterator[Fault]:
-    yield from _duplicates(document, service, "depends_on", around)
-    for path, name in _names(service, "depends_on", around):
-        yield from _unknown(document, path, "service", name, services)
+    yield from _check_duplicates(document, service, "depends_on", parent)
+    for path, name in _names(service, "depends_on", parent):
+        yield from _check_reference(document, path, "service", name, services)
 
 
 def _check_pools(
     document: Document,
     service: Any,
-    around: Path,
+    parent: Path,
     zones: dict[str, Any],
     classes: list[str],
 ) -> Iterator[Fault]:
     for index, pool in enumerate(_sequence(service, "pools")):
-        path = (*around, "pools", index)
-        yield from _duplicates(document, pool, "availability_zones", path)
+        path = (*parent, "pools", index)
+        yield from _check_duplicates(document, pool, "availability_zones", path)
         for inner, name in _names(pool, "availability_zones", path):
-            yield from _unknown(document, inner, "availability zone", name, zones)
-        used = pool.get("instance_class") if isinstance(pool, dict) else None
-        if isinstance(used, str):
+            yield from _check_reference(
+                document, inner, "availability zone", name, zones
+            )
+        instance_class = pool.get("instance_class") if isinstance(pool, dict) else None
+        if isinstance(instance_class, str):
             inner = (*path, "instance_class")
-            yield from _unknown(document, inner, "instance class", used, classes)
+            yield from _check_reference(
+                document, inner, "instance class", instance_class, classes
+            )
 
 
-def _check_times(document: Document, service: Any, around: Path) -> Iterator[Fault]:
+def _check_durations(document: Document, service: Any, parent: Path) -> Iterator[Fault]:
     objective = _mapping(service, "objective")
     latency = _duration(objective, "latency")
     first_token = _duration(objective, "first_token")
-    limit = _duration(service, "timeout")
+    timeout = _duration(service, "timeout")
     if latency and first_token and first_token > latency:
-        path = (*around, "objective", "first_token")
+        path = (*parent, "objective", "first_token")
         yield document.fault(path, "must be at most the objective's latency")
-    if latency and limit and limit < latency:
-        path = (*around, "timeout")
+    if latency and timeout and timeout < latency:
+        path = (*parent, "timeout")
         yield document.fault(path, "must be at least the objective's latency")
     if isinstance(service, dict) and service.get("kind") == "plain" and first_token:
-        path = (*around, "objective", "first_token")
+        path = (*parent, "objective", "first_token")
         yield document.fault(path, "is for services of kind model")
 
 
-def _check_weights(document: Document, service: Any, around: Path) -> Iterator[Fault]:
+def _check_weights(document: Document, service: Any, parent: Path) -> Iterator[Fault]:
     weights = _mapping(service, "weights")
     if weights.get("latency_cost") == weights.get("recomputed_tokens") == 0:
-        yield document.fault((*around, "weights"), "one of the two must be above 0")
+        yield document.fault((*parent, "weights"), "one of the two must be above 0")
 
 
-def _check_rules(document: Document, service: Any, around: Path) -> Iterator[Fault]:
-    # A rule behind a wider one would be silently without effect; were it the one
-    # that forbids a repetition, calls would run twice.
+def _check_rules(document: Document, service: Any, parent: Path) -> Iterator[Fault]:
+    # A rule after a more general one would silently have no effect; if it is the one
+    # that forbids retries, calls would run twice.
     earlier: list[tuple[int, str, str]] = []
     for index, rule in enumerate(_sequence(service, "rules")[:MAX_RULES]):
         match rule:
@@ -148,7 +154,7 @@
                 path
             ):
                 message = f"is never reached, as rules[{number}] comes first"
-                yield document.fault((*around, "rules", index), message)
+                yield document.fault((*parent, "rules", index), message)
                 break
         earlier.append((index, method, path))
 
@@ -167,16 +173,16 @@
         for name, service in services.items()
     }
     for cycle in _cycles(graph):
-        written = " -> ".join((*cycle, cycle[0]))
+        chain = " -> ".join((*cycle, cycle[0]))
         path = ("services", cycle[0], "depends_on")
-        yield document.fault(path, f"depends on itself: {written}")
+        yield document.fault(path, f"depends on itself: {chain}")
 
 
 def _cycles(graph: dict[str, list[str]]) -> Iterator[list[str]]:
     """Yield cycles that share no service, at most ``MAX_CYCLES``.
 
-    Services that all depend on each other have cycles without number; each one
-    found takes its services out of the search.
+    The number of cycles grows exponentially among services that all depend on each
+    other, so the services of each cycle found are removed from the search.
     """
     edges = dict(graph)
     for _ in range(MAX_CYCLES):
@@ -192,7 +198,7 @@
     try:
         TopologicalSorter(edges).prepare()
     except CycleError as error:
-        # graphlib names the nodes against the direction of the dependency, and
+        # graphlib lists the nodes against the direction of the dependency, and
         # the first one twice.
         return error.args[1][:0:-1]
     return []
--- a/src/sassafrasdale/text/current.py
+++ b/src/sassafrasdale/text/current.py
@@ -1,4 +1,4 @@
-"""The revision of the operators' text that is in force in this entry."""
+"""The current configuration of this entry."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 
 
 class CurrentText:
-    """The text in force; its revision only moves up."""
+    """The current configuration; its revision only increases."""
 
     def __init__(self) -> None:
         self._record: TextRecord | None = None
@@ -18,26 +18,27 @@
 
     @property
     def record(self) -> TextRecord | None:
-        """The accepted edit in force, or None before the first."""
+        """The current accepted edit, or None before the first."""
         return self._record
 
     @property
     def text(self) -> Text | None:
-        """The parsed text in force."""
+        """The current configuration, parsed, or None before the first."""
         return self._text
 
     @property
     def revision(self) -> int:
-        """Number of the revision in force, 0 before the first."""
+        """Number of the current revision, 0 before the first."""
         return self._record.revision if self._record else 0
 
     def accept(self, record: TextRecord) -> bool:
-        """Put ``record`` in force if it is newer; return whether it was.
+        """Apply ``record`` if it is newer, and return whether it was.
 
-        :raises TextError: the text is faulty; the one in force stays.
+        :raises TextError: the configuration is invalid; the current one stays.
         """
-        # A watch, a peer and a read may bring revisions in any order and twice;
-        # only a higher one counts, so none of them can bring an old text back.
+        # Revisions from the store's watch, peers and reads may arrive in any order
+        # and more than once; only a higher one is applied, so none of them can
+        # restore an old configuration.
         if record.revision <= self.revision:
             return False
         self._text = parse_text(record.text)
@@ -48,7 +49,7 @@
         return True
 
     def wait_newer(self, revision: int, limit: timedelta) -> None:
-        """Wait until a revision above ``revision`` is in force, or for ``limit``."""
+        """Wait until the revision is above ``revision``, at most for ``limit``."""
         if self.revision > revision:
             return
         waiter = Event()
--- a/src/sassafrasdale/text/differences.py
+++ b/src/sassafrasdale/text/differences.py
@@ -1,4 +1,4 @@
-"""The difference of two texts, at a bounded cost."""
+"""Diffs of two texts, at a bounded cost."""
 
 import re
 from collections.abc import Iterator, Sequence
@@ -6,10 +6,10 @@
 from itertools import islice, takewhile
 
 CONTEXT = 3
-# Pairs of lines to compare; 250,000 took from 1 to 51 ms, by how alike they were.
+# Pairs of lines to compare; 250,000 took 1 to 51 ms, depending on their similarity.
 MAX_PAIRS = 250_000
 MAX_LINES = 400
-HEAD_LINES = 2
+HEADER_LINES = 2
 
 _RANGE = re.compile(r"^@@ -(\d+)(\S*) \+(\d+)(\S*) @@$")
 
@@ -19,28 +19,28 @@
 ) -> str:
     """Return a unified diff of two texts, empty if they are the same.
 
-    Comparing texts in which many lines are alike takes time with the product of
-    their lengths: 18 s for 16,000 lines in one measurement, in which the entry would
-    answer nobody. So the lines that both begin and end with are set aside first, and
-    if too much is left, the places are told without the lines in them.
+    The time to compare texts with many similar lines grows with the product of their
+    lengths: 18 s for 16,000 lines in one measurement, in which the entry would serve
+    no requests. So the common lines at the beginning and end are removed first, and if
+    too many are left, only their line numbers are returned.
 
     Usage::
 
         print(format_difference(old, new, "revision 6", "your text"))
 
-    :param before_name: name of the first text in the head.
-    :param after_name: name of the second text in the head.
+    :param before_name: name of the first text in the header.
+    :param after_name: name of the second text in the header.
     """
     old, new = before.splitlines(), after.splitlines()
     if old == new:
         return ""
-    start = _count_equal(old, new)
-    end = _count_equal(old[start:][::-1], new[start:][::-1])
+    start = _count_common(old, new)
+    end = _count_common(old[start:][::-1], new[start:][::-1])
     changed = (len(old) - start - end) * (len(new) - start - end)
-    head = [f"--- {before_name}", f"+++ {after_name}"]
+    header = [f"--- {before_name}", f"+++ {after_name}"]
     if changed > MAX_PAIRS:
-        return "\n".join([*head, _describe(old, new, start, end)])
-    return "\n".join(_shorten([*head, *_compare(old, new, start, end)]))
+        return "\n".join([*header, _describe_range(old, new, start, end)])
+    return "\n".join(_truncate([*header, *_compare(old, new, start, end)]))
 
 
 def _compare(old: list[str], new: list[str], start: int, end: int) -> Iterator[str]:
@@ -52,7 +52,7 @@
         lineterm="",
         n=CONTEXT,
     )
-    for line in islice(lines, HEAD_LINES, None):
+    for line in islice(lines, HEADER_LINES, None):
         yield _RANGE.sub(lambda match: _shift(match, first), line)
 
 
@@ -62,20 +62,20 @@
     )
 
 
-def _count_equal(old: Sequence[str], new: Sequence[str]) -> int:
+def _count_common(old: Sequence[str], new: Sequence[str]) -> int:
     pairs = zip(old, new, strict=False)
     return sum(1 for _ in takewhile(lambda pair: pair[0] == pair[1], pairs))
 
 
-def _describe(old: list[str], new: list[str], start: int, end: int) -> str:
+def _describe_range(old: list[str], new: list[str], start: int, end: int) -> str:
     return (
         f"lines {start + 1} to {len(old) - end} became lines {start + 1} to "
         f"{len(new) - end}, which are too many to compare"
     )
 
 
-def _shorten(lines: list[str]) -> list[str]:
-    left_out = len(lines) - MAX_LINES
-    if left_out <= 0:
+def _truncate(lines: list[str]) -> list[str]:
+    omitted = len(lines) - MAX_LINES
+    if omitted <= 0:
         return lines
-    return [*lines[:MAX_LINES], f"... and {left_out} more lines"]
+    return [*lines[:MAX_LINES], f"... and {omitted} more lines"]
--- a/src/sassafrasdale/text/documents.py
+++ b/src/sassafrasdale/text/documents.py
@@ -1,4 +1,4 @@
-"""YAML documents as plain data that remembers on which line each field is."""
+"""YAML documents as plain data, with the line number of each field."""
 
 from collections.abc import Collection, Iterator
 from dataclasses import dataclass, field
@@ -26,36 +26,36 @@
 from sassafrasdale.text.exceptions import Fault, TextError
 
 MAX_BYTES = 512 * 1024
-# Two copies, one for the history, must go into a transaction of 1.5 MiB.
+# Two copies, one for the history, must fit into a transaction of 1.5 MiB.
 MAX_STORED_BYTES = 700 * 1024
 MAX_DEPTH = 12
 MAX_NODES = 50_000
-MAX_SCALAR = 1024
+MAX_SCALAR_LENGTH = 1024
 MAX_HINTS = 50
 
 Path = tuple[str | int, ...]
 
-# Stands in a path for a key that cannot be kept, so that what is below it is read.
-ODD_KEY = "?"
+# Replaces an invalid key in a path, so that the values below it are still checked.
+INVALID_KEY = "?"
 
 _TYPED_TAGS = frozenset(
     f"tag:yaml.org,2002:{name}" for name in ("int", "float", "bool", "null")
 )
 
-# Words are resolved and turned into values by the library, apart from any text.
-_PLAIN_YAML = YAML(typ="safe", pure=True)
-_RESOLVER = _PLAIN_YAML.resolver
-_CONSTRUCT = _PLAIN_YAML.constructor.construct_object
+# The library resolves plain scalars and converts them, without a document.
+_SAFE_YAML = YAML(typ="safe", pure=True)
+_RESOLVER = _SAFE_YAML.resolver
+_CONSTRUCT_OBJECT = _SAFE_YAML.constructor.construct_object
 
 
 @dataclass(slots=True)
 class Document:
-    """Plain data out of a YAML text.
+    """Plain data read from a YAML document.
 
     :param data: dicts, lists, strings, numbers, booleans and None.
     :param lines: line of each field by its path, counted from 1.
-    :param faults: what was found while reading, such as duplicate keys.
-    :param hints: how many hints were asked for.
+    :param faults: faults found while reading, such as duplicate keys.
+    :param hints: number of hints requested so far.
     """
 
     data: Any = None
@@ -64,7 +64,7 @@
     hints: int = 0
 
     def line_of(self, path: Path) -> int:
-        """Return the line of a field, or of the nearest field around it."""
+        """Return the line of a field, or of its nearest parent that has one."""
         while path and path not in self.lines:
             path = path[:-1]
         return self.lines.get(path, 1)
@@ -74,10 +74,11 @@
         return Fault(self.line_of(path), format_path(path), message)
 
     def hint(self, name: str, known: Collection[str]) -> str:
-        """Return a hint at the known name that is nearest to ``name``, if one is.
+        """Return a hint with the known name closest to ``name``, or an empty string.
 
-        Comparing names is slow. A text with thousands of wrong ones would take
-        seconds to refuse, in which the entry answers nobody; so hints are few.
+        Comparing names is slow: to refuse a document with thousands of wrong ones
+        would take seconds, in which the entry serves no requests. So the number of
+        hints is limited.
         """
         self.hints += 1
         if self.hints > MAX_HINTS:
@@ -87,25 +88,25 @@
 
 
 def format_path(path: Path) -> str:
-    """Return ``path`` as an operator reads it: ``services.a.pools[0].count``."""
-    written = ""
+    """Return ``path`` formatted as in ``services.a.pools[0].count``."""
+    formatted = ""
     for part in path:
         match part:
             case int():
-                written += f"[{part}]"
+                formatted += f"[{part}]"
             case str():
-                written += f".{part}" if written else part
-    return written
+                formatted += f".{part}" if formatted else part
+    return formatted
 
 
 def read_document(source: str) -> Document:
-    """Return the data of a YAML text.
+    """Return the data of a YAML document.
 
-    :raises TextError: if it is not YAML or exceeds a bound of this module.
+    :raises TextError: if it is not YAML or exceeds a limit of this module.
     """
     _check_size(source)
-    # The scanner in C, where it is installed, is thirty times as fast; the one in
-    # Python gives the same events.
+    # The C scanner, where it is installed, is thirty times as fast as the one in
+    # Python; both produce the same events.
     yaml = YAML(typ="safe")
     try:
         return _Builder(yaml.parse(source)).build()
@@ -118,8 +119,8 @@
 def _check_size(source: str) -> None:
     if len(source.encode(errors="replace")) > MAX_BYTES:
         raise TextError([Fault(0, "", f"is longer than {MAX_BYTES} bytes")])
-    # The store keeps the text within JSON, where a letter outside ASCII takes up to
-    # six bytes and a quote two; a text within the first limit may be refused there.
+    # The text is stored as a JSON string, where a character outside ASCII takes up to
+    # six bytes and a quote two; the store may refuse a text within the first limit.
     stored = len(dumps(source))
     if stored > MAX_STORED_BYTES:
         message = f"takes {stored} bytes as it is stored, above {MAX_STORED_BYTES}"
@@ -136,10 +137,11 @@
 
 
 class _Builder:
-    """Builds plain data from a stream of events, within the module's bounds.
+    """Builds plain data from a stream of events, within the module's limits.
 
-    Composing nodes first would recurse as deep as the text nests and copy what its
-    aliases stand for; a stream of events shows both before anything is built.
+    Composing nodes first would recurse as deep as the document is nested and copy
+    the values of its aliases; in a stream of events both are visible before anything
+    is built.
 
     :param events: events of one YAML document.
     """
@@ -150,7 +152,7 @@
         self._document = Document()
 
     def build(self) -> Document:
-        """Return the document that the events hold."""
+        """Return the document that the events describe."""
         self._expect(StreamStartEvent)
         if not isinstance(self._next(), DocumentStartEvent):
             raise TextError([Fault(1, "", "is empty")])
@@ -158,7 +160,7 @@
         self._expect(DocumentEndEvent)
         after = self._next()
         if not isinstance(after, StreamEndEvent):
-            raise _bound_error(after, "has more than one document")
+            raise _error_at(after, "has more than one document")
         return self._document
 
     def _next(self) -> Any:
@@ -167,7 +169,7 @@
     def _expect(self, kind: type) -> None:
         event = self._next()
         if not isinstance(event, kind):
-            raise _bound_error(event, "is not one YAML document")
+            raise _error_at(event, "is not one YAML document")
 
     def _build(self, event: Any, path: Path) -> Any:
         self._check(event, len(path))
@@ -183,13 +185,13 @@
     def _check(self, event: Any, depth: int) -> None:
         self._nodes += 1
         if isinstance(event, AliasEvent) or event.anchor:
-            raise _bound_error(event, "anchors and aliases are not accepted")
+            raise _error_at(event, "anchors and aliases are not accepted")
         if event.tag not in (None, "!"):
-            raise _bound_error(event, f"the tag {event.tag} is not accepted")
+            raise _error_at(event, f"the tag {event.tag} is not accepted")
         if depth > MAX_DEPTH:
-            raise _bound_error(event, f"is nested deeper than {MAX_DEPTH} levels")
+            raise _error_at(event, f"is nested deeper than {MAX_DEPTH} levels")
         if self._nodes > MAX_NODES:
-            raise _bound_error(event, f"has more than {MAX_NODES} values")
+            raise _error_at(event, f"has more than {MAX_NODES} values")
 
     def _build_sequence(self, path: Path) -> list[Any]:
         items: list[Any] = []
@@ -206,8 +208,8 @@
     def _build_entry(self, event: Any, mapping: dict[str, Any], path: Path) -> None:
         if not isinstance(event, ScalarEvent):
             self._add_fault(event, path, "a key must be a word")
-            self._build(event, (*path, ODD_KEY))
-            self._build(self._next(), (*path, ODD_KEY))
+            self._build(event, (*path, INVALID_KEY))
+            self._build(self._next(), (*path, INVALID_KEY))
             return
         self._check(event, len(path))
         inner = (*path, event.value)
@@ -215,14 +217,16 @@
         if event.value in mapping:
             first = self._document.lines[inner]
             self._add_fault(event, inner, f"stands twice, first on line {first}")
-            self._build(value_event, (*path, ODD_KEY))
+            self._build(value_event, (*path, INVALID_KEY))
             return
         self._document.lines[inner] = _line(event)
         mapping[event.value] = self._build(value_event, inner)
 
     def _build_scalar(self, event: ScalarEvent, path: Path) -> Any:
-        if len(event.value) > MAX_SCALAR:
-            self._add_fault(event, path, f"is longer than {MAX_SCALAR} characters")
+        if len(event.value) > MAX_SCALAR_LENGTH:
+            self._add_fault(
+                event, path, f"is longer than {MAX_SCALAR_LENGTH} characters"
+            )
             return None
         if event.implicit[0]:
             return _plain_value(event.value)
@@ -236,14 +240,14 @@
     return event.start_mark.line + 1
 
 
-def _bound_error(event: Any, message: str) -> TextError:
+def _error_at(event: Any, message: str) -> TextError:
     return TextError([Fault(_line(event), "", message)])
 
 
 @lru_cache(maxsize=4096)
-def _plain_value(written: str) -> Any:
-    """Return what a word without quotes stands for in YAML 1.2."""
-    tag = _RESOLVER.resolve(ScalarNode, written, (True, False))
+def _plain_value(scalar: str) -> Any:
+    """Return the value of an unquoted scalar in YAML 1.2."""
+    tag = _RESOLVER.resolve(ScalarNode, scalar, (True, False))
     if str(tag) not in _TYPED_TAGS:
-        return written
-    return _CONSTRUCT(ScalarNode(tag, written))
+        return scalar
+    return _CONSTRUCT_OBJECT(ScalarNode(tag, scalar))
--- a/src/sassafrasdale/text/durations.py
+++ b/src/sassafrasdale/text/durations.py
@@ -1,4 +1,4 @@
-"""Lengths of time as operators write them, such as ``250ms`` or ``1.5s``."""
+"""Durations as operators write them, such as ``250ms`` or ``1.5s``."""
 
 import re
 from datetime import timedelta
@@ -13,12 +13,12 @@
     "m": timedelta(minutes=1),
     "h": timedelta(hours=1),
 }
-LONGEST = timedelta(hours=24)
+MAX_DURATION = timedelta(hours=24)
 _PATTERN = re.compile(r"(\d{1,9}(?:\.\d{1,6})?) ?(us|ms|s|m|h)")
 
 
 def parse_duration(value: object) -> timedelta:
-    """Return the length of time that ``value`` names.
+    """Return the duration that ``value`` denotes.
 
     Usage::
 
@@ -32,13 +32,13 @@
     if match is None:
         raise ValueError("write a number with one of the units us, ms, s, m, h")
     duration = float(match[1]) * UNITS[match[2]]
-    if duration > LONGEST:
+    if duration > MAX_DURATION:
         raise ValueError("must be at most 24h")
     return duration
 
 
 def format_duration(duration: timedelta) -> str:
-    """Return ``duration`` in the largest unit that keeps it a whole number."""
+    """Return ``duration`` in the largest unit in which it is a whole number."""
     for name, unit in reversed(UNITS.items()):
         if duration % unit == timedelta():
             return f"{duration // unit}{name}"
--- a/src/sassafrasdale/text/fields_page.py
+++ b/src/sassafrasdale/text/fields_page.py
@@ -1,15 +1,15 @@
-"""The reference of the text's fields, written out of the models' JSON schema."""
+"""Generates the reference of all fields from the JSON schema of the models."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from sassafrasdale.text.durations import LONGEST, format_duration
+from sassafrasdale.text.durations import MAX_DURATION, format_duration
 from sassafrasdale.text.models import NAME, TextModel
 
 Schema = Mapping[str, Any]
 
-_HEAD = "| field | value | default | meaning |\n| --- | --- | --- | --- |"
-_REFERENCE = "#/$defs/"
+_TABLE_HEADER = "| field | value | default | meaning |\n| --- | --- | --- | --- |"
+_REFERENCE_PREFIX = "#/$defs/"
 _ZERO_DURATION = "PT0S"
 _TITLES = {
     "TextModel": "The text",
@@ -24,11 +24,11 @@
 
 
 def format_fields() -> str:
-    """Return a table in Markdown for each part of the text."""
+    """Return a Markdown table for each model of the configuration."""
     schema = TextModel.model_json_schema()
     parts = {"TextModel": schema, **schema["$defs"]}
     tables = [
-        f"### {title}\n\n{_HEAD}\n" + "\n".join(_rows(parts[name], parts))
+        f"### {title}\n\n{_TABLE_HEADER}\n" + "\n".join(_rows(parts[name], parts))
         for name, title in _TITLES.items()
     ]
     return "\n\n".join(tables) + "\n"
@@ -59,7 +59,7 @@
 def _kind(field: Schema, parts: Mapping[str, Schema]) -> str:
     match field:
         case {"$ref": reference}:
-            return _named(reference.removeprefix(_REFERENCE), parts)
+            return _referenced(reference.removeprefix(_REFERENCE_PREFIX), parts)
         case {"anyOf": options}:
             kinds = (_kind(o, parts) for o in options if o.get("type") != "null")
             return " or ".join(kinds)
@@ -76,12 +76,12 @@
             return "name"
         case {"enum": values}:
             return " or ".join(f"`{value}`" for value in values)
-        case {"pattern": pattern, "maxLength": longest}:
-            return f"text as `{pattern}`, at most {longest} characters"
+        case {"pattern": pattern, "maxLength": max_length}:
+            return f"text as `{pattern}`, at most {max_length} characters"
     return str(field["type"])
 
 
-def _named(name: str, parts: Mapping[str, Schema]) -> str:
+def _referenced(name: str, parts: Mapping[str, Schema]) -> str:
     if name in _TITLES:
         title = _TITLES[name]
         return f"[{title.lower()}](#{title.lower().replace(' ', '-')})"
@@ -102,17 +102,17 @@
 
 
 def _counts(field: Schema, what: str) -> str:
-    least = field.get(f"min{what}", 0)
-    most = field.get(f"max{what}")
-    if most is None:
-        return f", at least {least}" if least else ""
-    return f", {least} to {most}"
+    minimum = field.get(f"min{what}", 0)
+    maximum = field.get(f"max{what}")
+    if maximum is None:
+        return f", at least {minimum}" if minimum else ""
+    return f", {minimum} to {maximum}"
 
 
 def describe_scalars() -> str:
-    """Return what the words name and duration mean in the tables."""
-    longest = format_duration(LONGEST)
+    """Return the definitions of name and duration for the tables."""
+    max_duration = format_duration(MAX_DURATION)
     return (
         f"A name matches `{NAME}`. A duration is a number with one of the units us, "
-        f"ms, s, m and h, such as `1.5ms`, of at most {longest}."
+        f"ms, s, m and h, such as `1.5ms`, of at most {max_duration}."
     )
--- a/src/sassafrasdale/text/models.py
+++ b/src/sassafrasdale/text/models.py
@@ -1,6 +1,6 @@
-"""Validated models of the operators' text, for the border only.
+"""Models that validate a configuration, used only for parsing.
 
-They accept what an operator wrote and turn it into the data classes of
+They validate the input of an operator and convert it to the data classes of
 ``sassafrasdale.text.structures``. Checks across fields are in
 ``sassafrasdale.text.checks``.
 """
@@ -36,15 +36,15 @@
 Name = Annotated[str, Field(pattern=NAME)]
 
 
-class TextPart(BaseModel):
-    """Base of the models: unknown keys and changed types are faults."""
+class StrictModel(BaseModel):
+    """Base of the models: unknown keys and values of another type are faults."""
 
     model_config = ConfigDict(
         extra="forbid", frozen=True, strict=True, allow_inf_nan=False
     )
 
 
-class ZoneModel(TextPart):
+class ZoneModel(StrictModel):
     """An availability zone."""
 
     region: Name = Field(description="Region that the zone lies in.")
@@ -57,7 +57,7 @@
     )
 
     def build(self, name: str, zones: list[str]) -> Zone:
-        """Return the data class with a delay to each other zone."""
+        """Return the data class, with the delays to all other zones."""
         others = [zone for zone in zones if zone != name]
         match self.one_way_delay:
             case timedelta() as delay:
@@ -67,7 +67,7 @@
         return Zone(name, self.region, delays, self.client_delay)
 
 
-class ObjectiveModel(TextPart):
+class ObjectiveModel(StrictModel):
     """What a service promises its callers."""
 
     latency: PositiveDuration = Field(
@@ -85,7 +85,7 @@
         return Objective(self.latency, self.first_token, self.share)
 
 
-class WeightsModel(TextPart):
+class WeightsModel(StrictModel):
     """What weighs in the decisions for a service."""
 
     latency_cost: float = Field(
@@ -100,7 +100,7 @@
         return Weights(self.latency_cost, self.recomputed_tokens)
 
 
-class RuleModel(TextPart):
+class RuleModel(StrictModel):
     """Whether calls of one shape may be repeated."""
 
     method: Literal["*", *METHODS] = Field(
@@ -117,7 +117,7 @@
         return Rule(self.method, self.path, self.idempotent)
 
 
-class EndpointPoolModel(TextPart):
+class EndpointPoolModel(StrictModel):
     """Endpoints of one class that serve a service."""
 
     instance_class: Name = Field(description="One of the text's instance classes.")
@@ -148,7 +148,7 @@
         )
 
 
-class ServiceModel(TextPart):
+class ServiceModel(StrictModel):
     """A service that callers can name."""
 
     kind: Annotated[ServiceKind, Field(strict=False)] = Field(
@@ -191,7 +191,7 @@
         )
 
 
-class CustomerModel(TextPart):
+class CustomerModel(StrictModel):
     """Somebody who calls."""
 
     weight: float = Field(
@@ -209,7 +209,7 @@
         return Customer(name, self.weight, self.requests_per_second, self.max_in_flight)
 
 
-class TextModel(TextPart):
+class TextModel(StrictModel):
     """The whole text."""
 
     deployment: Name = Field(description="Name of the deployment.")
--- a/src/sassafrasdale/text/parser.py
+++ b/src/sassafrasdale/text/parser.py
@@ -1,4 +1,4 @@
-"""From the operators' text to data classes, with every fault at once.
+"""Parses a configuration into data classes; errors report all faults at once.
 
 Usage::
 
@@ -15,7 +15,7 @@
 from sassafrasdale.text.documents import Document, Path, read_document
 from sassafrasdale.text.exceptions import Fault, TextError
 from sassafrasdale.text.models import TextModel
-from sassafrasdale.text.reference import fields_around
+from sassafrasdale.text.reference import sibling_fields
 from sassafrasdale.text.structures import Text
 
 MAX_FAULTS = 1000
@@ -23,12 +23,12 @@
 
 @lru_cache(maxsize=1)
 def parse_text(source: str) -> Text:
-    """Return the text that ``source`` holds.
+    """Return the configuration in ``source``.
 
-    The last text is kept, as an entry that accepts an edit checks it and then puts
-    it in force; reading it holds up everything else.
+    The last result is cached, as an entry checks an edit before it applies it, and
+    parsing blocks all other work.
 
-    :raises TextError: if it has faults; the error carries all of them.
+    :raises TextError: if it is invalid; the error has all faults.
     """
     document = read_document(source)
     if not isinstance(document.data, dict):
@@ -37,16 +37,18 @@
     model = _validate(document, faults)
     faults.extend(check_references(document))
     if faults or model is None:
-        raise TextError(_cut(set(faults)))
+        raise TextError(_truncate(set(faults)))
     return model.build()
 
 
-def _cut(faults: set[Fault]) -> list[Fault]:
-    told = sorted(faults)[:MAX_FAULTS]
-    left_out = len(faults) - len(told)
-    if left_out:
-        told.append(Fault(told[-1].line, "", f"{left_out} more faults are not listed"))
-    return told
+def _truncate(faults: set[Fault]) -> list[Fault]:
+    listed = sorted(faults)[:MAX_FAULTS]
+    omitted = len(faults) - len(listed)
+    if omitted:
+        listed.append(
+            Fault(listed[-1].line, "", f"{omitted} more faults are not listed")
+        )
+    return listed
 
 
 def _validate(document: Document, faults: list[Fault]) -> TextModel | None:
@@ -59,13 +61,13 @@
 
 def _model_faults(document: Document, error: ValidationError) -> Iterator[Fault]:
     for detail in error.errors(include_url=False, include_context=True):
-        path = _path_in(document.data, detail["loc"])
+        path = _field_path(document.data, detail["loc"])
         yield document.fault(path, _message(document, detail, path))
 
 
-def _path_in(data: Any, location: tuple[str | int, ...]) -> Path:
-    # pydantic adds the branch of a union and marks such as [key] to a location;
-    # they name no field, so they are dropped by walking the data itself.
+def _field_path(data: Any, location: tuple[str | int, ...]) -> Path:
+    # pydantic adds the branch of a union and markers such as [key] to a location;
+    # they are no fields, so they are dropped by following the location in the data.
     path: list[str | int] = []
     for part in location:
         match data:
@@ -84,7 +86,7 @@
 def _message(document: Document, detail: Any, path: Path) -> str:
     match detail["type"]:
         case "extra_forbidden":
-            hint = document.hint(str(path[-1]), fields_around(path))
+            hint = document.hint(str(path[-1]), sibling_fields(path))
             return f"is not a known field{hint}"
         case "missing":
             return "is missing"
--- a/src/sassafrasdale/text/reference.py
+++ b/src/sassafrasdale/text/reference.py
@@ -1,4 +1,4 @@
-"""The fields that a text may have, read off the models."""
+"""Looks up the fields of a configuration in the models."""
 
 from collections.abc import Iterator
 from typing import Any, get_args, get_origin
@@ -9,22 +9,22 @@
 from sassafrasdale.text.models import TextModel
 
 
-def fields_around(path: Path) -> tuple[str, ...]:
-    """Return the names that could stand in the place of the last of ``path``."""
+def sibling_fields(path: Path) -> tuple[str, ...]:
+    """Return the valid names for the last part of ``path``."""
     model: type[BaseModel] | None = TextModel
     parts = iter(path[:-1])
     for part in parts:
-        known = model.model_fields.get(str(part)) if model else None
-        if model is None or known is None:
+        field = model.model_fields.get(str(part)) if model else None
+        if model is None or field is None:
             return ()
-        if _is_container(known.annotation):
+        if _is_container(field.annotation):
             next(parts, None)
-        model = nested_model(known.annotation)
+        model = nested_model(field.annotation)
     return tuple(model.model_fields) if model else ()
 
 
 def nested_model(annotation: Any) -> type[BaseModel] | None:
-    """Return the model within an annotation such as ``dict[str, Model]``."""
+    """Return the first model in an annotation such as ``dict[str, Model]``."""
     return next(_models(annotation), None)
 
 
--- a/src/sassafrasdale/text/structures.py
+++ b/src/sassafrasdale/text/structures.py
@@ -1,4 +1,4 @@
-"""The operators' text as data classes, as the rest of the package reads it."""
+"""Data classes of the configuration, as used by the rest of the package."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 class ServiceKind(StrEnum):
-    """What a service's endpoints are."""
+    """Kind of a service's endpoints."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -26,8 +26,8 @@
 class Zone:
     """An availability zone.
 
-    :param name: the platform's name of it.
-    :param region: region that it lies in.
+    :param name: its name at the platform.
+    :param region: its region.
     :param one_way_delay: network delay to every other zone, one way.
     :param client_delay: network delay to the callers, one way.
     """
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Objective:
-    """What a service promises its callers.
+    """Service level objective of a service.
 
-    :param latency: time within which an answer is whole.
-    :param first_token: time within which a stream begins; None for no promise.
-    :param share: share of requests that are to be in time, above 0 and below 1.
+    :param latency: time until a response is complete.
+    :param first_token: time until a stream begins; None for no objective.
+    :param share: fraction of requests that must be in time, above 0 and below 1.
     """
 
     latency: timedelta
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Weights:
-    """What a service holds against a decision.
+    """Weights of the costs in the decisions for a service.
 
     :param latency_cost: weight of the cost at the latency objective.
     :param recomputed_tokens: weight of tokens computed a second time.
@@ -68,19 +68,19 @@
 def compile_path(pattern: str) -> Pattern[str]:
     """Return a rule's path as a regular expression.
 
-    The library keeps only a few hundred patterns itself; with more rules it would
-    compile them anew for each request.
+    The cache of the re module has only a few hundred patterns; with more rules it
+    would compile them again for each request.
     """
     return compile_pattern(translate(pattern))
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """Whether calls of one shape may be repeated.
+    """Whether calls with a given method and path may be retried.
 
     :param method: HTTP method, or ``*`` for any.
-    :param path: pattern of the path; ``*`` stands for any characters.
-    :param idempotent: whether such calls may be repeated.
+    :param path: pattern of the path; ``*`` matches any characters.
+    :param idempotent: whether such calls may be retried.
     """
 
     method: str
@@ -88,18 +88,18 @@
     idempotent: bool
 
     def matches(self, method: str, path: str) -> bool:
-        """Return whether the rule speaks about a call."""
+        """Return whether the rule applies to a call."""
         if self.method not in (ANY_METHOD, method):
             return False
         return compile_path(self.path).match(path) is not None
 
 
 def is_canonical(path: str) -> bool:
-    """Return whether every endpoint reads ``path`` the same way.
+    """Return whether every endpoint interprets ``path`` in the same way.
 
-    An endpoint may take ``/lookups/../certificates``, ``//certificates`` or a path
-    that is still encoded for ``/certificates``. Judged by its letters, such a call
-    would match the rule of the lookups, be repeated, and issue two certificates.
+    An endpoint may resolve ``/lookups/../certificates``, ``//certificates`` or a path
+    that is still encoded to ``/certificates``. Compared literally, such a path could
+    match the rule for lookups; the call would be retried and issue two certificates.
     """
     segments = path.split("/")
     if not {".", ".."}.isdisjoint(segments) or "" in segments[1:-1]:
@@ -109,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointPool:
-    """Endpoints of one class that serve a service.
+    """Endpoints of one instance class that serve a service.
 
-    :param instance_class: the platform's class of machine.
-    :param availability_zones: zones that they may run in.
-    :param count: how many are wanted.
+    :param instance_class: the platform's instance class.
+    :param availability_zones: zones in which they may run.
+    :param count: target number of endpoints.
     :param checks_fencing: whether they refuse orders with an old fencing number.
-    :param max_in_flight: calls that one endpoint runs at a time.
-    :param max_waiting: calls that may wait for one endpoint.
+    :param max_in_flight: maximum concurrent calls of one endpoint.
+    :param max_waiting: maximum calls that wait for one endpoint.
     """
 
     instance_class: str
@@ -133,13 +133,13 @@
 
     :param name: its name.
     :param kind: model engines or plain HTTP.
-    :param depends_on: services that it cannot work without.
-    :param objective: what it promises.
-    :param timeout: limit of a call that names none.
+    :param depends_on: services that it requires.
+    :param objective: its service level objective.
+    :param timeout: timeout of calls without one of their own.
     :param priority: 0 (first) to 7, as in RFC 9218.
-    :param weights: what weighs in its decisions.
-    :param rules: idempotency rules; the first that matches counts.
-    :param pools: where its endpoints run.
+    :param weights: weights of the costs in its decisions.
+    :param rules: idempotency rules; the first match applies.
+    :param pools: its endpoints.
     """
 
     name: str
@@ -153,10 +153,11 @@
     pools: tuple[EndpointPool, ...]
 
     def is_idempotent(self, method: str, path: str) -> bool:
-        """Return whether a call may be repeated.
+        """Return whether a call may be retried.
 
-        Without a rule, a model's calls may; of plain services only GET and HEAD,
-        and only if the path is canonical.
+        Without a matching rule, calls of models may be retried, and calls of plain
+        services only if they are GET or HEAD. A call of a plain service with a path
+        that is not canonical may never be retried.
 
         :param method: HTTP method in upper case.
         :param path: decoded path within the service, beginning with a slash.
@@ -171,12 +172,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """Somebody who calls.
+    """A customer, on whose behalf callers send requests.
 
     :param name: value of the header ``X-Customer``.
-    :param weight: share of the room against other customers' weights.
-    :param requests_per_second: limit of requests; None for no limit.
-    :param max_in_flight: limit of requests at a time; None for no limit.
+    :param weight: share of the capacity, relative to the other customers' weights.
+    :param requests_per_second: rate limit; None for no limit.
+    :param max_in_flight: limit of concurrent requests; None for no limit.
     """
 
     name: str
@@ -187,10 +188,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Text:
-    """A whole operators' text that passed every check.
+    """A configuration that has passed all checks.
 
     :param deployment: name of the deployment.
-    :param instance_classes: classes of machine that pools may name.
+    :param instance_classes: instance classes that pools may use.
     :param availability_zones: zones by name.
     :param services: services by name.
     :param customers: customers by name.
--- a/tests/text/test_documents.py
+++ b/tests/text/test_documents.py
@@ -16,18 +16,18 @@
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda path: path.name)
-def test_both_scanners_of_the_library_read_the_same(path):
+def test_c_and_python_scanners_give_the_same_document(path):
     source = path.read_text(encoding="utf-8")
 
-    in_c = read_document(source)
-    in_python = _Builder(YAML(typ="safe", pure=True).parse(source)).build()
+    by_c = read_document(source)
+    by_python = _Builder(YAML(typ="safe", pure=True).parse(source)).build()
 
-    assert in_c == in_python
-    assert in_c.lines[("customers", "cube-labs" if "auth" in path.name else "planners")]
+    assert by_c == by_python
+    assert by_c.lines[("customers", "cube-labs" if "auth" in path.name else "planners")]
 
 
 @pytest.mark.parametrize(
-    ("written", "value"),
+    ("scalar", "value"),
     [
         ("1", 1),
         ("-7", -7),
@@ -44,13 +44,13 @@
         ("<<", "<<"),
     ],
 )
-def test_words_stand_for_what_yaml_1_2_says(written, value):
-    read = read_document(f"a: {written}\n").data["a"]
+def test_scalars_are_resolved_as_in_yaml_1_2(scalar, value):
+    read = read_document(f"a: {scalar}\n").data["a"]
 
     assert (read, type(read)) == (value, type(value))
 
 
-def test_lines_are_those_of_the_keys():
+def test_lines_are_the_lines_of_the_keys():
     document = read_document("# text\na:\n  b: 1\n  c:\n    - 1\n\n    - d: 2\n")
 
     assert document.line_of(("a", "c")) == 4
@@ -72,7 +72,7 @@
 
 
 @given(st.dictionaries(WORDS.filter(bool), DATA, max_size=4))
-def test_what_the_library_writes_is_read_back(data):
+def test_dumped_data_is_read_back(data):
     stream = io.StringIO()
     dumper = YAML(typ="safe", pure=True)
     dumper.dump(data, stream)
@@ -84,6 +84,6 @@
 
 
 @given(st.text(max_size=200))
-def test_any_text_is_read_or_refused(source):
+def test_any_text_is_read_or_rejected(source):
     with suppress(TextError):
         read_document(source)
--- a/tests/text/test_parser.py
+++ b/tests/text/test_parser.py
@@ -1,4 +1,4 @@
-"""Tests of reading and checking the operators' text."""
+"""Tests of parsing and checking a configuration."""
 
 import time
 from datetime import timedelta
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("name", ["authority", "association"])
-def test_examples_hold_the_sizes_of_the_deployments(name):
+def test_examples_have_the_sizes_of_the_deployments(name):
     text = parse_text((EXAMPLES / f"{name}.yaml").read_text(encoding="utf-8"))
 
     replicas = dict.fromkeys(ServiceKind, 0)
@@ -233,15 +233,15 @@
     assert len(text.customers) == 5
 
 
-def test_delays_are_those_of_the_deployments():
+def test_examples_have_the_delays_of_the_deployments():
     authority = parse_text(AUTHORITY).availability_zones["cairo-a"]
     association = parse_text(
         (EXAMPLES / "association.yaml").read_text(encoding="utf-8")
     ).availability_zones["arima"]
 
-    half, whole = timedelta(microseconds=500), timedelta(milliseconds=1)
-    assert authority.one_way_delay == {"cairo-b": half, "cairo-c": half}
-    assert authority.client_delay == whole
+    half_ms, one_ms = timedelta(microseconds=500), timedelta(milliseconds=1)
+    assert authority.one_way_delay == {"cairo-b": half_ms, "cairo-c": half_ms}
+    assert authority.client_delay == one_ms
     assert set(association.one_way_delay.values()) == {timedelta(milliseconds=1.5)}
     assert association.client_delay == timedelta(milliseconds=3)
 
@@ -261,13 +261,13 @@
     assert 1 <= found[0].line <= first_changed + old.count("\n") + 1
 
 
-def test_open_bracket_names_where_it_began():
+def test_unclosed_bracket_is_reported_with_its_line():
     faults = faults_of(AUTHORITY.replace("[gpu-large, cpu-small]", "[gpu-large"))
 
     assert "while parsing a flow sequence begun on line 6" in faults[0].message
 
 
-def test_all_faults_come_at_once_in_the_order_of_their_lines():
+def test_all_faults_are_reported_in_the_order_of_their_lines():
     broken = (
         AUTHORITY.replace("[records]", "[recrds]")
         .replace("timeout: 60s", "timout: 60s")
@@ -297,22 +297,22 @@
     assert {error.field for error in caught} >= {"deployment", "services"}
 
 
-def test_deep_nesting_is_refused_before_anything_is_built():
-    """Refuse a text of brackets without end.
+def test_deep_nesting_is_rejected_before_anything_is_built():
+    """A configuration of 100,000 opening brackets could crash the entry.
 
-    A text of 100,000 opening brackets would end in a RecursionError while its
-    nodes are composed, which takes the whole entry down instead of the edit.
+    Composing its nodes would raise a RecursionError, which ends the whole entry
+    instead of only failing the edit.
     """
     faults = faults_of("a: " + "[" * 100_000)
 
     assert "nested deeper" in faults[0].message
 
 
-def test_aliases_of_aliases_are_refused():
-    """Refuse the text that grows by aliases.
+def test_nested_aliases_are_rejected():
+    """A configuration with nested aliases could exhaust the memory of all entries.
 
-    Nine lines with nine aliases each to the line before stand for 9**9 values;
-    built, they fill the memory of every entry that takes the text over.
+    Nine lines with nine aliases each of the line before expand to 9**9 values, in
+    every entry that applies the configuration.
     """
     lines = ["l0: &l0 [x, x, x, x, x, x, x, x, x]"]
     for level in range(1, 10):
@@ -341,11 +341,11 @@
         ("deployment: " + "9" * 1000, "valid string"),
     ],
 )
-def test_oversized_and_odd_texts_get_a_fault(source, message):
+def test_oversized_and_malformed_texts_get_a_fault(source, message):
     assert any(message in fault.message for fault in faults_of(source))
 
 
-def test_rules_decide_idempotency_and_the_kind_decides_without_one():
+def test_idempotency_follows_the_rules_or_else_the_kind():
     services = parse_text(AUTHORITY).services
 
     records, reports = services["records"], services["reports"]
@@ -367,12 +367,12 @@
         "/lookups/\n../certificates",
     ],
 )
-def test_path_in_disguise_is_not_taken_for_a_lookup(path):
-    """Call the issue of certificates by a path that begins as a lookup.
+def test_path_that_is_not_canonical_does_not_match_the_rule_for_lookups(path):
+    """One batch could get two certificates.
 
-    One batch would get two certificates: the path matches the rule that lets
-    lookups be repeated, the call is repeated after a lost answer, and the endpoint
-    resolves the path to the issue.
+    The path of the call begins like a lookup and matches the rule by which lookups may
+    be retried. The call is retried after a lost response, and the endpoint resolves
+    the path to the one that issues certificates.
     """
     source = AUTHORITY.replace(
         "{method: GET, path: /*,", "{method: '*', path: /lookups/*,"
@@ -394,7 +394,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(DAMAGE, min_size=1, max_size=4))
-def test_damaged_text_is_read_or_gets_faults_with_lines(damages):
+def test_damaged_text_is_parsed_or_gets_faults_with_lines(damages):
     lines = list(LINES)
     for number, kind in damages:
         key, colon, _ = lines[number].partition(":")
@@ -439,24 +439,23 @@
 
 
 @pytest.mark.parametrize("kind", COSTLY)
-def test_text_with_very_many_faults_is_refused_in_little_time(kind):
-    """Check a text whose faults are costly to describe.
+def test_text_with_very_many_faults_is_rejected_quickly(kind):
+    """A generated configuration with many faults stalled the entry for up to 50 s.
 
-    Callers would see the entry stand still for up to 50 s, because somebody's
-    generator wrote a broken text: each wrong name is compared with all known ones,
-    and each cycle of dependencies is searched for by itself.
+    Each wrong name was compared with all known ones, and each cycle of dependencies
+    was searched for separately.
     """
-    begun = time.process_time()
+    started = time.process_time()
 
     faults = faults_of(COSTLY[kind])
 
-    assert time.process_time() - begun < 3
+    assert time.process_time() - started < 3
     assert len(faults) <= MAX_FAULTS + 1
     if len(faults) > MAX_FAULTS:
         assert faults[-1].message.endswith("more faults are not listed")
 
 
-def test_cycles_that_share_no_service_are_all_told():
+def test_cycles_that_share_no_service_are_all_reported():
     source = _services({"a": ["b"], "b": ["a"], "c": ["d"], "d": ["e"], "e": ["c"]})
 
     cycles = [fault for fault in faults_of(source) if "itself" in fault.message]
