--- a/src/sassafrasdale/cli/client.py
+++ b/src/sassafrasdale/cli/client.py
@@ -18,11 +18,11 @@
 
 from sassafrasdale.cli.exceptions import NotReachedError, RefusedError
 from sassafrasdale.cli.models import (
-    AnswerModel,
     BurnModel,
     FaultModel,
     HistoryModel,
     ProblemModel,
+    ResponseModel,
     StatusModel,
 )
 from sassafrasdale.structures import Address
@@ -32,17 +32,17 @@
 READ_TIMEOUT = timedelta(seconds=10)
 TEXT_PATH = "/admin/v1/text"
 
-Model = TypeVar("Model", bound=AnswerModel)
+Model = TypeVar("Model", bound=ResponseModel)
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteText:
-    """A text as an entry gave it.
+    """A configuration fetched from an entry.
 
-    :param revision: its revision; 0 if there was never a text.
-    :param text: the YAML, empty if there was never a text.
-    :param edit_id: id of the edit that brought it.
-    :param author: who made that edit.
+    :param revision: its revision; 0 if there is none yet.
+    :param text: the YAML; empty if there is none yet.
+    :param edit_id: id of the edit that created the revision.
+    :param author: author of that edit.
     """
 
     revision: int
@@ -53,24 +53,24 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """Not one byte reached the entry."""
+    """The request did not reach the entry at all."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
-    """The request went out and no whole answer came back."""
+class ResponseLost:
+    """The request was sent, but no complete response arrived."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """An entry's answer.
+class Response:
+    """The response of an entry.
 
     :param status: HTTP status.
-    :param headers: headers by lower-case name.
+    :param headers: headers by lowercase name.
     :param body: whole body.
     """
 
@@ -80,11 +80,11 @@
 
     @property
     def outcome(self) -> str:
-        """What the entry says became of the request."""
+        """Outcome of the request, as reported by the entry."""
         return self.headers.get("x-outcome", "")
 
     def document(self) -> Any:
-        """Return the body as JSON, or an empty document if it is none."""
+        """Return the parsed JSON body, or an empty document if it isn't JSON."""
         try:
             return json.loads(self.body)
         except ValueError:
@@ -98,14 +98,14 @@
             return ProblemModel(title=f"status {self.status}")
 
 
-Attempt = Reply | Lost | NotSent
+AttemptResult = Response | ResponseLost | NotSent
 
 
 class AdminClient:
-    """Asks entries in turn until one answers.
+    """Sends requests to entries in turn until one responds.
 
-    :param entries: addresses of entries, the preferred first.
-    :param read_timeout: limit of a wait for an answer.
+    :param entries: addresses of the entries, in order of preference.
+    :param read_timeout: timeout for reading from a connection.
     """
 
     def __init__(
@@ -131,11 +131,11 @@
         *,
         body: bytes | None = None,
         headers: Mapping[str, str] | None = None,
-    ) -> Attempt:
-        """Send one request to one entry, once."""
+    ) -> AttemptResult:
+        """Send a request to one entry, without retries."""
         try:
-            # Without keep-alive no request can go out on a connection that went
-            # silent since the last one.
+            # Without keep-alive no request is sent on a connection that has become
+            # unresponsive since the last one.
             response: BaseHTTPResponse = self._pool.request(
                 method,
                 f"http://{entry}{path}",
@@ -145,43 +145,46 @@
         except (NewConnectionError, ConnectTimeoutError) as error:
             return NotSent(f"{entry}: {_reason(error)}")
         except HTTPError as error:
-            return Lost(f"{entry}: {_reason(error)}")
-        lowered = {name.lower(): value for name, value in response.headers.items()}
-        return Reply(response.status, lowered, response.data)
+            return ResponseLost(f"{entry}: {_reason(error)}")
+        headers_by_name = {
+            name.lower(): value for name, value in response.headers.items()
+        }
+        return Response(response.status, headers_by_name, response.data)
 
-    def read(self, path: str) -> Reply:
-        """Return the first entry's answer that is not an error of its side.
+    def read(self, path: str) -> Response:
+        """Return the first response that is not a server error.
 
-        :raises NotReachedError: no entry gave one.
-        :raises RefusedError: an entry refused.
+        :raises NotReachedError: no entry sent one.
         """
-        return self._first(lambda entry: self.attempt(entry, "GET", path))
+        return self._first_response(lambda entry: self.attempt(entry, "GET", path))
 
     def text(self, revision: int | None = None) -> RemoteText:
-        """Return the text in force, or the one of ``revision``."""
+        """Return the current configuration, or that of ``revision``."""
         path = TEXT_PATH if revision is None else f"{TEXT_PATH}/history/{revision}"
-        reply = self.read(path)
-        if reply.status == 404 and revision is None:
+        response = self.read(path)
+        if response.status == 404 and revision is None:
             return RemoteText(0, "")
-        _check(reply)
-        number = reply.headers.get("etag", "").strip('W/"')
+        _raise_for_status(response)
+        number = response.headers.get("etag", "").strip('W/"')
         if not number.isdecimal():
             raise NotReachedError("the entry's answer names no revision")
         return RemoteText(
             int(number),
-            reply.body.decode(),
-            reply.headers.get("x-edit-id", ""),
-            reply.headers.get("x-author", ""),
+            response.body.decode(),
+            response.headers.get("x-edit-id", ""),
+            response.headers.get("x-author", ""),
         )
 
     def check(self, text: str) -> tuple[Fault, ...]:
-        """Return the faults that an entry finds in a text."""
+        """Return the faults that an entry finds in a configuration."""
         body = text.encode()
         path = f"{TEXT_PATH}/check"
-        reply = self._first(lambda entry: self.attempt(entry, "POST", path, body=body))
-        if reply.status != 422:
-            _check(reply)
-        faults: list[FaultModel] = reply.problem().faults
+        response = self._first_response(
+            lambda entry: self.attempt(entry, "POST", path, body=body)
+        )
+        if response.status != 422:
+            _raise_for_status(response)
+        faults: list[FaultModel] = response.problem().faults
         return tuple(fault.build() for fault in faults)
 
     def history(self) -> HistoryModel:
@@ -189,18 +192,18 @@
         return self._document(f"{TEXT_PATH}/history", HistoryModel)
 
     def status(self) -> StatusModel:
-        """Return what the first entry that answers knows."""
+        """Return the status of the first entry that responds."""
         return self._document("/admin/v1/status", StatusModel)
 
     def burn(self) -> BurnModel:
-        """Return the counts of the first entry that answers."""
+        """Return the counts of the first entry that responds."""
         return self._document("/admin/v1/burn", BurnModel)
 
     def _document(self, path: str, model: type[Model]) -> Model:
-        reply = self.read(path)
-        _check(reply)
+        response = self.read(path)
+        _raise_for_status(response)
         try:
-            return model.model_validate(reply.document())
+            return model.model_validate(response.document())
         except ValidationError as error:
             first = error.errors()[0]
             field = ".".join(map(str, first["loc"]))
@@ -209,26 +212,26 @@
                 f"{first['msg']}"
             ) from error
 
-    def _first(self, ask: Callable[[Address], Attempt]) -> Reply:
+    def _first_response(self, send: Callable[[Address], AttemptResult]) -> Response:
         failures = []
         for entry in self._entries:
-            match ask(entry):
-                case Reply(status) as reply if status < 500:
-                    return reply
-                case Reply() as reply:
-                    problem = reply.problem()
+            match send(entry):
+                case Response(status) as response if status < 500:
+                    return response
+                case Response() as response:
+                    problem = response.problem()
                     failures.append(f"{entry}: {problem.title}: {problem.detail}")
-                case Lost(reason) | NotSent(reason):
+                case ResponseLost(reason) | NotSent(reason):
                     failures.append(reason)
         raise NotReachedError("\n".join(["no entry answered", *failures]))
 
 
-def _check(reply: Reply) -> None:
-    if reply.status >= 400:
-        problem = reply.problem()
+def _raise_for_status(response: Response) -> None:
+    if response.status >= 400:
+        problem = response.problem()
         raise RefusedError(f"{problem.title}: {problem.detail}")
 
 
 def _reason(error: Exception) -> str:
-    # urllib3 puts its own object first, which tells an operator nothing.
+    # urllib3 puts its own object first, which is of no use to an operator.
     return str(error).rpartition("): ")[2] or type(error).__name__
--- a/src/sassafrasdale/cli/config.py
+++ b/src/sassafrasdale/cli/config.py
@@ -13,7 +13,7 @@
 from sassafrasdale.cli.entries import Entries, SystemPacer, connect
 from sassafrasdale.cli.exceptions import FaultsError, RefusedError, UsageError
 from sassafrasdale.cli.exits import Exit
-from sassafrasdale.cli.files import mark, read_text_file, write_text_file
+from sassafrasdale.cli.files import add_revision_line, read_text_file, write_text_file
 from sassafrasdale.cli.tables import format_table
 from sassafrasdale.text.differences import format_difference
 from sassafrasdale.text.durations import parse_duration
@@ -43,7 +43,7 @@
     file:line: field: message.
     """
     source = read_text_file(file)
-    text = source.unmarked
+    text = source.without_revision
     faults = connect(entry).check(text) if remote else _local_faults(text)
     if faults:
         raise FaultsError(file, faults)
@@ -80,10 +80,10 @@
     entry: Entries = None,
 ) -> int:
     """Print the text in force, or an earlier revision of it."""
-    shown = connect(entry).text(revision)
-    if not shown.revision:
+    configuration = connect(entry).text(revision)
+    if not configuration.revision:
         raise RefusedError("no text was ever accepted")
-    print(shown.text.removeprefix("\n"), end="")
+    print(configuration.text.removeprefix("\n"), end="")
     return Exit.OK
 
 
@@ -94,7 +94,7 @@
     current = connect(entry).text()
     difference = format_difference(
         current.text.removeprefix("\n"),
-        source.unmarked.removeprefix("\n"),
+        source.without_revision.removeprefix("\n"),
         f"revision {current.revision}",
         file,
     )
@@ -113,7 +113,7 @@
     edit was made from. No editor is started.
     """
     current = connect(entry).text()
-    write_text_file(out, mark(current.revision, current.text))
+    write_text_file(out, add_revision_line(current.revision, current.text))
     print(f"{out}: revision {current.revision}; edit it, then: ")
     print(f"  sassafrasdale config check {out}")
     print(f"  sassafrasdale config put {out}")
@@ -151,29 +151,29 @@
     took effect. Repeating the command with the same edit id is safe.
     """
     source = read_text_file(file)
-    expected = source.revision if if_match is None else if_match
-    if expected is None or expected < 0:
+    base_revision = source.revision if if_match is None else if_match
+    if base_revision is None or base_revision < 0:
         raise UsageError(
             f"{file} names no revision in its first line; give one by --if-match"
         )
     if edit_id and not EDIT_ID.fullmatch(edit_id):
         raise UsageError("--edit-id: must be 1 to 128 of A-Za-z0-9._:-")
-    limit = _duration("--wait", wait)
+    timeout = _duration("--wait", wait)
     change = Edit(
         name=file,
-        text=source.unmarked,
-        expected=expected,
+        text=source.without_revision,
+        base_revision=base_revision,
         edit_id=edit_id or str(uuid4()),
         author=author or _user_name(),
     )
-    revision = EditSender(connect(entry), SystemPacer(), limit).send(change)
+    revision = EditSender(connect(entry), SystemPacer(), timeout).send(change)
     print(f"revision {revision} is accepted (edit {change.edit_id})")
     return Exit.OK
 
 
-def _duration(flag: str, written: str) -> timedelta:
+def _duration(flag: str, value: str) -> timedelta:
     try:
-        return parse_duration(written)
+        return parse_duration(value)
     except ValueError as error:
         raise UsageError(f"{flag}: {error}") from error
 
--- a/src/sassafrasdale/cli/edits.py
+++ b/src/sassafrasdale/cli/edits.py
@@ -1,4 +1,4 @@
-"""Carrying an edit through until it is known whether it took effect."""
+"""Sends an edit until it is known whether it took effect."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 from sassafrasdale.cli.client import (
     TEXT_PATH,
     AdminClient,
-    Attempt,
-    Lost,
+    AttemptResult,
     NotSent,
-    Reply,
+    Response,
+    ResponseLost,
 )
 from sassafrasdale.cli.exceptions import (
     ConflictError,
@@ -26,15 +26,15 @@
 
 RETRY_PAUSE = timedelta(milliseconds=500)
 NOT_RUN = "not-run"
-# Answers that no other entry would give differently.
+# Statuses of refusals that would be the same from every entry.
 REFUSALS = frozenset({400, 403, 413, 422, 428})
 
 
 class Pacer(Protocol):
-    """Time as a command needs it."""
+    """Source of time for a command."""
 
     def elapsed(self) -> timedelta:
-        """Return time since an arbitrary start."""
+        """Return the time since an arbitrary start."""
 
     def sleep(self, pause: timedelta) -> None:
         """Wait for ``pause``."""
@@ -42,43 +42,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One edit of the operators' text.
+    """One edit of the configuration.
 
     :param name: name of the file, for messages.
-    :param text: the new text.
-    :param expected: revision that it was made from.
-    :param edit_id: names this edit, the same in every attempt.
-    :param author: who made it.
+    :param text: the new configuration.
+    :param base_revision: revision on which the edit is based.
+    :param edit_id: id of the edit, the same in every attempt.
+    :param author: author of the edit.
     """
 
     name: str
     text: str
-    expected: int
+    base_revision: int
     edit_id: str
     author: str
 
 
 class EditSender:
-    """Sends one edit through any entry until its fate is known.
+    """Sends one edit through any entry until its outcome is known.
 
-    An answer can be lost after the store took the edit. The next attempt, through
-    whatever entry, carries the same edit id, so that the edit is recognised
-    instead of conflicting with itself.
+    A response can be lost after the store has accepted the edit. The next attempt,
+    through any entry, has the same edit id, so that the edit is recognized instead
+    of conflicting with itself.
 
     :param client: client of the entries.
     :param pacer: source of time.
-    :param limit: how long to try.
+    :param timeout: how long to retry.
     """
 
-    def __init__(self, client: AdminClient, pacer: Pacer, limit: timedelta) -> None:
+    def __init__(self, client: AdminClient, pacer: Pacer, timeout: timedelta) -> None:
         self._client = client
         self._pacer = pacer
-        self._limit = limit
+        self._timeout = timeout
         self._uncertain = False
         self._failures: dict[Address, str] = {}
 
     def send(self, edit: Edit) -> int:
-        """Return the revision that the edit became.
+        """Return the revision that the edit created.
 
         :raises FaultsError: the text has faults.
         :raises ConflictError: another edit was accepted first.
@@ -87,18 +87,18 @@
         """
         try:
             for entry in self._entries_in_turn():
-                attempt = self._put(entry, edit)
-                revision = self._settle(entry, attempt, edit)
+                result = self._put(entry, edit)
+                revision = self._handle_result(entry, result, edit)
                 if revision is not None:
                     return revision
         except KeyboardInterrupt:
-            # Interrupted while an attempt is on its way; without the edit id the
-            # operator could not find out what became of it.
+            # An attempt may be in flight; without the edit id the operator could not
+            # find out its outcome.
             self._uncertain = True
         reasons = "\n".join(self._failures.values())
         if self._uncertain:
             raise OutcomeUnknownError(
-                f"the edit may have taken effect as revision {edit.expected + 1}; "
+                f"the edit may have taken effect as revision {edit.base_revision + 1}; "
                 f"look for edit {edit.edit_id} in `sassafrasdale config history`, or "
                 f"repeat with --edit-id {edit.edit_id}\n{reasons}"
             )
@@ -106,18 +106,18 @@
 
     def _entries_in_turn(self) -> Iterator[Address]:
         entries = self._client.entries
-        until = self._pacer.elapsed() + self._limit
+        deadline = self._pacer.elapsed() + self._timeout
         for number, entry in enumerate(cycle(entries), start=1):
             yield entry
             if number % len(entries) == 0:
-                if self._pacer.elapsed() + RETRY_PAUSE >= until:
+                if self._pacer.elapsed() + RETRY_PAUSE >= deadline:
                     return
                 self._pacer.sleep(RETRY_PAUSE)
 
-    def _put(self, entry: Address, edit: Edit) -> Attempt:
+    def _put(self, entry: Address, edit: Edit) -> AttemptResult:
         headers = {
             "Content-Type": "application/yaml",
-            "If-Match": f'"{edit.expected}"',
+            "If-Match": f'"{edit.base_revision}"',
             "X-Edit-Id": edit.edit_id,
             "X-Author": quote(edit.author, safe=" @._-"),
         }
@@ -125,58 +125,60 @@
             entry, "PUT", TEXT_PATH, body=edit.text.encode(), headers=headers
         )
 
-    def _settle(self, entry: Address, attempt: Attempt, edit: Edit) -> int | None:
-        """Return the revision if the edit is known to be in, None to go on."""
-        match attempt:
+    def _handle_result(
+        self, entry: Address, result: AttemptResult, edit: Edit
+    ) -> int | None:
+        """Return the revision if the edit is known to be accepted, else None."""
+        match result:
             case NotSent(reason):
                 self._failures[entry] = reason
-            case Lost(reason):
+            case ResponseLost(reason):
                 self._uncertain = True
                 self._failures[entry] = reason
-            case Reply(200):
-                return edit.expected + 1
-            case Reply(412) as reply:
-                # The entry recognises an edit by its id, also when later edits stand
-                # on top of it; so a conflict is never one of the edit with itself,
-                # even after a lost answer. A late write of it can't succeed any
-                # more, as the store compares.
-                raise _conflict(reply, edit)
-            case Reply() as reply:
-                self._settle_refusal(entry, reply, edit)
+            case Response(200):
+                return edit.base_revision + 1
+            case Response(412) as response:
+                # The entry recognizes an edit by its id, also if later edits have
+                # been accepted since. So an edit never conflicts with itself, even
+                # after a lost response. A delayed write of it can no longer succeed,
+                # as the store compares the revision.
+                raise _conflict(response, edit)
+            case Response() as response:
+                self._handle_refusal(entry, response, edit)
         return None
 
-    def _settle_refusal(self, entry: Address, reply: Reply, edit: Edit) -> None:
-        # A refusal says that this attempt changed nothing; it says nothing about an
-        # earlier one whose answer was lost, so then the search goes on.
-        if reply.status in REFUSALS and not self._uncertain:
-            raise _refusal(reply, edit)
-        is_certain = reply.status < 500 or reply.outcome == NOT_RUN
+    def _handle_refusal(self, entry: Address, response: Response, edit: Edit) -> None:
+        # A refusal means that this attempt changed nothing. An earlier attempt whose
+        # response was lost may have taken effect; in that case, keep trying.
+        if response.status in REFUSALS and not self._uncertain:
+            raise _refusal(response, edit)
+        is_certain = response.status < 500 or response.outcome == NOT_RUN
         self._uncertain = self._uncertain or not is_certain
-        self._failures[entry] = f"{entry}: {_summary(reply)}"
+        self._failures[entry] = f"{entry}: {_summary(response)}"
 
 
-def _conflict(reply: Reply, edit: Edit) -> ConflictError:
-    problem = reply.problem()
+def _conflict(response: Response, edit: Edit) -> ConflictError:
+    problem = response.problem()
     if not problem.revision:
         return ConflictError(
-            f"there is no text yet, so none of revision {edit.expected}; put the first "
-            "with --if-match 0; nothing was changed"
+            f"there is no text yet, so none of revision {edit.base_revision}; put the "
+            "first with --if-match 0; nothing was changed"
         )
     difference = problem.difference or "the text in force is the same as yours"
     return ConflictError(
         f"another edit was accepted first: revision {problem.revision} by "
         f"{unquote(problem.author) or 'an unnamed author'}; yours was made from "
-        f"revision {edit.expected}; nothing was changed\n{difference}"
+        f"revision {edit.base_revision}; nothing was changed\n{difference}"
     )
 
 
-def _refusal(reply: Reply, edit: Edit) -> RefusedError:
-    faults = reply.problem().faults
+def _refusal(response: Response, edit: Edit) -> RefusedError:
+    faults = response.problem().faults
     if faults:
         return FaultsError(edit.name, [fault.build() for fault in faults])
-    return RefusedError(f"nothing was changed; {_summary(reply)}")
+    return RefusedError(f"nothing was changed; {_summary(response)}")
 
 
-def _summary(reply: Reply) -> str:
-    problem = reply.problem()
+def _summary(response: Response) -> str:
+    problem = response.problem()
     return ": ".join(part for part in (problem.title, problem.detail) if part)
--- a/src/sassafrasdale/cli/entries.py
+++ b/src/sassafrasdale/cli/entries.py
@@ -1,4 +1,4 @@
-"""Which entries a command asks."""
+"""Determines the entries to which a command connects."""
 
 import os
 import time
@@ -12,7 +12,7 @@
 from sassafrasdale.cli.exceptions import UsageError
 from sassafrasdale.structures import Address
 
-VARIABLE = "SASSAFRASDALE_ENTRY"
+ENTRIES_VARIABLE = "SASSAFRASDALE_ENTRY"
 
 Entries = Annotated[
     list[str] | None,
@@ -20,7 +20,7 @@
         name="--entry",
         negative="",
         help="host:port of an entry; may be given several times, tried in turn. "
-        f"Variable {VARIABLE}, separated by commas.",
+        f"Variable {ENTRIES_VARIABLE}, separated by commas.",
     ),
 ]
 
@@ -28,10 +28,10 @@
 
 
 class SystemPacer:
-    """Time of the machine."""
+    """Time of the machine, for commands."""
 
     def elapsed(self) -> timedelta:
-        """Return time since an arbitrary start."""
+        """Return the time since an arbitrary start."""
         return timedelta(seconds=time.monotonic())
 
     def sleep(self, pause: timedelta) -> None:
@@ -42,19 +42,21 @@
 def read_entries(
     flags: Iterable[str] | None, environ: Mapping[str, str]
 ) -> tuple[Address, ...]:
-    """Return the addresses that flags give, or else the variable.
+    """Return the addresses from the flags, or else from the environment variable.
 
-    :raises UsageError: if there is none or one has another form.
+    :raises UsageError: if there is none or one is malformed.
     """
-    written = list(flags or environ.get(VARIABLE, "").replace(",", " ").split())
-    if not written:
-        raise UsageError(f"name an entry by --entry or {VARIABLE}")
+    addresses = list(
+        flags or environ.get(ENTRIES_VARIABLE, "").replace(",", " ").split()
+    )
+    if not addresses:
+        raise UsageError(f"name an entry by --entry or {ENTRIES_VARIABLE}")
     try:
-        return tuple(dict.fromkeys(Address.parse(address) for address in written))
+        return tuple(dict.fromkeys(Address.parse(address) for address in addresses))
     except ValueError as error:
-        raise UsageError(f"--entry ({VARIABLE}): {error}") from error
+        raise UsageError(f"--entry ({ENTRIES_VARIABLE}): {error}") from error
 
 
 def connect(flags: Iterable[str] | None) -> AdminClient:
-    """Return a client of the entries that the operator named."""
+    """Return a client for the entries that the operator gave."""
     return AdminClient(read_entries(flags, os.environ))
--- a/src/sassafrasdale/cli/exceptions.py
+++ b/src/sassafrasdale/cli/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' commands; each names the exit code it ends with."""
+"""Errors of the operators' commands, with their exit codes."""
 
 from collections.abc import Iterable
 
@@ -17,20 +17,20 @@
 
 
 class UsageError(CommandError):
-    """The command's arguments don't do."""
+    """The arguments of the command are invalid."""
 
     exit = Exit.USAGE
 
 
 class RefusedError(CommandError):
-    """The entry refused; nothing was changed."""
+    """The entry refused the request; nothing was changed."""
 
 
 class FaultsError(RefusedError):
-    """The text has faults; nothing was changed.
+    """The configuration has faults; nothing was changed.
 
-    :param name: name of the text's file.
-    :param faults: everything that is wrong.
+    :param name: name of the file.
+    :param faults: all faults.
     """
 
     def __init__(self, name: str, faults: Iterable[Fault]) -> None:
@@ -48,18 +48,18 @@
 
 
 class NotReachedError(CommandError):
-    """No entry could do it; nothing was changed."""
+    """No entry completed the request; nothing was changed."""
 
     exit = Exit.NOT_REACHED
 
 
 class OutcomeUnknownError(CommandError):
-    """Whether the edit took effect could not be learned."""
+    """It could not be determined whether the edit took effect."""
 
     exit = Exit.UNKNOWN
 
 
 def format_fault(name: str, fault: Fault) -> str:
-    """Return ``file:line: field: message``, which editors can jump to."""
-    place = f"{name}:{fault.line}" if fault.line else name
-    return f"{place}: {fault.field or 'text'}: {fault.message}"
+    """Return ``file:line: field: message``, a format that editors recognize."""
+    location = f"{name}:{fault.line}" if fault.line else name
+    return f"{location}: {fault.field or 'text'}: {fault.message}"
--- a/src/sassafrasdale/cli/exits.py
+++ b/src/sassafrasdale/cli/exits.py
@@ -4,7 +4,7 @@
 
 
 class Exit(IntEnum):
-    """What a command's exit code tells a script."""
+    """Exit codes of the commands, for scripts."""
 
     OK = 0
     REFUSED = 1
--- a/src/sassafrasdale/cli/files.py
+++ b/src/sassafrasdale/cli/files.py
@@ -1,4 +1,4 @@
-"""Text files of operators, and the revision that they were made from."""
+"""Configuration files of operators, and the revision that they are based on."""
 
 import re
 import sys
@@ -9,12 +9,12 @@
 from sassafrasdale.text.documents import MAX_BYTES
 
 STANDARD_INPUT = "-"
-_MARK = re.compile(r"# revision (\d{1,12})")
+_REVISION_LINE = re.compile(r"# revision (\d{1,12})")
 
 
 @dataclass(frozen=True, slots=True)
 class TextFile:
-    """A text as an operator has it on file.
+    """A configuration file of an operator.
 
     :param name: name of the file, for messages.
     :param text: its content.
@@ -25,23 +25,23 @@
 
     @property
     def revision(self) -> int | None:
-        """Revision that the first line names, or None."""
-        match = _MARK.fullmatch(self.text.partition("\n")[0].strip())
+        """Revision given in the first line, or None."""
+        match = _REVISION_LINE.fullmatch(self.text.partition("\n")[0].strip())
         return int(match[1]) if match else None
 
     @property
-    def unmarked(self) -> str:
-        """The content, with an empty first line in place of the mark.
+    def without_revision(self) -> str:
+        """The content, with an empty first line in place of the revision.
 
-        The line stays, so that the lines in an entry's faults are the file's.
+        The line is kept, so that the line numbers of faults match the file.
         """
         if self.revision is None:
             return self.text
         return "\n" + self.text.partition("\n")[2]
 
 
-def mark(revision: int, text: str) -> str:
-    """Return ``text`` with a first line that names its revision."""
+def add_revision_line(revision: int, text: str) -> str:
+    """Return ``text`` with a first line that gives its revision."""
     body = text.removeprefix("\n")
     return f"# revision {revision}\n{body}"
 
@@ -61,7 +61,7 @@
 
 
 def write_text_file(name: str, text: str) -> None:
-    """Write a file that does not exist yet.
+    """Write a new file.
 
     :raises UsageError: if it exists or cannot be written.
     """
@@ -73,7 +73,7 @@
 
 
 def _read(name: str) -> bytes:
-    # One byte above the limit is enough for the checks to refuse the text.
+    # One byte above the limit is enough for the checks to reject the file.
     if name == STANDARD_INPUT:
         return sys.stdin.buffer.read(MAX_BYTES + 1)
     with Path(name).open("rb") as file:
--- a/src/sassafrasdale/cli/main.py
+++ b/src/sassafrasdale/cli/main.py
@@ -1,7 +1,7 @@
 """The command ``sassafrasdale``.
 
-Commands import what they need when they run, so that an entry doesn't load the
-operators' commands and the other way round.
+Commands import their dependencies when they run, so that an entry doesn't load
+those of the operators' commands, and vice versa.
 """
 
 import os
--- a/src/sassafrasdale/cli/models.py
+++ b/src/sassafrasdale/cli/models.py
@@ -1,4 +1,4 @@
-"""Validated models of what an entry's administration API answers."""
+"""Models that validate the responses of the administration API."""
 
 from datetime import datetime, timedelta
 
@@ -8,14 +8,14 @@
 from sassafrasdale.text.exceptions import Fault
 
 
-class AnswerModel(BaseModel):
-    """Base of the models; newer entries may say more than is known here."""
+class ResponseModel(BaseModel):
+    """Base of the models; fields that only newer entries send are ignored."""
 
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
-class FaultModel(AnswerModel):
-    """One fault of a text."""
+class FaultModel(ResponseModel):
+    """One fault of a configuration."""
 
     field: str = ""
     line: int = 0
@@ -26,8 +26,8 @@
         return Fault(self.line, self.field, self.message)
 
 
-class ProblemModel(AnswerModel):
-    """A problem document (RFC 9457) with what administration adds to it."""
+class ProblemModel(ResponseModel):
+    """A problem document (RFC 9457) with the fields of the administration API."""
 
     title: str = ""
     detail: str = ""
@@ -38,7 +38,7 @@
     difference: str = ""
 
 
-class EditModel(AnswerModel):
+class EditModel(ResponseModel):
     """One accepted edit."""
 
     revision: int
@@ -47,14 +47,14 @@
     accepted_at: datetime
 
 
-class HistoryModel(AnswerModel):
+class HistoryModel(ResponseModel):
     """The accepted edits."""
 
     edits: list[EditModel]
 
 
-class PeerModel(AnswerModel):
-    """Another entry as an entry sees it."""
+class PeerModel(ResponseModel):
+    """Another entry, as reported by an entry."""
 
     name: str
     availability_zone: str = ""
@@ -63,8 +63,8 @@
     revision: int = 0
 
 
-class EndpointModel(AnswerModel):
-    """An endpoint as an entry sees it."""
+class EndpointModel(ResponseModel):
+    """An endpoint, as reported by an entry."""
 
     name: str
     service: str
@@ -73,8 +73,8 @@
     in_flight: int
 
 
-class StatusModel(AnswerModel):
-    """What an entry knows."""
+class StatusModel(ResponseModel):
+    """Status of an entry."""
 
     entry: str
     availability_zone: str
@@ -85,7 +85,7 @@
     requests_in_flight: dict[str, int] = {}
 
 
-class WindowModel(AnswerModel):
+class WindowModel(ResponseModel):
     """Requests that ended within a window."""
 
     seconds: int
@@ -93,7 +93,7 @@
     in_time: int
 
 
-class ServiceBurnModel(AnswerModel):
+class ServiceBurnModel(ResponseModel):
     """Counts of one service."""
 
     service: str
@@ -109,7 +109,7 @@
         return ServiceBurn(self.service, self.objective, counts)
 
 
-class BurnModel(AnswerModel):
+class BurnModel(ResponseModel):
     """Counts of one entry."""
 
     entry: str
--- a/src/sassafrasdale/cli/report.py
+++ b/src/sassafrasdale/cli/report.py
@@ -20,17 +20,17 @@
 from sassafrasdale.text.durations import format_duration
 
 READ_TIMEOUT = timedelta(seconds=3)
-MAX_CALLS = 16
+MAX_CONCURRENT_REQUESTS = 16
 
 app = App(name="report", help="Reports on what the entries measured.")
 
 
 @dataclass(frozen=True, slots=True)
 class BurnReport:
-    """Burn of every service, summed over entries.
+    """Burn rate counts of all services, summed over entries.
 
-    :param entries: names of the entries that are in it.
-    :param not_reached: addresses of those that are not.
+    :param entries: names of the entries included.
+    :param not_reached: addresses of the entries that were not reached.
     :param services: counts by service.
     """
 
@@ -67,33 +67,37 @@
 
 
 def _with_peers(client: AdminClient) -> tuple[Address, ...]:
-    known = client.status()
-    peers = [Address.parse(peer.address) for peer in known.peers if peer.address]
+    status = client.status()
+    peers = [Address.parse(peer.address) for peer in status.peers if peer.address]
     return tuple(dict.fromkeys((*client.entries, *peers)))
 
 
 def collect_burn(addresses: tuple[Address, ...]) -> BurnReport:
-    """Return the counts of all entries that answer.
+    """Return the counts of all entries that respond.
 
     :raises NotReachedError: none does.
     """
-    # A zone that went away answers nothing for seconds at each of its addresses, so
-    # they are asked beside each other.
-    with ThreadPoolExecutor(MAX_CALLS) as pool:
-        outcomes = list(pool.map(_ask, addresses))
-    answers = {found.entry: found for found in outcomes if isinstance(found, BurnModel)}
-    if not answers:
-        raise NotReachedError("\n".join(error.message for error in outcomes))
-    lost = [
+    # Requests to the entries of a failed zone time out only after seconds, so all
+    # entries are requested concurrently.
+    with ThreadPoolExecutor(MAX_CONCURRENT_REQUESTS) as pool:
+        results = list(pool.map(_fetch_burn, addresses))
+    responses = {
+        result.entry: result for result in results if isinstance(result, BurnModel)
+    }
+    if not responses:
+        raise NotReachedError("\n".join(error.message for error in results))
+    not_reached = [
         str(address)
-        for address, found in zip(addresses, outcomes, strict=True)
-        if isinstance(found, CommandError)
+        for address, result in zip(addresses, results, strict=True)
+        if isinstance(result, CommandError)
+    ]
+    parts = [
+        part.build() for response in responses.values() for part in response.services
     ]
-    parts = [part.build() for answer in answers.values() for part in answer.services]
-    return BurnReport(tuple(sorted(answers)), tuple(lost), sum_burns(parts))
+    return BurnReport(tuple(sorted(responses)), tuple(not_reached), sum_burns(parts))
 
 
-def _ask(address: Address) -> BurnModel | CommandError:
+def _fetch_burn(address: Address) -> BurnModel | CommandError:
     try:
         return AdminClient((address,), READ_TIMEOUT).burn()
     except CommandError as error:
--- a/src/sassafrasdale/cli/status.py
+++ b/src/sassafrasdale/cli/status.py
@@ -10,27 +10,27 @@
 
 def status(*, json: AsJson = False, entry: Entries = None) -> int:
     """Show what the first entry that answers knows."""
-    known = connect(entry).status()
-    print(known.model_dump_json(indent=2) if json else format_status(known))
+    report = connect(entry).status()
+    print(report.model_dump_json(indent=2) if json else format_status(report))
     return Exit.OK
 
 
-def format_status(known: StatusModel) -> str:
-    """Return a status as an operator reads it."""
+def format_status(report: StatusModel) -> str:
+    """Return a status as text for an operator."""
     parts = [
-        f"entry {known.entry} in {known.availability_zone}: {known.state}, "
-        f"revision {known.revision}",
-        _section(("requests in flight", ""), _counts(known)),
+        f"entry {report.entry} in {report.availability_zone}: {report.state}, "
+        f"revision {report.revision}",
+        _section(("requests in flight", ""), _counts(report)),
         _section(
             ("peer", "availability zone", "state", "revision"),
             [
                 (peer.name, peer.availability_zone, peer.state, peer.revision)
-                for peer in known.peers
+                for peer in report.peers
             ],
         ),
         _section(
             ("service", "availability zone", "state", "endpoints", "in flight"),
-            _endpoints(known),
+            _endpoints(report),
         ),
     ]
     return "\n\n".join(parts)
@@ -40,14 +40,14 @@
     return format_table(header, rows) if rows else f"{header[0]}: none"
 
 
-def _counts(known: StatusModel) -> list[tuple[str, int]]:
-    return sorted(known.requests_in_flight.items())
+def _counts(report: StatusModel) -> list[tuple[str, int]]:
+    return sorted(report.requests_in_flight.items())
 
 
-def _endpoints(known: StatusModel) -> list[tuple[str, str, str, int, int]]:
+def _endpoints(report: StatusModel) -> list[tuple[str, str, str, int, int]]:
     count: Counter[tuple[str, str, str]] = Counter()
     in_flight: Counter[tuple[str, str, str]] = Counter()
-    for endpoint in known.endpoints:
+    for endpoint in report.endpoints:
         key = (endpoint.service, endpoint.availability_zone, endpoint.state)
         count[key] += 1
         in_flight[key] += endpoint.in_flight
--- a/src/sassafrasdale/cli/tables.py
+++ b/src/sassafrasdale/cli/tables.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Sequence
 
-GAP = "  "
+COLUMN_GAP = "  "
 
 
 def format_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return rows under a header, in columns as wide as they need.
+    """Return rows under a header, in columns as wide as their content.
 
-    Numbers stand to the right, everything else to the left.
+    Columns of numbers are aligned to the right, all others to the left.
     """
     lines = [list(header), *([str(cell) for cell in row] for row in rows)]
     widths = [max(map(len, column)) for column in zip(*lines, strict=True)]
@@ -24,4 +24,4 @@
         cell.rjust(width) if right else cell.ljust(width)
         for cell, width, right in zip(line, widths, numeric, strict=True)
     ]
-    return GAP.join(cells).rstrip()
+    return COLUMN_GAP.join(cells).rstrip()
--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""Set-up shared by the tests of the command line."""
+"""Fixtures shared by the tests of the command line."""
 
 import re
 import socket
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """How a command ended."""
+    """Exit code and output of a command."""
 
     code: int
     out: str
@@ -27,7 +27,7 @@
 
 
 class FastPacer:
-    """Time that passes only by sleeping."""
+    """Simulated time that advances only by sleeping."""
 
     def __init__(self) -> None:
         self._elapsed = timedelta()
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def run(monkeypatch, capsys):
-    """Run the command line with arguments and return how it ended."""
+    """Run the command line with arguments and return its result."""
     monkeypatch.delenv("SASSAFRASDALE_ENTRY", raising=False)
     monkeypatch.setattr(config, "SystemPacer", FastPacer)
     monkeypatch.setattr(config, "_user_name", lambda: "operator")
@@ -60,18 +60,18 @@
 
 @pytest.fixture
 def entry():
-    """Start scripted entries: ``entry(answer, ...)``."""
+    """Start scripted entries: ``entry(response, ...)``."""
     with ExitStack() as stack:
 
-        def start(*answers) -> ScriptedEntry:
-            return stack.enter_context(serve(ScriptedEntry(*answers)))
+        def start(*responses) -> ScriptedEntry:
+            return stack.enter_context(serve(ScriptedEntry(*responses)))
 
         yield start
 
 
 @pytest.fixture
-def nobody():
-    """Return an address at which nobody listens."""
+def unused_address():
+    """Return an address on which no process listens."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         yield f"127.0.0.1:{sock.getsockname()[1]}"
@@ -79,7 +79,7 @@
 
 @pytest.fixture
 def text_file(tmp_path, monkeypatch):
-    """Write an example with the mark of revision 6 to ``text.yaml``."""
+    """Write an example based on revision 6 to ``text.yaml``."""
     monkeypatch.chdir(tmp_path)
     example = (EXAMPLES / "authority.yaml").read_text(encoding="utf-8")
     path = tmp_path / "text.yaml"
--- a/tests/cli/scripted.py
+++ b/tests/cli/scripted.py
@@ -1,4 +1,4 @@
-"""An entry's administration side that answers by a script."""
+"""A stand-in for an entry's administration API that sends scripted responses."""
 
 import json
 import threading
@@ -9,8 +9,8 @@
 
 
 @dataclass
-class Answer:
-    """One answer; a dropped one closes the connection instead."""
+class Response:
+    """One response; a dropped one closes the connection instead."""
 
     status: int = 200
     body: str = ""
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """One request as it came."""
+    """One request as received."""
 
     method: str
     path: str
@@ -28,50 +28,50 @@
     body: str
 
 
-def json_answer(document: object, status: int = 200, **headers: str) -> Answer:
-    return Answer(status, json.dumps(document), headers)
+def json_response(document: object, status: int = 200, **headers: str) -> Response:
+    return Response(status, json.dumps(document), headers)
 
 
-DROPPED = Answer(dropped=True)
+DROPPED = Response(dropped=True)
 
 
 class ScriptedEntry:
-    """Gives answers in turn, the last one again and again."""
+    """Sends its responses in turn, and repeats the last one."""
 
-    def __init__(self, *answers: Answer | Callable[[Request], Answer]) -> None:
-        self.answers = list(answers)
+    def __init__(self, *responses: Response | Callable[[Request], Response]) -> None:
+        self.responses = list(responses)
         self.requests: list[Request] = []
         self.address = ""
 
-    def take(self, request: Request) -> Answer:
+    def handle(self, request: Request) -> Response:
         self.requests.append(request)
-        number = min(len(self.requests), len(self.answers)) - 1
-        answer = self.answers[number]
-        return answer(request) if callable(answer) else answer
+        number = min(len(self.requests), len(self.responses)) - 1
+        response = self.responses[number]
+        return response(request) if callable(response) else response
 
 
 @contextmanager
 def serve(entry: ScriptedEntry):
-    """Run ``entry`` on a free port."""
+    """Serve ``entry`` on a free port."""
 
     class Handler(BaseHTTPRequestHandler):
-        def answer(self) -> None:
+        def reply(self) -> None:
             length = int(self.headers.get("Content-Length", 0))
             body = self.rfile.read(length).decode()
             request = Request(self.command, self.path, dict(self.headers), body)
-            answer = entry.take(request)
-            if answer.dropped:
+            reply = entry.handle(request)
+            if reply.dropped:
                 self.close_connection = True
                 return
-            raw = answer.body.encode()
-            self.send_response(answer.status)
+            raw = reply.body.encode()
+            self.send_response(reply.status)
             self.send_header("Content-Length", str(len(raw)))
-            for name, value in answer.headers.items():
+            for name, value in reply.headers.items():
                 self.send_header(name, value)
             self.end_headers()
             self.wfile.write(raw)
 
-        do_GET = do_PUT = do_POST = answer  # noqa: N815
+        do_GET = do_PUT = do_POST = reply  # noqa: N815
 
         def log_message(self, *args: object) -> None:
             pass
--- a/tests/cli/test_config.py
+++ b/tests/cli/test_config.py
@@ -6,13 +6,15 @@
 
 import pytest
 
-from tests.cli.scripted import Answer, json_answer
+from tests.cli.scripted import Response, json_response
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 TEXT = "deployment: authority\ncustomers: {}\n"
-IN_FORCE = Answer(200, TEXT, {"ETag": '"6"', "X-Author": "amal", "X-Edit-Id": "e-6"})
-NO_TEXT = json_answer({"title": "No text", "detail": "no text was ever accepted"}, 404)
-DOWN = json_answer({"title": "Not ready", "detail": "starting"}, 503)
+CURRENT = Response(200, TEXT, {"ETag": '"6"', "X-Author": "amal", "X-Edit-Id": "e-6"})
+NO_TEXT = json_response(
+    {"title": "No text", "detail": "no text was ever accepted"}, 404
+)
+DOWN = json_response({"title": "Not ready", "detail": "starting"}, 503)
 
 
 @pytest.mark.parametrize("name", ["authority", "association"])
@@ -45,21 +47,21 @@
 
 def test_check_by_an_entry(run, entry, text_file):
     fault = {"field": "deployment", "line": 5, "message": "is odd"}
-    faulty = entry(json_answer({"faults": [fault]}, 422))
-    content = entry(json_answer({"faults": []}))
+    invalid = entry(json_response({"faults": [fault]}, 422))
+    valid = entry(json_response({"faults": []}))
     arguments = ("config", "check", "text.yaml", "--remote", "--entry")
 
-    result = run(*arguments, faulty.address)
+    result = run(*arguments, invalid.address)
 
     assert result.code == 1
     assert result.err.startswith("text.yaml:5: deployment: is odd\n")
-    assert run(*arguments, content.address).code == 0
+    assert run(*arguments, valid.address).code == 0
 
 
 @pytest.mark.parametrize(
     "content", [b"\xff\xfe", b"a: " + b"x" * 600_000, b"\x00\x01"], ids=str
 )
-def test_check_of_odd_bytes_says_what_is_wrong(run, tmp_path, content):
+def test_check_of_invalid_bytes_reports_the_fault(run, tmp_path, content):
     path = tmp_path / "odd.yaml"
     path.write_bytes(content)
 
@@ -70,11 +72,13 @@
     assert "Traceback" not in result.err
 
 
-def test_show_prints_the_text_of_the_first_entry_that_answers(run, entry, nobody):
-    down, first = entry(DOWN), entry(IN_FORCE)
+def test_show_prints_the_text_of_the_first_entry_that_responds(
+    run, entry, unused_address
+):
+    down, first = entry(DOWN), entry(CURRENT)
 
     result = run(
-        *("config", "show", "--entry", nobody, "--entry", down.address),
+        *("config", "show", "--entry", unused_address, "--entry", down.address),
         *("--entry", first.address),
     )
 
@@ -82,7 +86,7 @@
 
 
 def test_show_of_a_revision(run, entry):
-    first = entry(IN_FORCE, NO_TEXT)
+    first = entry(CURRENT, NO_TEXT)
 
     assert run("config", "show", "--revision", "6", "--entry", first.address).out
     result = run("config", "show", "--revision", "9", "--entry", first.address)
@@ -92,15 +96,17 @@
     assert (result.code, result.err[:7]) == (1, "No text")
 
 
-def test_entries_come_from_the_variable(run, entry, nobody, monkeypatch):
-    monkeypatch.setenv("SASSAFRASDALE_ENTRY", f"{nobody},{entry(IN_FORCE).address}")
+def test_entries_come_from_the_variable(run, entry, unused_address, monkeypatch):
+    monkeypatch.setenv(
+        "SASSAFRASDALE_ENTRY", f"{unused_address},{entry(CURRENT).address}"
+    )
 
     assert run("config", "show").out == TEXT
 
 
 def test_diff_shows_what_the_file_changes(run, entry, text_file, snapshot):
     text_file.write_text(f"# revision 6\n{TEXT}more: 1\n", encoding="utf-8")
-    first = entry(IN_FORCE)
+    first = entry(CURRENT)
 
     result = run("config", "diff", "text.yaml", "--entry", first.address)
 
@@ -108,9 +114,9 @@
     assert result.out == snapshot
 
 
-def test_edit_writes_a_file_that_put_understands(run, entry, tmp_path, monkeypatch):
+def test_edit_writes_a_file_that_put_accepts(run, entry, tmp_path, monkeypatch):
     monkeypatch.chdir(tmp_path)
-    first = entry(IN_FORCE, IN_FORCE, json_answer({"revision": 7}))
+    first = entry(CURRENT, CURRENT, json_response({"revision": 7}))
 
     written = run("config", "edit", "--out", "new.yaml", "--entry", first.address)
     again = run("config", "edit", "--out", "new.yaml", "--entry", first.address)
@@ -141,7 +147,7 @@
         }
         for number, author in enumerate(["", "Zo%C3%AB", "amal"], start=1)
     ]
-    first = entry(json_answer({"edits": edits}))
+    first = entry(json_response({"edits": edits}))
 
     result = run("config", "history", "--limit", "2", "--entry", first.address)
 
@@ -162,7 +168,7 @@
         (("nothing",), "nothing"),
     ],
 )
-def test_bad_arguments_end_with_2_and_say_why(run, arguments, message):
+def test_invalid_arguments_exit_with_2_and_a_message(run, arguments, message):
     result = run(*arguments)
 
     assert result.code == 2
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""Tests of the command as a whole."""
+"""Tests of the command line in general."""
 
 import subprocess
 import sys
@@ -35,7 +35,7 @@
     assert result.err == snapshot
 
 
-def test_bad_flag_ends_with_2_before_anything_starts(run):
+def test_unknown_flag_exits_with_2_before_anything_starts(run):
     result = run("entry", "--adress", "127.0.0.1:0")
 
     assert result.code == 2
@@ -43,29 +43,29 @@
 
 
 def test_commands_load_only_what_they_need():
-    """Load the command without the libraries of the others.
+    """Importing the command line loaded libraries that most commands don't use.
 
-    An entry pays for each imported library with memory that control may use, and
-    an operator waits for each import.
+    Each imported library takes memory of an entry that is limited, and delays the
+    commands of operators.
     """
     script = (
         "import sys, sassafrasdale.cli.main;"
         "print(sorted({'eventlet', 'ruamel', 'urllib3', 'logbook', 'grpclib',"
         " 'sismic', 'opentelemetry', 'matplotlib'} & set(sys.modules)))"
     )
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, check=True
     )
 
-    assert done.stdout.strip() == "[]"
+    assert process.stdout.strip() == "[]"
 
 
 def test_package_runs_as_a_module():
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "sassafrasdale", "--version"],
         capture_output=True,
         text=True,
         check=True,
     )
 
-    assert done.stdout.strip() == "0.1.0"
+    assert process.stdout.strip() == "0.1.0"
--- a/tests/cli/test_put.py
+++ b/tests/cli/test_put.py
@@ -3,20 +3,20 @@
 import pytest
 
 from sassafrasdale.cli import config
-from tests.cli.scripted import DROPPED, Answer, json_answer
+from tests.cli.scripted import DROPPED, Response, json_response
 
-ACCEPTED = json_answer({"revision": 7}, ETag='"7"')
-NOT_RUN = json_answer(
+ACCEPTED = json_response({"revision": 7}, ETag='"7"')
+NOT_RUN = json_response(
     {"title": "Store out of reach", "detail": "store is down"},
     503,
     **{"X-Outcome": "not-run"},
 )
-UNKNOWN = json_answer(
+UNKNOWN = json_response(
     {"title": "Store out of reach", "detail": "answer lost"},
     503,
     **{"X-Outcome": "unknown"},
 )
-CONFLICT = json_answer(
+CONFLICT = json_response(
     {
         "title": "Conflict",
         "detail": "another edit was accepted first",
@@ -26,7 +26,7 @@
     },
     412,
 )
-FAULTY = json_answer(
+FAULTY = json_response(
     {
         "title": "Faulty text",
         "faults": [{"field": "customers", "line": 66, "message": "is missing"}],
@@ -41,7 +41,7 @@
     }
 
 
-def test_edit_goes_out_with_the_revision_of_the_file(run, entry, text_file):
+def test_edit_is_sent_with_the_revision_of_the_file(run, entry, text_file):
     first = entry(ACCEPTED)
 
     result = run("config", "put", "text.yaml", "--entry", first.address)
@@ -52,12 +52,12 @@
     assert (request.method, request.path) == ("PUT", "/admin/v1/text")
     assert request.headers["If-Match"] == '"6"'
     assert request.headers["X-Author"] == "operator"
-    # The mark is gone, and lines keep their numbers.
-    marked = text_file.read_text(encoding="utf-8")
-    assert request.body == marked.replace("# revision 6", "")
+    # The revision is removed, and the lines keep their numbers.
+    content = text_file.read_text(encoding="utf-8")
+    assert request.body == content.replace("# revision 6", "")
 
 
-def test_author_may_have_any_letters(run, entry, text_file):
+def test_author_may_have_any_characters(run, entry, text_file):
     first = entry(ACCEPTED)
 
     run("config", "put", "text.yaml", "--entry", first.address, "--author", "أمل")
@@ -65,36 +65,47 @@
     assert first.requests[0].headers["X-Author"] == "%D8%A3%D9%85%D9%84"
 
 
-def test_lost_answer_is_retried_with_the_same_id(run, entry, text_file):
-    """Put an edit whose answer is lost after it took effect.
+def test_edit_is_retried_with_the_same_id_after_a_lost_response(run, entry, text_file):
+    """An operator could get a conflict with their own edit, or make it twice.
 
-    The operator would see a conflict with their own edit, or put it twice. The
-    entry dies after the store took the edit; the next attempt reaches another
-    entry, which knows the edit by its id.
+    The entry crashes after the store has accepted the edit, so the response is lost.
+    The next attempt reaches another entry, which recognizes the edit by its id.
     """
-    dead = entry(DROPPED)
-    alive = entry(ACCEPTED)
+    crashed = entry(DROPPED)
+    running = entry(ACCEPTED)
 
     result = run(
-        "config", "put", "text.yaml", "--entry", dead.address, "--entry", alive.address
+        "config",
+        "put",
+        "text.yaml",
+        "--entry",
+        crashed.address,
+        "--entry",
+        running.address,
     )
 
     assert result.code == 0
     assert result.out.startswith("revision 7 is accepted")
-    assert len(sent_ids(dead, alive)) == 1
+    assert len(sent_ids(crashed, running)) == 1
 
 
-def test_entry_that_is_not_there_is_passed_over(run, entry, text_file, nobody):
-    alive = entry(ACCEPTED)
+def test_unreachable_entry_is_skipped(run, entry, text_file, unused_address):
+    running = entry(ACCEPTED)
 
     result = run(
-        "config", "put", "text.yaml", "--entry", nobody, "--entry", alive.address
+        "config",
+        "put",
+        "text.yaml",
+        "--entry",
+        unused_address,
+        "--entry",
+        running.address,
     )
 
     assert result.code == 0
 
 
-def test_store_outage_is_waited_out(run, entry, text_file):
+def test_edit_is_retried_during_a_store_outage(run, entry, text_file):
     first = entry(NOT_RUN, NOT_RUN, ACCEPTED)
 
     result = run("config", "put", "text.yaml", "--entry", first.address)
@@ -103,21 +114,25 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "code", "message"),
+    ("response", "code", "message"),
     [
         (NOT_RUN, 4, "nothing was changed; no entry took it"),
         (UNKNOWN, 5, "the edit may have taken effect as revision 7"),
         (DROPPED, 5, "repeat with --edit-id"),
         (CONFLICT, 3, "revision 9 by Zoë; yours was made from revision 6"),
         (FAULTY, 1, "text.yaml:66: customers: is missing\n1 fault; nothing was"),
-        (json_answer({"title": "Too large"}, 413), 1, "nothing was changed; Too large"),
-        (Answer(500, "not JSON"), 5, "may have taken effect"),
+        (
+            json_response({"title": "Too large"}, 413),
+            1,
+            "nothing was changed; Too large",
+        ),
+        (Response(500, "not JSON"), 5, "may have taken effect"),
     ],
 )
-def test_exit_code_tells_what_became_of_the_edit(
-    run, entry, text_file, answer, code, message
+def test_exit_code_gives_the_outcome_of_the_edit(
+    run, entry, text_file, response, code, message
 ):
-    first = entry(answer)
+    first = entry(response)
 
     result = run("config", "put", "text.yaml", "--entry", first.address)
 
@@ -125,12 +140,13 @@
     assert message in result.err
 
 
-def test_refusal_after_a_lost_answer_is_not_taken_for_no_effect(run, entry, text_file):
-    """Get a refusal from an older entry after a lost answer.
+def test_refusal_after_a_lost_response_leaves_the_outcome_unknown(
+    run, entry, text_file
+):
+    """An operator could be told that nothing was changed although the edit took effect.
 
-    The operator would be told that nothing was changed although the edit is in
-    force: the first entry's answer was lost after it took effect, and the second
-    runs an older release that does not know a field of the text.
+    The response of the first entry was lost after the edit took effect, and the second
+    runs an older release that does not know a field of the configuration.
     """
     first = entry(DROPPED)
     older = entry(FAULTY)
@@ -143,7 +159,7 @@
     assert "nothing was changed" not in result.err
 
 
-def test_interrupted_edit_tells_its_id(run, entry, text_file, monkeypatch):
+def test_interrupted_edit_reports_its_id(run, entry, text_file, monkeypatch):
     def interrupt(*_: object) -> None:
         raise KeyboardInterrupt
 
@@ -157,8 +173,8 @@
     assert f"--edit-id {edit_id}" in result.err
 
 
-def test_nobody_to_be_reached(run, text_file, nobody):
-    result = run("config", "put", "text.yaml", "--entry", nobody)
+def test_no_entry_is_reachable(run, text_file, unused_address):
+    result = run("config", "put", "text.yaml", "--entry", unused_address)
 
     assert result.code == 4
     assert "Connection refused" in result.err
@@ -179,7 +195,7 @@
     assert first.requests[0].headers["If-Match"] == '"0"'
 
 
-def test_edit_id_of_an_earlier_attempt_is_used_again(run, entry, text_file):
+def test_edit_id_of_an_earlier_attempt_is_reused(run, entry, text_file):
     first = entry(ACCEPTED)
     arguments = ("config", "put", "text.yaml", "--entry", first.address, "--edit-id")
 
--- a/tests/cli/test_real_entry.py
+++ b/tests/cli/test_real_entry.py
@@ -1,4 +1,4 @@
-"""Tests of the commands against real entries over a stand-in of the platform."""
+"""Tests of the commands with real entries and a stand-in of the platform."""
 
 import json
 import time
@@ -12,12 +12,12 @@
 from standins.processes import EntryProcess, PlatformProcess
 
 EXAMPLE = Path(__file__).parents[2] / "examples" / "authority.yaml"
-IN_FORCE_LIMIT = timedelta(seconds=5)
+MAX_APPLY_TIME = timedelta(seconds=5)
 
 
 @pytest.fixture(autouse=True)
 def _real_time(run, monkeypatch):
-    """Let commands wait in real time, as the entries do."""
+    """Make commands wait in real time, as the entries do."""
     monkeypatch.setattr(config, "SystemPacer", SystemPacer)
 
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def entries(platform):
-    """Start two entries in different zones, without a text."""
+    """Start two entries in different zones, without a configuration."""
     entries = [
         EntryProcess(f"entry-{zone}", f"cairo-{zone}", platform.store, platform.cloud)
         for zone in "ab"
@@ -47,8 +47,8 @@
 
 
 def wait_for_revision(entry: EntryProcess, revision: int) -> None:
-    until = time.monotonic() + IN_FORCE_LIMIT.total_seconds()
-    while time.monotonic() < until:
+    deadline = time.monotonic() + MAX_APPLY_TIME.total_seconds()
+    while time.monotonic() < deadline:
         if entry.client.call("GET", "/admin/v1/status").json()["revision"] >= revision:
             return
         time.sleep(0.05)
@@ -86,7 +86,7 @@
     assert shown == example.replace("weight: 1,", "weight: 2,")
     history = run("config", "history", *other).out.splitlines()
     assert [line.split()[0] for line in history[1:]] == ["2", "1"]
-    # A text that a peer told is in force before it is trusted and the entry ready.
+    # A configuration from a peer is applied before it is trusted and the entry ready.
     entries[1].wait_until_ready()
     status = run("status", *other).out
     assert "entry entry-b in cairo-b: ready, revision 2" in status
@@ -110,15 +110,14 @@
 
 
 @pytest.mark.parametrize(("drops", "writes"), [(1, 2), (5, 3)])
-def test_lost_answer_of_the_store_makes_no_second_revision(
+def test_lost_response_of_the_store_creates_no_second_revision(
     run, platform, entries, drops, writes
 ):
-    """Put an edit while the store's answers get lost.
+    """An operator could get a conflict with their own edit.
 
-    The operator would see a conflict with their own edit. The store takes the
-    edit, its answer is lost, and the entry writes again; after three losses it says
-    that the outcome is unknown, and the command goes on with the next entry. Both
-    meet a revision that is already the edit's own.
+    The store accepts the edit, its response is lost, and the entry writes again; after
+    three lost responses it reports an unknown outcome, and the command continues with
+    the next entry. Both find that the current revision is already that of the edit.
     """
     both = ("--entry", entries[0].address, "--entry", entries[1].address)
     platform.set_faults(store={"drop_answers": drops, "drop_prefix": "/v3/kv/txn"})
@@ -133,7 +132,7 @@
     assert put.out.rstrip(")\n").split()[-1] in history[1]
 
 
-def test_outage_of_the_store_is_told_as_not_changed(run, platform, entries):
+def test_store_outage_is_reported_and_changes_nothing(run, platform, entries):
     one = ("--entry", entries[0].address)
     platform.set_faults(store={"outage": "refuse"})
     arguments = ("config", "put", str(EXAMPLE), "--if-match", "0", "--wait", "1s")
@@ -147,7 +146,7 @@
     assert len(run("config", "history", *one).out.splitlines()) == 2
 
 
-def test_killed_entry_leaves_the_edit_to_the_other(run, entries):
+def test_edit_goes_to_the_other_entry_if_one_is_killed(run, entries):
     entries[0].kill()
     both = ("--entry", entries[0].address, "--entry", entries[1].address)
 
@@ -161,13 +160,13 @@
     wait_for_revision(entries[1], 1)
     for entry in entries:
         entry.wait_until_ready()
-        answer = entry.client.call(
+        response = entry.client.call(
             "GET", "/v1/services/records/batches/1", headers={"X-Customer": "cube-labs"}
         )
-        assert answer.status == 503  # no endpoint is there
+        assert response.status == 503  # there are no endpoints
 
-    until = time.monotonic() + IN_FORCE_LIMIT.total_seconds()
-    while time.monotonic() < until:
+    deadline = time.monotonic() + MAX_APPLY_TIME.total_seconds()
+    while time.monotonic() < deadline:
         report = json.loads(run("report", "burn", "--json", *one).out)
         if len(report["entries"]) == 2:
             break
--- a/tests/cli/test_reports.py
+++ b/tests/cli/test_reports.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sassafrasdale.burn import WINDOWS, ServiceBurn, WindowCount, burns_to_json
-from tests.cli.scripted import Answer, json_answer
+from tests.cli.scripted import Response, json_response
 
 STATUS = {
     "entry": "entry-1",
@@ -35,7 +35,7 @@
 }
 
 
-def burn_answer(name: str, late: int) -> Answer:
+def burn_response(name: str, late: int) -> Response:
     windows = tuple(
         WindowCount(window, 100 * number, 100 * number - late)
         for number, window in enumerate(WINDOWS, start=1)
@@ -45,21 +45,21 @@
         ServiceBurn("reports", 0.95, windows),
         ServiceBurn("records", 0.99, idle),
     ]
-    return json_answer({"entry": name, "services": burns_to_json(burns)})
+    return json_response({"entry": name, "services": burns_to_json(burns)})
 
 
-def serves(name: str, late: int, peers: tuple[str, ...] = ()):
-    def answer(request) -> Answer:
+def burn_handler(name: str, late: int, peers: tuple[str, ...] = ()):
+    def handle(request) -> Response:
         if request.path == "/admin/v1/burn":
-            return burn_answer(name, late)
-        listed = [{"name": "peer", "address": peer} for peer in peers]
-        return json_answer({**STATUS, "peers": listed})
+            return burn_response(name, late)
+        listed_peers = [{"name": "peer", "address": peer} for peer in peers]
+        return json_response({**STATUS, "peers": listed_peers})
 
-    return answer
+    return handle
 
 
 def test_status_shows_what_an_entry_knows(run, entry, snapshot):
-    first = entry(json_answer(STATUS))
+    first = entry(json_response(STATUS))
 
     result = run("status", "--entry", first.address)
 
@@ -68,7 +68,7 @@
 
 
 def test_status_as_json(run, entry):
-    first = entry(json_answer(STATUS))
+    first = entry(json_response(STATUS))
 
     result = run("status", "--json", "--entry", first.address)
 
@@ -76,31 +76,31 @@
 
 
 @pytest.mark.parametrize(
-    "answer",
-    [Answer(200, "not JSON"), json_answer([]), json_answer({"entry": "x"})],
+    "response",
+    [Response(200, "not JSON"), json_response([]), json_response({"entry": "x"})],
     ids=["not JSON", "a list", "fields missing"],
 )
-def test_answer_that_is_not_understood_is_said_so(run, entry, answer):
-    result = run("status", "--entry", entry(answer).address)
+def test_response_that_is_not_understood_is_reported(run, entry, response):
+    result = run("status", "--entry", entry(response).address)
 
     assert result.code == 4
     assert "is not understood" in result.err
 
 
-def test_burn_sums_the_entries_and_their_peers(run, entry, nobody, snapshot):
-    peer = entry(serves("entry-2", 20))
-    first = entry(serves("entry-1", 0, peers=(peer.address, nobody)))
+def test_burn_sums_the_entries_and_their_peers(run, entry, unused_address, snapshot):
+    peer = entry(burn_handler("entry-2", 20))
+    first = entry(burn_handler("entry-1", 0, peers=(peer.address, unused_address)))
 
     result = run("report", "burn", "--entry", first.address)
 
     assert result.code == 0
     assert result.out == snapshot
-    assert result.err == f"not reached, so not counted: {nobody}\n"
+    assert result.err == f"not reached, so not counted: {unused_address}\n"
 
 
-def test_an_entry_named_twice_counts_once(run, entry):
-    peer = entry(serves("entry-1", 10))
-    first = entry(serves("entry-1", 10, peers=(peer.address,)))
+def test_an_entry_given_twice_counts_once(run, entry):
+    peer = entry(burn_handler("entry-1", 10))
+    first = entry(burn_handler("entry-1", 10, peers=(peer.address,)))
 
     result = run("report", "burn", "--json", "--entry", first.address)
 
@@ -115,14 +115,14 @@
     }
 
 
-def test_burn_of_nobody(run, nobody):
-    result = run("report", "burn", "--entry", nobody)
+def test_burn_of_unreachable_entries(run, unused_address):
+    result = run("report", "burn", "--entry", unused_address)
 
     assert (result.code, result.out) == (4, "")
 
 
 def test_plot_is_written(run, entry, tmp_path):
-    first = entry(serves("entry-1", 10))
+    first = entry(burn_handler("entry-1", 10))
     name = tmp_path / "burn.svg"
 
     good = run("report", "burn", "--plot", str(name), "--entry", first.address)
