--- a/src/sassafrasdale/charts/__init__.py
+++ b/src/sassafrasdale/charts/__init__.py
@@ -1,8 +1,8 @@
-"""State charts as files, and the table that runs them.
+"""Statecharts, read from files and compiled to transition tables.
 
-The files are sismic statecharts; the library reads and validates them. A chart
-is compiled once to a table, since interpreting an event costs sismic 140 us and
-a look-up in the table less than 1 us.
+The files are sismic statecharts, which the library reads and validates. Each chart is
+compiled once to a table, since sismic takes 140 us to interpret an event and a lookup
+in the table less than 1 us.
 """
 
 from functools import cache
@@ -14,13 +14,13 @@
 
 
 class TransitionError(SassafrasdaleError):
-    """An event came in a state that has no transition for it."""
+    """An event was fired in a state that has no transition for it."""
 
 
 class Chart:
-    """A compiled flat state chart.
+    """A compiled statechart without nested states.
 
-    :param name: name of the chart's file without its ending.
+    :param name: name of the chart's file without its extension.
     """
 
     def __init__(self, name: str) -> None:
@@ -40,21 +40,21 @@
 
     @property
     def initial(self) -> str:
-        """State in which every lifecycle begins."""
+        """Initial state of every lifecycle."""
         return self._initial
 
     def next(self, state: str, event: str) -> str | None:
-        """Return the state after ``event`` in ``state``, or None if not allowed."""
+        """Return the state after ``event`` in ``state``, or None if there is none."""
         return self._table.get((state, event))
 
 
 class Lifecycle:
-    """The state of one object that follows a chart.
+    """The state of one object, whose transitions a chart defines.
 
     Usage::
 
-        life = Lifecycle(load_chart("request"))
-        life.fire("admit")
+        lifecycle = Lifecycle(load_chart("request"))
+        lifecycle.fire("admit")
     """
 
     __slots__ = ("_chart", "_state")
@@ -65,15 +65,15 @@
 
     @property
     def state(self) -> str:
-        """Name of the present state."""
+        """Name of the current state."""
         return self._state
 
     def allows(self, event: str) -> bool:
-        """Return whether ``event`` has a transition from the present state."""
+        """Return whether ``event`` has a transition from the current state."""
         return self._chart.next(self._state, event) is not None
 
     def fire(self, event: str) -> str:
-        """Follow ``event`` and return the new state.
+        """Make the transition for ``event`` and return the new state.
 
         :raises TransitionError: if the chart has no such transition.
         """
@@ -88,5 +88,5 @@
 
 @cache
 def load_chart(name: str) -> Chart:
-    """Return the chart in the file ``name``, compiled once."""
+    """Return the compiled chart ``name``; it is compiled only once."""
     return Chart(name)
