--- a/src/sassafrasdale/callers/generations.py
+++ b/src/sassafrasdale/callers/generations.py
@@ -1,4 +1,4 @@
-"""Responses for a generation: a stream of events, or one whole response."""
+"""Responses for a generation: a stream of events, or one complete response."""
 
 import json
 from collections.abc import Iterator
@@ -29,7 +29,7 @@
     """
     request_id = ("X-Request-Id", generation.call.call.request_id)
     if not generation.call.streamed:
-        return _whole_response(generation).with_headers(request_id)
+        return _complete_response(generation).with_headers(request_id)
     events = _first_events(generation, after)
     if generation.outcome is not None and not events and after == 0:
         return outcome_response(generation.outcome).with_headers(request_id)
@@ -92,7 +92,7 @@
     return b"event: moved\nretry: %d\ndata: %b\n\n" % (RECONNECT_MS, location.encode())
 
 
-def _whole_response(generation: Generation) -> HttpResponse:
+def _complete_response(generation: Generation) -> HttpResponse:
     while not generation.ended:
         generation.read(len(generation.events), READ_INTERVAL)
     if generation.handed_over:
--- a/src/sassafrasdale/entry/coordinator.py
+++ b/src/sassafrasdale/entry/coordinator.py
@@ -58,7 +58,7 @@
     :param directory: the known endpoints.
     :param selector: chooses endpoints.
     :param gates: admission control of each service.
-    :param ledger: counts requests by outcome.
+    :param counters: counts requests by outcome.
     :param metrics: the entry's metrics.
     :param peers: the other entries.
     :param registry: the generations that this entry holds.
@@ -78,7 +78,7 @@
         directory: Directory,
         selector: Selector,
         gates: Gates,
-        ledger: Ledger,
+        counters: Ledger,
         metrics: Metrics,
         peers: PeerNode,
         registry: Registry,
@@ -94,7 +94,7 @@
         self._directory = directory
         self._selector = selector
         self._gates = gates
-        self._ledger = ledger
+        self._counters = counters
         self._metrics = metrics
         self._peers = peers
         self._registry = registry
@@ -209,7 +209,7 @@
         if not accepted:
             return
         self._gates.set_text(self._current.text)
-        self._ledger.set_text(self._current.text)
+        self._counters.set_text(self._current.text)
         self._metrics.set_revision(record.revision)
         self._peers.offer_text(record)
         log.info("revision {} is in force", record.revision)
--- a/src/sassafrasdale/entry/process.py
+++ b/src/sassafrasdale/entry/process.py
@@ -95,7 +95,7 @@
         self._current = CurrentText()
         self._directory = Directory(self._clock)
         self._metrics = Metrics(settings.name, settings.availability_zone)
-        self._ledger = Ledger(self._metrics, self._clock)
+        self._counters = Ledger(self._metrics, self._clock)
         self._cloud = CloudClient(settings.cloud)
         self._peers = PeerNode(
             settings, self._clock, random.Random(self._rng.random()), self._inbox
@@ -129,7 +129,7 @@
             gates=self._gates,
             registry=Registry(self._clock),
             claims=Claims(GatheringStore(store), self._clock),
-            ledger=self._ledger,
+            ledger=self._counters,
             is_alive=self._is_alive,
             clock=self._clock,
             rng=self._rng,
@@ -205,7 +205,7 @@
             peers=self._peers,
             dispatcher=self._dispatcher,
             capacity=self._capacity,
-            ledger=self._ledger,
+            counters=self._counters,
         )
         return Administration(
             current=self._current,
@@ -226,7 +226,7 @@
             directory=self._directory,
             selector=self._selector,
             gates=self._gates,
-            ledger=self._ledger,
+            counters=self._counters,
             metrics=self._metrics,
             peers=self._peers,
             registry=self._dispatcher.registry,
--- a/src/sassafrasdale/entry/status.py
+++ b/src/sassafrasdale/entry/status.py
@@ -24,11 +24,11 @@
     peers: PeerNode
     dispatcher: Dispatcher
     capacity: CapacityDuty
-    ledger: Ledger
+    counters: Ledger
 
     def burn(self) -> dict:
         """Return the counts for the burn report."""
-        return {"entry": self.settings.name, **self.ledger.burn()}
+        return {"entry": self.settings.name, **self.counters.burn()}
 
     def status(self) -> dict:
         """Return the status report: state, peers, endpoints, requests in flight."""
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -103,7 +103,7 @@
     _assert_serves(fleet)
 
 
-def test_faulty_text_tells_every_fault_and_changes_nothing(fleet: Fleet):
+def test_invalid_text_reports_every_fault_and_changes_nothing(fleet: Fleet):
     call = fleet.entries[0].client.call
     before = call("GET", "/admin/v1/text")
     faulty = before.data.replace(b"share: 0.95", b"share: 7").replace(
--- a/tests/callers/test_fetches.py
+++ b/tests/callers/test_fetches.py
@@ -38,7 +38,7 @@
     return Registry(ManualClock())
 
 
-def test_the_request_comes_here_while_a_peer_is_asked(registry):
+def test_request_is_received_while_a_peer_is_queried(registry):
     """A caller got a 404 although some entry held its request at all times.
 
     It asked the entry that was about to receive the request. That entry asked the
@@ -58,18 +58,18 @@
     assert b"".join(response.body).count(b"id: ") == 3
 
 
-def test_the_request_goes_from_peer_to_peer_meanwhile(registry):
+def test_request_is_handed_over_between_two_peers(registry):
     """As above, but the receiver is asked too early, and the sender too late."""
     responses = [None, PEER_RESPONSE]
     assert _fetch(lambda *_: responses.pop(0), registry) is PEER_RESPONSE
 
 
-def test_nobody_holds_it(registry):
+def test_request_that_no_entry_holds(registry):
     response = _fetch(lambda *_: None, registry)
     assert (response.status, dict(response.headers)["X-Outcome"]) == (404, "unknown")
 
 
-def test_a_relayed_fetch_is_answered_at_once(registry):
+def test_relayed_fetch_is_not_retried(registry):
     relayed = []
     _fetch(lambda *each: relayed.append(each), registry, **{RELAYED.lower(): "1"})
     assert len(relayed) == 1
--- a/tests/callers/test_relays.py
+++ b/tests/callers/test_relays.py
@@ -44,11 +44,11 @@
     server.server_close()
 
 
-def test_a_request_that_nobody_holds_is_not_found():
+def test_request_that_no_entry_holds_is_not_found():
     assert Relay(lambda request_id: None)(FETCH, "r") is None
 
 
-def test_a_relayed_stream_ends_after_a_whole_event(holder):
+def test_relayed_stream_ends_after_a_complete_event(holder):
     """A caller took half an event for a complete one when the relaying entry stopped.
 
     The entry ended the stream with its own "moved" event in the middle of one of the
--- a/tests/callers/test_session.py
+++ b/tests/callers/test_session.py
@@ -35,7 +35,7 @@
 
 
 def test_whole_session(fleet: Fleet, snapshot: SnapshotAssertion):
-    """Covers lookups, keyed retries, whole and streamed chats, and a resumed stream."""
+    """Covers lookups, keyed retries, chats with and without streaming, and resuming."""
     call = fleet.entries[0].client.call
     chat = "/v1/chat/completions"
     certificates = "/v1/services/records/certificates"
