--- a/src/sassafrasdale/callers/relays.py
+++ b/src/sassafrasdale/callers/relays.py
@@ -17,7 +17,7 @@
 
 RELAYED = "X-Relayed"
 CONNECT_TIMEOUT = timedelta(seconds=1)
-# The holder sends at least an error at the request's deadline.
+# Maximum time without data from a holder; it sends at least an error at the deadline.
 READ_TIMEOUT = timedelta(seconds=60)
 RELAYED_HEADERS = ("x-customer", "last-event-id", "x-timeout-ms")
 READ_BYTES = 64 * 1024
--- a/src/sassafrasdale/text/documents.py
+++ b/src/sassafrasdale/text/documents.py
@@ -76,7 +76,7 @@
     def hint(self, name: str, known: Collection[str]) -> str:
         """Return a hint with the known name closest to ``name``, or an empty string.
 
-        Comparing names is slow: to refuse a document with thousands of wrong ones
+        Comparing names is slow: to reject a document with thousands of wrong ones
         would take seconds, in which the entry serves no requests. So the number of
         hints is limited.
         """
