--- a/src/sassafrasdale/peers/__init__.py
+++ b/src/sassafrasdale/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between entry instances: probes, news, hand-overs."""
+"""Communication between entries: failure detection, gossip, hand-overs, lookups."""
--- a/src/sassafrasdale/peers/agent.py
+++ b/src/sassafrasdale/peers/agent.py
@@ -1,4 +1,4 @@
-"""The peers' side of an entry, on the asyncio loop: probes, news and calls."""
+"""Gossip agent of an entry, on the asyncio loop: probes, updates and calls."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
@@ -29,11 +29,11 @@
     notice_from_message,
     notice_to_message,
 )
-from sassafrasdale.peers.notices import NoticeBoard
+from sassafrasdale.peers.notices import NoticeLog
 from sassafrasdale.peers.pulling import TextPuller
 from sassafrasdale.peers.rendezvous import first_of_each_zone, rendezvous
-from sassafrasdale.peers.slowness import Slowness
-from sassafrasdale.peers.spreading import News, Spreader
+from sassafrasdale.peers.slowness import LocalHealth
+from sassafrasdale.peers.spreading import Spreader, SpreadRound
 from sassafrasdale.peers.structures import (
     HandOver,
     Member,
@@ -46,11 +46,11 @@
 from sassafrasdale.structures import Instance, Notice
 
 UPDATES_A_MESSAGE = 8
-NOTICES_A_MESSAGE = 16
+NOTICES_PER_MESSAGE = 16
 VERIFICATIONS_A_PERIOD = 2
 INDIRECT_PROBES = 2
-FIRST_ASKED = 2
-ASKED_AT_ONCE = 8
+FIRST_FIND_PEERS = 2
+FIND_BATCH_SIZE = 8
 
 Post = Callable[[Any], None]
 
@@ -58,13 +58,13 @@
 
 
 class PeerAgent:
-    """State and tasks of one entry among its peers; lives on the loop.
+    """Gossip state and tasks of one entry; used on the asyncio loop only.
 
-    :param membership: what is believed of the others.
+    :param membership: state of the other entries, as known here.
     :param clock: source of time.
-    :param rng: source of the choice of receivers.
-    :param timings: periods and limits.
-    :param post: takes the messages for the green side; callable from the loop.
+    :param rng: source of the random choice of receivers.
+    :param timings: periods and timeouts.
+    :param post: posts messages to the green tasks; called on the loop.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._rng = rng
         self._timings = timings
         self._post = post
-        self._notices = NoticeBoard()
+        self._notices = NoticeLog()
         self._channels = ChannelPool()
         self._record: TextRecord | None = None
         self._tasks: set[asyncio.Task] = set()
@@ -92,37 +92,37 @@
             self.run,
             self.gossip,
             lambda: self.revision,
-            self._take_text,
+            self._apply_text,
         )
-        self._spreader = Spreader(membership, clock, rng, timings, self._send_news)
-        self._slowness = Slowness()
+        self._spreader = Spreader(membership, clock, rng, timings, self._send_round)
+        self._local_health = LocalHealth()
         self._server: Server | None = None
 
     @property
     def membership(self) -> Membership:
-        """What is believed of the others."""
+        """State of the other entries, as known here."""
         return self._membership
 
     @property
     def record(self) -> TextRecord | None:
-        """Newest text held here."""
+        """Newest configuration known here."""
         return self._record
 
     @property
     def revision(self) -> int:
-        """Revision of the newest text held here, 0 if none."""
+        """Revision of the newest configuration known here, 0 if none."""
         return self._record.revision if self._record else 0
 
-    # Life
+    # Start and stop
 
     async def serve(self, server: Server, sock: Any) -> None:
-        """Begin to take messages on ``sock`` and to probe."""
+        """Start the server on ``sock`` and the probes."""
         self._server = server
         await server.start(sock=sock)
         self.run(self._probe_forever())
 
     async def stop(self) -> None:
-        """End every task, close the connections and take no more messages."""
+        """Cancel every task, close the connections and stop the server."""
         self._spreader.stop()
         for task in list(self._tasks):
             task.cancel()
@@ -132,77 +132,77 @@
             await self._server.wait_closed()
 
     def run(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Start a task that ends with this agent."""
+        """Start a task that is cancelled when this agent stops."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    # News from the green side
+    # Updates from the green tasks
 
     def set_candidates(self, instances: Iterable[Instance]) -> None:
-        """Take in the platform's list."""
+        """Apply the platform's list of instances."""
         self._membership.set_candidates(instances)
         self._publish()
 
     def offer_text(self, record: TextRecord) -> None:
-        """Hold ``record`` and tell the peers, if it is newer than what is held."""
+        """Keep ``record`` and announce it to the peers, if it is newer."""
         if record.revision <= self.revision:
             return
         self._record = record
         self._spreader.spread_soon(self._spreader.first_hops)
 
     def spread_notice(self, notice: Notice) -> None:
-        """Tell the peers of ``notice``, if it is new."""
+        """Spread ``notice`` to the peers, if it is new."""
         if self._notices.add(notice):
             self._spreader.add_notice(notice, self._spreader.first_hops)
 
     def announce_leaving(self) -> None:
-        """Tell the peers that this entry is leaving."""
+        """Announce to the peers that this entry is leaving."""
         self._membership.leave()
         self._spreader.spread_soon(self._spreader.first_hops)
 
     # Messages
 
     def gossip(self, about: str = "", highest_notice: int | None = None) -> Gossip:
-        """Return the part that every message carries.
+        """Return the gossip that every message includes.
 
         :param about: name of the receiver.
         :param highest_notice: highest notice that the receiver has seen, if known.
         """
         updates = self._membership.take_updates(UPDATES_A_MESSAGE, about)
-        notices = self._notices.take(NOTICES_A_MESSAGE, highest_notice)
+        notices = self._notices.take(NOTICES_PER_MESSAGE, highest_notice)
         return self._gossip_of(updates, notices)
 
-    def take_in(
-        self, gossip: Gossip, *, served: bool, hops_left: int | None = None
+    def merge(
+        self, gossip: Gossip, *, from_request: bool, hops_left: int | None = None
     ) -> None:
-        """Take in the news of a message.
+        """Merge the gossip of a message into the local state.
 
-        :param gossip: that part of the message.
-        :param served: whether it came as a request of a peer.
-        :param hops_left: how often news is to be passed on; None for the number
-            that a first hearing by a probe gets.
+        :param gossip: gossip of the message.
+        :param from_request: whether the message is a request, not a reply.
+        :param hops_left: how many more times to forward updates; None for as many
+            times as an update that starts here.
         """
         try:
             sender = member_from_message(gossip.sender)
             updates = [member_from_message(each) for each in gossip.updates]
         except ValueError:
-            log.warning("unreadable news from {!r}", gossip.sender.name)
+            log.warning("malformed gossip from {!r}", gossip.sender.name)
             return
         hops = self._spreader.first_hops if hops_left is None else hops_left
         before = self._membership.me.incarnation
-        self._take_in_members(sender, gossip.revision, updates, served, hops)
-        self._take_in_notices(gossip, hops)
+        self._merge_updates(sender, gossip.revision, updates, from_request, hops)
+        self._merge_notices(gossip, hops)
         if self._membership.me.incarnation != before:
-            self._slowness.add()
+            self._local_health.degrade()
             self._spreader.spread_soon(self._spreader.first_hops)
         if gossip.revision > self.revision:
             self._puller.pull_soon(sender, gossip.revision)
         self._publish()
 
     def all_members(self) -> list[Member]:
-        """Return the living members, for one that has just started."""
+        """Return the members that aren't dead, for an entry that is joining."""
         return self._membership.reachable
 
     def add_members(self, gossip: Gossip, members: Iterable[Member]) -> None:
@@ -212,7 +212,7 @@
     # Calls
 
     async def hand_over(self, name: str, handover: HandOver) -> bool:
-        """Offer ``handover`` to the member ``name``; return if it took it."""
+        """Offer ``handover`` to the member ``name``; return whether it accepted."""
         member = self._membership.get(name)
         if member is None:
             return False
@@ -222,40 +222,41 @@
             request=handover.request,
         )
         try:
-            reply = await self._channels.call_twice(
+            reply = await self._channels.call_with_retry(
                 member.peer_address,
                 lambda stub: stub.HandOver(request),
                 self._timings.call_timeout,
             )
         except PeerNotReached:
             return False
-        self.take_in(reply.gossip, served=False)
+        self.merge(reply.gossip, from_request=False)
         return reply.accepted
 
     async def find(self, request_id: str) -> Member | None:
         """Return the member that holds ``request_id``, or None.
 
-        The member that a hand-over went to is among the first of each zone, so
-        these are asked first; the original holder can be any.
+        The receiver of a hand-over is among the first members of each zone in
+        rendezvous order, so these are asked first; the original holder can be any
+        member.
         """
         ordered = rendezvous(request_id, self._membership.reachable)
-        firsts = first_of_each_zone(ordered)[:FIRST_ASKED]
+        firsts = first_of_each_zone(ordered)[:FIRST_FIND_PEERS]
         rest = [each for each in ordered if each not in firsts]
         batches = [firsts] + [
-            rest[start : start + ASKED_AT_ONCE]
-            for start in range(0, len(rest), ASKED_AT_ONCE)
+            rest[start : start + FIND_BATCH_SIZE]
+            for start in range(0, len(rest), FIND_BATCH_SIZE)
         ]
         for batch in batches:
-            answers = await asyncio.gather(
-                *(self._ask_for(member, request_id) for member in batch)
+            results = await asyncio.gather(
+                *(self._holds(member, request_id) for member in batch)
             )
-            for member, held in zip(batch, answers, strict=True):
+            for member, held in zip(batch, results, strict=True):
                 if held:
                     return member
         return None
 
     async def probe_for(self, target: Member) -> bool:
-        """Probe ``target`` on behalf of a peer and return whether it answered."""
+        """Probe ``target`` on behalf of a peer and return whether it replied."""
         return await self._probe_once(target, self._timings.probe_timeout)
 
     # Probes
@@ -269,18 +270,18 @@
                 self._resume_after_pause()
             self._probe_period()
             due = max(due + period, self._clock.elapsed() + period / 2)
-            pause = due - self._clock.elapsed()
-            await asyncio.sleep(pause.total_seconds())
+            delay = due - self._clock.elapsed()
+            await asyncio.sleep(delay.total_seconds())
 
     def _resume_after_pause(self) -> None:
-        """Say anew that this entry lives.
+        """Raise the incarnation after a pause of this process, and spread it.
 
-        A paused process does not notice its pause. The others have declared it
-        dead meanwhile, and it may still believe in holding what it lost. A
-        period that comes far too late shows it.
+        A paused process doesn't observe its pause, but a probe period that starts
+        far too late reveals it. The others have declared the entry dead by then,
+        and it may act on state that it has lost.
         """
         log.warning("this process was paused")
-        self._membership.renew()
+        self._membership.raise_incarnation()
         self._spreader.spread_soon(self._spreader.first_hops)
 
     def _probe_period(self) -> None:
@@ -292,31 +293,32 @@
 
     async def _probe(self, target: Member) -> None:
         if await self._probe_once(target, self._timings.probe_timeout):
-            self._slowness.lessen()
+            self._local_health.improve()
             return
         if target.state >= MemberState.SUSPECT:
             return
-        # The failed attempt dropped its channel: this one is on a fresh one.
+        # The failed attempt closed its channel, so the retry uses a new one.
         retry = self._probe_once(target, self._timings.retry_timeout)
         others = [
-            self._probe_through(helper, target)
+            self._probe_indirectly(helper, target)
             for helper in self._membership.helpers(target, INDIRECT_PROBES)
         ]
-        answered, *through = await asyncio.gather(retry, *others)
-        if answered or any(through):
+        replied, *indirect = await asyncio.gather(retry, *others)
+        if replied or any(indirect):
             return
-        if all(each is None for each in through):
-            # Nobody answered at all; a helper that did speaks for this entry.
-            self._slowness.add()
+        if all(each is None for each in indirect):
+            # No helper replied either, so this entry itself may be slow. A reply
+            # from any helper shows that it isn't.
+            self._local_health.degrade()
         if self._membership.suspect(target.name, target.incarnation):
-            self._tell(target.name)
+            self._spread_member(target.name)
             self._publish()
 
     async def _probe_once(self, target: Member, limit: timedelta) -> bool:
         request = ProbeRequest(
             gossip=self.gossip(target.name), wants_members=self._is_joining
         )
-        limit *= self._slowness.factor
+        limit *= self._local_health.timeout_factor
         try:
             reply = await self._channels.call(
                 target.peer_address, lambda stub: stub.Probe(request), limit
@@ -324,22 +326,22 @@
         except PeerNotReached:
             return False
         if reply.gossip.sender.name != target.name:
-            # The address went to another instance: that one lives, not this.
-            self.take_in(reply.gossip, served=False)
+            # Another instance has the address now; only that one is alive.
+            self.merge(reply.gossip, from_request=False)
             return False
         self._is_joining = False
         if request.wants_members:
-            self._learn_members(reply.gossip)
-        self.take_in(reply.gossip, served=False)
+            self._merge_members(reply.gossip)
+        self.merge(reply.gossip, from_request=False)
         return True
 
-    def _learn_members(self, gossip: Gossip) -> None:
+    def _merge_members(self, gossip: Gossip) -> None:
         with suppress(ValueError):
             members = [member_from_message(each) for each in gossip.updates]
-            self._membership.learn(members)
+            self._membership.merge_members(members)
 
-    async def _probe_through(self, helper: Member, target: Member) -> bool | None:
-        """Return whether ``target`` answered the helper; None if that did not."""
+    async def _probe_indirectly(self, helper: Member, target: Member) -> bool | None:
+        """Return whether ``target`` replied; None if ``helper`` itself didn't reply."""
         request = IndirectProbeRequest(
             gossip=self.gossip(helper.name), target=member_to_message(target)
         )
@@ -347,58 +349,58 @@
             reply = await self._channels.call(
                 helper.peer_address,
                 lambda stub: stub.ProbeIndirectly(request),
-                self._timings.retry_timeout * self._slowness.factor,
+                self._timings.retry_timeout * self._local_health.timeout_factor,
             )
         except PeerNotReached:
             return None
-        self.take_in(reply.gossip, served=False)
+        self.merge(reply.gossip, from_request=False)
         return reply.answered
 
     # Spreading
 
-    def _tell(self, name: str) -> None:
+    def _spread_member(self, name: str) -> None:
         member = self._membership.get(name)
         if member is not None:
             self._spreader.add_member(member, self._spreader.first_hops)
 
-    def _send_news(self, news: News) -> None:
+    def _send_round(self, spread_round: SpreadRound) -> None:
         request = SpreadRequest(
-            gossip=self._gossip_of(news.members, news.notices),
-            hops_left=news.hops_left,
+            gossip=self._gossip_of(spread_round.members, spread_round.notices),
+            hops_left=spread_round.hops_left,
         )
-        for receiver in news.receivers:
+        for receiver in spread_round.receivers:
             self.run(self._spread_to(receiver, request))
 
     async def _spread_to(self, receiver: Member, request: SpreadRequest) -> None:
         call = self._timings.call_timeout
         try:
-            reply = await self._channels.call_twice(
+            reply = await self._channels.call_with_retry(
                 receiver.peer_address, lambda stub: stub.Spread(request), call
             )
         except PeerNotReached:
             return
-        self.take_in(reply.gossip, served=False)
+        self.merge(reply.gossip, from_request=False)
 
-    def _take_in_members(
+    def _merge_updates(
         self,
         sender: Member,
         revision: int,
         updates: list[Member],
-        served: bool,
+        from_request: bool,
         hops: int,
     ) -> None:
-        if self._membership.heard(sender, revision, served=served):
-            self._pass_on(sender.name, hops)
+        if self._membership.apply_sender(sender, revision, from_request=from_request):
+            self._forward(sender.name, hops)
         for update in updates:
-            if self._membership.apply(update, served=served):
-                self._pass_on(update.name, hops)
+            if self._membership.apply(update, from_request=from_request):
+                self._forward(update.name, hops)
 
-    def _pass_on(self, name: str, hops: int) -> None:
+    def _forward(self, name: str, hops: int) -> None:
         member = self._membership.get(name)
         if member is not None and hops > 0:
             self._spreader.add_member(member, hops - 1)
 
-    def _take_in_notices(self, gossip: Gossip, hops: int) -> None:
+    def _merge_notices(self, gossip: Gossip, hops: int) -> None:
         for message in gossip.notices:
             notice = notice_from_message(message)
             if not self._notices.add(notice):
@@ -407,9 +409,8 @@
             if hops > 0:
                 self._spreader.add_notice(notice, hops - 1)
 
-    # Text
-
-    def _take_text(self, record: TextRecord) -> None:
+    # Configuration
+    def _apply_text(self, record: TextRecord) -> None:
         if record.revision <= self.revision:
             return
         self._record = record
@@ -418,17 +419,17 @@
 
     # Helpers
 
-    async def _ask_for(self, member: Member, request_id: str) -> bool:
+    async def _holds(self, member: Member, request_id: str) -> bool:
         request = FindRequest(gossip=self.gossip(member.name), request_id=request_id)
         try:
-            reply = await self._channels.call_twice(
+            reply = await self._channels.call_with_retry(
                 member.peer_address,
                 lambda stub: stub.Find(request),
                 self._timings.call_timeout,
             )
         except PeerNotReached:
             return False
-        self.take_in(reply.gossip, served=False)
+        self.merge(reply.gossip, from_request=False)
         return reply.held
 
     def _gossip_of(self, updates: list[Member], notices: list[Notice]) -> Gossip:
--- a/src/sassafrasdale/peers/bridge.py
+++ b/src/sassafrasdale/peers/bridge.py
@@ -1,8 +1,8 @@
-"""Messages between the green tasks and an asyncio loop in a native thread.
+"""Connects green tasks with an asyncio loop in a native thread.
 
-Nothing is monkey-patched, so the loop runs on an ordinary thread beside the
-green hub. Neither side touches the other's objects: green tasks submit
-coroutines, and the loop posts functions that a green task runs.
+The standard library is not monkey-patched, so the loop runs in an ordinary thread
+beside the green hub. Neither side accesses the other's objects: green tasks submit
+coroutines to the loop, and the loop posts functions that a green task runs.
 """
 
 import asyncio
@@ -34,35 +34,35 @@
 
 
 class Mailbox:
-    """Functions that any thread posts and one green task runs in order."""
+    """Queue of functions, posted by any thread and run in order by a green task."""
 
     def __init__(self) -> None:
         self._posted: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
-        reading, self._waking = socket.socketpair()
-        self._waking.setblocking(False)
-        self._reading = green_socket.socket(reading)
+        receiver, self._sender = socket.socketpair()
+        self._sender.setblocking(False)
+        self._receiver = green_socket.socket(receiver)
         self._task = spawn(self._run)
 
     def post(self, function: Callable[..., Any], *args: Any) -> None:
         """Have the green task call ``function``; callable from any thread."""
         self._posted.append((function, args))
         try:
-            self._waking.send(b"\0")
+            self._sender.send(b"\0")
         except BlockingIOError:
-            # The buffer is full of wake-ups that are still to be read.
+            # The buffer is full of unread wake-ups, so the task will run anyway.
             pass
         except OSError:
-            # Closed: nobody waits for the message any more.
+            # The mailbox is closed, so the message isn't needed.
             pass
 
     def close(self) -> None:
-        """Stop the green task; what is still posted is dropped."""
+        """Stop the green task and discard the remaining functions."""
         self._task.kill()
-        self._waking.close()
-        self._reading.close()
+        self._sender.close()
+        self._receiver.close()
 
     def _run(self) -> None:
-        while self._reading.recv(WAKE_BYTES):
+        while self._receiver.recv(WAKE_BYTES):
             self._drain()
 
     def _drain(self) -> None:
@@ -73,13 +73,13 @@
             except GreenletExit:
                 raise
             except Exception:
-                log.exception("a message from the peers' thread was not taken")
+                log.exception("failed to handle a message from the peers' thread")
 
 
 class LoopThread:
-    """An asyncio loop in a thread of its own.
+    """An asyncio loop in its own thread.
 
-    :param mailbox: where results go on their way to green tasks.
+    :param mailbox: delivers results to green tasks.
     :param name: name of the thread.
     """
 
@@ -90,7 +90,7 @@
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop; only ``call_soon_threadsafe`` is for other threads."""
+        """The loop; other threads may only call ``call_soon_threadsafe``."""
         return self._loop
 
     def start(self) -> None:
@@ -103,39 +103,39 @@
         self._thread.join()
 
     def submit(self, function: Callable[..., Any], *args: Any) -> None:
-        """Have the loop call ``function`` soon."""
+        """Schedule a call of ``function`` on the loop."""
         self._loop.call_soon_threadsafe(function, *args)
 
     def call(self, coroutine: Coroutine[Any, Any, Result], limit: timedelta) -> Result:
-        """Run ``coroutine`` on the loop and wait, green, for its result.
+        """Run ``coroutine`` on the loop; block the green task until its result.
 
-        :raises PeerCallTimeout: if it has not ended within ``limit``.
+        :raises PeerCallTimeout: if it has not finished within ``limit``.
         """
         done = Event()
         future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
-        future.add_done_callback(lambda ended: self._mailbox.post(done.send, ended))
+        future.add_done_callback(lambda result: self._mailbox.post(done.send, result))
         return self._wait(done, future, limit)
 
     def _wait(self, done: Event, future: Future, limit: timedelta) -> Any:
-        waiting = timeout(limit)
+        timer = timeout(limit)
         try:
             return done.wait().result()
         except Timeout as expired:
-            if expired is not waiting:
+            if expired is not timer:
                 raise
             future.cancel()
             raise PeerCallTimeout(f"no result within {limit}") from None
         finally:
-            waiting.cancel()
+            timer.cancel()
 
     def _run(self) -> None:
         asyncio.set_event_loop(self._loop)
         try:
             self._loop.run_forever()
         finally:
-            self._finish()
+            self._close_loop()
 
-    def _finish(self) -> None:
+    def _close_loop(self) -> None:
         tasks = asyncio.all_tasks(self._loop)
         for task in tasks:
             task.cancel()
--- a/src/sassafrasdale/peers/channels.py
+++ b/src/sassafrasdale/peers/channels.py
@@ -1,4 +1,4 @@
-"""Connections to peers: a bounded number, replaced when they go silent."""
+"""Pool of gRPC channels to peers, closed after an error or when least used."""
 
 from collections import OrderedDict
 from collections.abc import Awaitable, Callable
@@ -12,13 +12,13 @@
 
 from sassafrasdale.peers.exceptions import PeerNotReached
 from sassafrasdale.peers.generated.peers_grpc import PeersStub
-from sassafrasdale.peers.waiting import within
+from sassafrasdale.peers.waiting import wait_within
 from sassafrasdale.structures import Address
 
 Reply = TypeVar("Reply")
 Call = Callable[[PeersStub], Awaitable[Reply]]
 
-CHANNEL_LIMIT = 20
+MAX_CHANNELS = 20
 PING_PERIOD = 10.0  # seconds
 PING_TIMEOUT = 5.0  # seconds
 
@@ -31,7 +31,7 @@
     H2Error,
 )
 
-# HTTP/2 pings find a connection that died while nothing was being sent on it.
+# HTTP/2 pings detect connections that broke while idle.
 CLIENT_CONFIGURATION = Configuration(
     _keepalive_time=PING_PERIOD,
     _keepalive_timeout=PING_TIMEOUT,
@@ -40,16 +40,16 @@
 
 
 class ChannelPool:
-    """The open channels, the least recently used of which is closed first.
+    """LRU pool of open channels.
 
-    A full mesh would cost each node two connections a peer; at hundreds of
-    nodes that is more memory than control may take, and a probe once in
-    hundreds of seconds does not earn it.
+    In a full mesh each node would need two connections per peer. With hundreds of
+    nodes that exceeds the memory budget of control traffic, for connections on
+    which a probe is sent only once in hundreds of seconds.
 
-    :param limit: highest number of open channels.
+    :param limit: maximum number of open channels.
     """
 
-    def __init__(self, limit: int = CHANNEL_LIMIT) -> None:
+    def __init__(self, limit: int = MAX_CHANNELS) -> None:
         self._limit = limit
         self._channels: OrderedDict[Address, Channel] = OrderedDict()
         self._in_use: dict[Channel, int] = {}
@@ -60,30 +60,30 @@
     async def call(
         self, address: Address, call: Call[Reply], limit: timedelta
     ) -> Reply:
-        """Make one call on the present channel, or on a new one.
+        """Make a call on the open channel, or on a new one.
 
-        :raises PeerNotReached: if there was no answer; the channel is gone then.
+        :raises PeerNotReached: if there was no reply; the channel is closed then.
         """
         channel = self._channel(address)
         self._in_use[channel] = self._in_use.get(channel, 0) + 1
         try:
-            return await within(limit, call(PeersStub(channel)))
+            return await wait_within(limit, call(PeersStub(channel)))
         except CALL_ERRORS as error:
             self._drop(address, channel)
             raise PeerNotReached(f"{address}: {error!r}") from error
         finally:
             self._release(address, channel)
 
-    async def call_twice(
+    async def call_with_retry(
         self, address: Address, call: Call[Reply], limit: timedelta
     ) -> Reply:
-        """Make a call, and after a failure once more on a fresh channel.
+        """Make a call, and retry it once on a new channel if it fails.
 
-        A connection can go silent for good while new ones work, because
-        something between the ends lost track of it. It shows as a time-out; the
-        fresh channel tells it from a dead peer. Only for idempotent calls.
+        A connection can stay unresponsive while new ones work, because a device
+        on its path dropped its state. This shows as a timeout; the new channel
+        distinguishes it from a dead peer. Only for idempotent calls.
 
-        :raises PeerNotReached: if the second attempt had no answer either.
+        :raises PeerNotReached: if the second attempt had no reply either.
         """
         try:
             return await self.call(address, call, limit)
@@ -127,6 +127,6 @@
             return
         del self._in_use[channel]
         if self._channels.get(address) is not channel:
-            # A call that began before another one dropped the channel opens a
-            # new connection on it, which nobody would close.
+            # This call may have reconnected the channel after another call had
+            # dropped it; that connection would never be closed.
             channel.close()
--- a/src/sassafrasdale/peers/exceptions.py
+++ b/src/sassafrasdale/peers/exceptions.py
@@ -1,15 +1,15 @@
-"""Errors of the layer that speaks to other entries."""
+"""Exceptions of the communication between entries."""
 
 from sassafrasdale.exceptions import SassafrasdaleError
 
 
 class PeersError(SassafrasdaleError):
-    """Base class of this layer's errors."""
+    """Base class of the exceptions in this package."""
 
 
 class PeerNotReached(PeersError):
-    """A peer gave no answer, also on a fresh connection."""
+    """A call to a peer failed or timed out."""
 
 
 class PeerCallTimeout(PeersError):
-    """A call into the peers' thread did not end within its limit."""
+    """A call into the peers' thread did not finish within its timeout."""
--- a/src/sassafrasdale/peers/membership.py
+++ b/src/sassafrasdale/peers/membership.py
@@ -1,7 +1,7 @@
-"""What this entry believes about the others: pure state, no input or output.
+"""SWIM membership as seen from one entry: state only, without I/O.
 
-The rules are SWIM's: a belief has an incarnation that only its subject raises;
-at equal incarnations the worse belief holds until the subject refutes it.
+Each member state has an incarnation that only the member itself raises. At equal
+incarnations the worse state wins until the member refutes it.
 """
 
 import math
@@ -16,16 +16,16 @@
 from sassafrasdale.structures import Instance, InstanceState, Role
 
 NEIGHBOUR_COUNT = 16
-VERIFY_LIMIT = 512
+MAX_TO_VERIFY = 512
 
 
 class Membership:
     """The members as seen from one entry.
 
-    :param me: what this entry says about itself.
+    :param me: this entry's own state.
     :param clock: source of time.
     :param rng: source of the probing order.
-    :param timings: periods and limits.
+    :param timings: periods and timeouts.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._changed_at: dict[str, timedelta] = {}
         self._listed: frozenset[str] = frozenset()
         self._round: list[str] = []
-        self._verify: dict[str, None] = {}
+        self._to_verify: dict[str, None] = {}
         self._transmits_left: dict[str, int] = {}
         self._version = 0
         self._neighbours: list[Member] = []
@@ -52,12 +52,12 @@
 
     @property
     def me(self) -> Member:
-        """What this entry says about itself."""
+        """Own state of this entry."""
         return self._me
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """All other members, dead ones too, by name."""
+        """All other members, including dead ones, sorted by name."""
         return tuple(sorted(self._members.values(), key=lambda each: each.name))
 
     @property
@@ -71,13 +71,13 @@
 
     @property
     def neighbours(self) -> list[Member]:
-        """Members that this entry probes and tells of news, a bounded number.
+        """Bounded set of members that this entry probes and sends updates to.
 
-        Each entry has its own choice by rendezvous hashing, which together make a
-        random graph: every member is probed by about as many others as it
-        probes, of all availability zones, and the choice moves little when
-        members come and go. So connections last; probing anybody at random would
-        cost a handshake a probe in a large fleet.
+        Each entry chooses its own by rendezvous hashing; together the choices form
+        a random graph. Every member is probed by about as many others as it
+        probes, from all availability zones, and the choice changes little when
+        members join or leave. So connections are reused; with random targets each
+        probe in a large fleet would need a new handshake.
         """
         if self._neighbours_version != self._version:
             ordered = rendezvous(self._me.name, self.reachable)
@@ -90,26 +90,25 @@
         return self._members.get(name)
 
     def leave(self) -> None:
-        """Say of this entry that it is leaving."""
-        self._speak(state=MemberState.LEAVING, incarnation=self._me.incarnation + 1)
+        """Mark this entry as leaving."""
+        self._update_me(state=MemberState.LEAVING, incarnation=self._me.incarnation + 1)
 
-    def renew(self) -> None:
+    def raise_incarnation(self) -> None:
         """Raise this entry's incarnation, for instance after a pause."""
-        self._speak(incarnation=self._me.incarnation + 1)
+        self._update_me(incarnation=self._me.incarnation + 1)
 
-    def apply(self, update: Member, *, served: bool = True) -> bool:
-        """Take in a belief and return whether it was news.
+    def apply(self, update: Member, *, from_request: bool = True) -> bool:
+        """Apply a member's state and return whether it was new.
 
-        :param update: the belief.
-        :param served: whether it came with a message that a peer sent here.
+        :param update: the member with its state.
+        :param from_request: whether it came with a request to this entry's server.
 
-        Only a message that reached this entry's server is a reason to refute.
-        An entry whose server is cut off still gets replies to its own probes;
-        if it refuted what those say, it would stay a member that nobody can
-        reach.
+        This entry refutes only what came with a request. If its server is
+        unreachable, it still gets replies to its own probes; by refuting these, it
+        would remain a member that nobody can reach.
         """
         if update.name == self._me.name:
-            return served and self._refute(update)
+            return from_request and self._refute(update)
         known = self._members.get(update.name)
         if known is not None and update.precedence <= known.precedence:
             return False
@@ -122,71 +121,76 @@
             self._verify_dead()
         return True
 
-    def learn(self, members: Iterable[Member]) -> None:
-        """Take in the list that a joining entry gets; others know it already."""
+    def merge_members(self, members: Iterable[Member]) -> None:
+        """Apply the members that a joining entry receives, without gossiping them.
+
+        The other entries know them already.
+        """
         for member in members:
-            if self.apply(member, served=False):
+            if self.apply(member, from_request=False):
                 self._transmits_left.pop(member.name, None)
 
-    def heard(self, sender: Member, revision: int, *, served: bool) -> bool:
-        """Take in what a sender says about itself and return if it was news."""
-        news = self.apply(sender, served=served)
+    def apply_sender(
+        self, sender: Member, revision: int, *, from_request: bool
+    ) -> bool:
+        """Apply a sender's own state and return whether it was new."""
+        is_new = self.apply(sender, from_request=from_request)
         known = self._members.get(sender.name)
         if known is None:
-            return news
+            return is_new
         if revision > known.revision:
             self._members[sender.name] = replace(known, revision=revision)
             self._version += 1
-        if served and known.state >= MemberState.SUSPECT:
-            # It sends, which does not show that it answers: ask it directly, with
-            # the bad belief in the message, so that it can refute.
+        if from_request and known.state >= MemberState.SUSPECT:
+            # That it sends requests doesn't show that it replies. Probe it, with
+            # its recorded state in the message, so that it can refute that.
             self._verify_soon(sender.name)
-        return news
+        return is_new
 
     def suspect(self, name: str, incarnation: int) -> bool:
-        """Believe that a member does not answer; return whether it was news."""
+        """Mark a member as suspect and return whether that was new."""
         known = self._members.get(name)
         if known is None or known.incarnation != incarnation:
             return False
         return self.apply(replace(known, state=MemberState.SUSPECT))
 
     def expire(self) -> list[Member]:
-        """Declare old suspects dead, forget old dead ones; return the former."""
+        """Mark timed-out suspects as dead and return them; remove old dead members."""
         now = self._clock.elapsed()
-        died = []
+        newly_dead = []
         for member in list(self._members.values()):
             age = now - self._changed_at[member.name]
             if self._awaits_first_probe(member):
                 continue
-            if member.state is MemberState.SUSPECT and age >= self._suspicion:
+            if member.state is MemberState.SUSPECT and age >= self._suspicion_timeout:
                 dead = replace(member, state=MemberState.DEAD)
                 self._store(dead)
-                died.append(dead)
-            elif self._is_forgotten(member, age):
-                self._forget(member.name)
-        return died
+                newly_dead.append(dead)
+            elif self._is_removable(member, age):
+                self._remove(member.name)
+        return newly_dead
 
     def set_candidates(self, instances: Iterable[Instance]) -> None:
-        """Take in the platform's list of instances, which lags."""
+        """Apply the platform's list of instances, which may be out of date."""
         entries = [each for each in instances if self._is_candidate(each)]
         self._listed = frozenset(each.name for each in entries)
         for instance in entries:
             known = self._members.get(instance.name)
             if known is None:
-                self._introduce(instance)
+                self._add_listed(instance)
             elif known.incarnation == 0 and known.state is MemberState.DEAD:
                 self._verify_soon(instance.name)
 
     def next_targets(self, limit: int) -> list[Member]:
-        """Return whom to probe in this period.
+        """Return the members to probe in this period.
 
-        One member of a round, and besides up to ``limit`` of those that are to be
-        verified: new ones, and those that send but are believed not to answer.
+        These are the next member of the round, and up to ``limit`` members to
+        verify: new ones, and suspect or dead ones that still send requests.
         """
         targets = {}
-        while self._verify and len(targets) < limit:
-            name = next(iter(self._verify))
-            del self._verify[name]
+        while self._to_verify and len(targets) < limit:
+            name = next(iter(self._to_verify))
+            del self._to_verify[name]
             member = self._members.get(name)
             if member is not None and member.state >= MemberState.SUSPECT:
                 self._begin_verification(name)
@@ -197,7 +201,7 @@
         return list(targets.values())
 
     def helpers(self, target: Member, count: int) -> list[Member]:
-        """Return up to ``count`` random usable neighbours besides ``target``."""
+        """Return up to ``count`` random usable neighbours other than ``target``."""
         usable = [
             each
             for each in self.neighbours
@@ -206,11 +210,11 @@
         return self._rng.sample(usable, min(count, len(usable)))
 
     def take_updates(self, limit: int, about: str = "") -> list[Member]:
-        """Return news to add to a message, the least transmitted first.
+        """Return updates to add to a message, the least transmitted first.
 
-        :param limit: highest number of updates.
-        :param about: the receiver; a bad belief about it always goes along, so
-            that it can refute.
+        :param limit: maximum number of updates.
+        :param about: the receiver; if it is suspect or dead, its state is always
+            included, so that it can refute it.
         """
         updates = []
         known = self._members.get(about)
@@ -221,23 +225,23 @@
             member = self._members.get(name)
             if member is not None and name != about:
                 updates.append(member)
-            self._spend(name, left)
+            self._count_transmit(name, left)
         return updates
 
     @property
-    def _suspicion(self) -> timedelta:
-        # News needs a number of periods that grows with the logarithm of the
-        # size, and so does a refutation.
+    def _suspicion_timeout(self) -> timedelta:
+        # Both an update and its refutation take a number of periods that grows
+        # with the logarithm of the number of members.
         scale = max(1.0, math.log10(len(self._members) + 1))
         return self._timings.suspicion * scale
 
-    def _speak(self, **changes: object) -> None:
+    def _update_me(self, **changes: object) -> None:
         self._me = replace(self._me, **changes)
 
-    def _refute(self, claim: Member) -> bool:
-        if claim.precedence <= self._me.precedence:
+    def _refute(self, update: Member) -> bool:
+        if update.precedence <= self._me.precedence:
             return False
-        self._speak(incarnation=claim.incarnation + 1)
+        self._update_me(incarnation=update.incarnation + 1)
         return True
 
     def _store(self, member: Member) -> None:
@@ -245,10 +249,10 @@
         self._changed_at[member.name] = self._clock.elapsed()
         self._version += 1
         size = len(self._members) + 1
-        # Besides being spread at once, so that few that missed it remain.
+        # Gossiped in addition to the immediate spread, to reach those that missed it.
         self._transmits_left[member.name] = math.ceil(math.log2(size + 1))
 
-    def _spend(self, name: str, left: int) -> None:
+    def _count_transmit(self, name: str, left: int) -> None:
         if left <= 1 or name not in self._members:
             del self._transmits_left[name]
         else:
@@ -262,8 +266,8 @@
             and instance.name != self._me.name
         )
 
-    def _introduce(self, instance: Instance) -> None:
-        """Add a listed entry as suspect: the list lags, a probe tells."""
+    def _add_listed(self, instance: Instance) -> None:
+        """Add a listed entry as suspect, to be probed, as the list may be outdated."""
         self._members[instance.name] = Member(
             name=instance.name,
             availability_zone=instance.availability_zone,
@@ -276,39 +280,39 @@
         self._verify_soon(instance.name)
 
     def _awaits_first_probe(self, member: Member) -> bool:
-        return member.incarnation == 0 and member.name in self._verify
+        return member.incarnation == 0 and member.name in self._to_verify
 
     def _begin_verification(self, name: str) -> None:
         if self._members[name].incarnation == 0:
             self._changed_at[name] = self._clock.elapsed()
 
-    def _is_forgotten(self, member: Member, age: timedelta) -> bool:
+    def _is_removable(self, member: Member, age: timedelta) -> bool:
         return (
             member.state is MemberState.DEAD
             and member.name not in self._listed
             and age >= self._timings.forget
         )
 
-    def _forget(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         del self._members[name]
         del self._changed_at[name]
         self._version += 1
         self._transmits_left.pop(name, None)
-        self._verify.pop(name, None)
+        self._to_verify.pop(name, None)
 
     def _verify_dead(self) -> None:
-        """Ask all dead members again: where one came back, others may have.
+        """Probe all dead members again after one has come back.
 
-        After a partition each side would otherwise find the members of the other
-        one by one, one in a round.
+        Otherwise, after a partition, each side would find only one member of the
+        other side per round.
         """
         for member in self._members.values():
             if member.state is MemberState.DEAD:
                 self._verify_soon(member.name)
 
     def _verify_soon(self, name: str) -> None:
-        if len(self._verify) < VERIFY_LIMIT:
-            self._verify[name] = None
+        if len(self._to_verify) < MAX_TO_VERIFY:
+            self._to_verify[name] = None
 
     def _next_of_round(self) -> Member | None:
         for _ in range(2):
@@ -322,9 +326,8 @@
     def _new_round(self) -> list[str]:
         """Return every neighbour and one other member, in random order.
 
-        The other one may be dead. When regions that lost each other can talk
-        again, each believes the other's members dead, and these probes alone find
-        that they live.
+        The other member may be dead. After a partition between regions, each side
+        considers the other's members dead, and only these probes reach them.
         """
         names = {each.name for each in self.neighbours}
         others = [name for name in self._members if name not in names]
--- a/src/sassafrasdale/peers/messages.py
+++ b/src/sassafrasdale/peers/messages.py
@@ -1,4 +1,4 @@
-"""Translation between the peers' messages and the package's data classes."""
+"""Conversion between protobuf messages and the package's data classes."""
 
 import zlib
 from datetime import UTC, datetime, timedelta
@@ -31,7 +31,7 @@
 def member_from_message(message: MemberUpdate) -> Member:
     """Return the member in ``message``.
 
-    :raises ValueError: if an address or the state cannot be read.
+    :raises ValueError: if an address or the state is malformed.
     """
     return Member(
         name=message.name,
--- a/src/sassafrasdale/peers/node.py
+++ b/src/sassafrasdale/peers/node.py
@@ -1,4 +1,4 @@
-"""An entry's side towards its peers, for green tasks.
+"""Interface of green tasks to the entry's peers.
 
 Usage::
 
@@ -34,23 +34,23 @@
 from sassafrasdale.structures import Address, Instance, Notice
 
 BACKLOG = 512
-START_LIMIT = timedelta(seconds=10)
-CALL_LIMIT = timedelta(seconds=5)
+START_TIMEOUT = timedelta(seconds=10)
+CALL_TIMEOUT = timedelta(seconds=5)
 MILLISECOND = timedelta(milliseconds=1)
 
 
 class PeerNode:
-    """An entry among its peers; posts what it hears to ``inbox``.
+    """An entry among its peers; posts what it receives to ``inbox``.
 
-    It posts :class:`TextOffered`, :class:`NoticeHeard`, :class:`MembersChanged`,
-    :class:`HandOverOffered` and :class:`FindAsked`. The last two carry a
-    ``reply`` that must be called with the decision.
+    It posts :class:`TextOffered`, :class:`NoticeReceived`,
+    :class:`MembersChanged`, :class:`HandOverOffered` and :class:`FindRequested`.
+    The last two have a ``reply`` that must be called with the decision.
 
     :param settings: name, availability zone and addresses of this entry.
     :param clock: source of time.
-    :param rng: source of random choices; used by the peers' thread alone.
-    :param inbox: green queue that takes the messages.
-    :param timings: periods and limits.
+    :param rng: source of random choices; used only in the peers' thread.
+    :param inbox: green queue for the messages.
+    :param timings: periods and timeouts.
     """
 
     def __init__(
@@ -74,11 +74,11 @@
 
     @property
     def peer_address(self) -> Address:
-        """Where this entry takes messages of its peers, once started."""
+        """Address of this entry's server for peers, once it is started."""
         return self._peer_address
 
     def start(self) -> None:
-        """Take messages and begin to probe.
+        """Start the thread, the server and the probes.
 
         :raises OSError: if the address cannot be bound.
         """
@@ -88,39 +88,39 @@
         self._thread.start()
         self._agent = self._make_agent()
         service = PeersService(self._agent, self._post)
-        self._thread.call(self._serve(service, sock), START_LIMIT)
+        self._thread.call(self._serve(service, sock), START_TIMEOUT)
 
     def stop(self) -> None:
-        """End every task and connection and the thread."""
-        self._thread.call(self._agent.stop(), CALL_LIMIT)
+        """Stop every task, the connections and the thread."""
+        self._thread.call(self._agent.stop(), CALL_TIMEOUT)
         self._thread.stop()
         self._mailbox.close()
 
     def set_candidates(self, instances: Iterable[Instance]) -> None:
-        """Take in the platform's list of instances."""
+        """Apply the platform's list of instances."""
         self._thread.submit(self._agent.set_candidates, tuple(instances))
 
     def offer_text(self, record: TextRecord) -> None:
-        """Hold ``record`` for the peers and tell them at once."""
+        """Keep ``record`` for the peers and announce it to them immediately."""
         self._thread.submit(self._agent.offer_text, record)
 
     def spread_notice(self, notice: Notice) -> None:
-        """Tell the peers of a reclaim notice at once."""
+        """Send a reclaim notice to the peers immediately."""
         self._thread.submit(self._agent.spread_notice, notice)
 
     def announce_leaving(self) -> None:
-        """Tell the peers that this entry is leaving."""
+        """Announce to the peers that this entry is leaving."""
         self._thread.submit(self._agent.announce_leaving)
 
     def members(self) -> tuple[Member, ...]:
-        """Return the other entries as last seen, dead ones too, by name."""
+        """Return the other entries as last seen, including dead ones, by name."""
         return self._members
 
     def receivers(self, request_id: str) -> tuple[Member, ...]:
-        """Return whom to offer a hand-over, the first choice first.
+        """Return the members to offer a hand-over to, the preferred ones first.
 
-        Alive members of other availability zones, in the order in which
-        :meth:`find` asks.
+        These are the alive members of other availability zones, in the rendezvous
+        order that :meth:`find` uses as well.
         """
         usable = [
             each
@@ -131,19 +131,19 @@
         return tuple(rendezvous(request_id, usable))
 
     def hand_over(
-        self, peer_name: str, handover: HandOver, limit: timedelta = CALL_LIMIT
+        self, peer_name: str, handover: HandOver, limit: timedelta = CALL_TIMEOUT
     ) -> bool:
-        """Offer a request to a peer and return whether it acknowledged.
+        """Offer a request to a peer and return whether it accepted.
 
-        What is not acknowledged is still this entry's.
+        This entry keeps a request that the peer hasn't accepted.
         """
         try:
             return self._thread.call(self._agent.hand_over(peer_name, handover), limit)
         except PeerCallTimeout:
             return False
 
-    def find(self, request_id: str, limit: timedelta = CALL_LIMIT) -> Member | None:
-        """Return the member that holds a request, or None if none says so."""
+    def find(self, request_id: str, limit: timedelta = CALL_TIMEOUT) -> Member | None:
+        """Return the member that holds a request, or None if no member does."""
         try:
             return self._thread.call(self._agent.find(request_id), limit)
         except PeerCallTimeout:
@@ -164,8 +164,8 @@
             availability_zone=self._settings.availability_zone,
             address=self._settings.address,
             peer_address=self._peer_address,
-            # A process that starts again under its name must be newer than what
-            # the others remember of the one before.
+            # After a restart under the same name, the incarnation must be higher
+            # than the one that the others know of the earlier process.
             incarnation=(self._clock.now() - epoch) // MILLISECOND,
         )
         membership = Membership(me, self._clock, self._rng, self._timings)
@@ -175,7 +175,7 @@
         await self._agent.serve(Server([service]), sock)
 
     def _post(self, message: object) -> None:
-        """Bring ``message`` from the loop to the green side."""
+        """Post ``message`` from the loop to the green tasks."""
         self._mailbox.post(self._deliver, message)
 
     def _deliver(self, message: object) -> None:
--- a/src/sassafrasdale/peers/pulling.py
+++ b/src/sassafrasdale/peers/pulling.py
@@ -1,4 +1,4 @@
-"""Fetching a newer text from the peers that have it."""
+"""Pulls a newer configuration from the peers that have it."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -13,18 +13,18 @@
 from sassafrasdale.peers.structures import Member
 
 PULL_HEDGE = timedelta(milliseconds=300)
-"""After this time without the text another source is asked too."""
+"""Time without a reply after which the next source is tried as well."""
 
 
 class TextPuller:
-    """Asks one source after the other for a text newer than the one held.
+    """Pulls a newer configuration from one source after the other.
 
-    :param channels: connections to the peers.
-    :param call_timeout: limit of one call.
-    :param run: starts a task that ends with the agent.
-    :param gossip: makes the part that every message carries, for a receiver.
-    :param revision: revision of the text held here.
-    :param taken: takes a text that came.
+    :param channels: channels to the peers.
+    :param call_timeout: timeout of one call.
+    :param run: starts a task that is cancelled when the agent stops.
+    :param gossip: returns the gossip for a receiver.
+    :param revision: returns the revision of the configuration known here.
+    :param on_text: called with each pulled configuration.
     """
 
     def __init__(
@@ -34,33 +34,33 @@
         run: Callable[[Coroutine[Any, Any, Any]], asyncio.Task],
         gossip: Callable[[str], Gossip],
         revision: Callable[[], int],
-        taken: Callable[[TextRecord], None],
+        on_text: Callable[[TextRecord], None],
     ) -> None:
         self._channels = channels
         self._call_timeout = call_timeout
         self._run = run
         self._gossip = gossip
         self._revision = revision
-        self._taken = taken
-        self._is_pulling = False
-        self._pulled_from: set[str] = set()
+        self._on_text = on_text
+        self._is_running = False
+        self._in_progress: set[str] = set()
         self._sources: dict[str, tuple[Member, int]] = {}
 
     def pull_soon(self, source: Member, revision: int) -> None:
-        """Note that ``source`` has the text of a revision, and fetch it in turn."""
-        if source.name in self._pulled_from:
+        """Add ``source``, which has the given revision, to the sources to pull from."""
+        if source.name in self._in_progress:
             return
         self._sources[source.name] = (source, revision)
-        if not self._is_pulling:
-            self._is_pulling = True
-            self._run(self._pull_in_turn())
+        if not self._is_running:
+            self._is_running = True
+            self._run(self._pull_sources())
 
-    async def _pull_in_turn(self) -> None:
-        """Pull from one source after the other, without waiting long for any.
+    async def _pull_sources(self) -> None:
+        """Pull from one source after the other, with a hedge delay between them.
 
-        A source may be out of reach although its messages arrive, as when the
-        network is cut in one direction. Waiting for its whole time-out, and again
-        at its next message, would keep out what the others have.
+        A source may be unreachable although its messages arrive, for instance in
+        a one-way partition. Waiting for its full timeout, and again after its next
+        message, would delay the pull from the other sources.
         """
         try:
             while self._sources:
@@ -71,25 +71,25 @@
                 pull = self._run(self._pull(source))
                 await asyncio.wait([pull], timeout=PULL_HEDGE.total_seconds())
         finally:
-            self._is_pulling = False
+            self._is_running = False
 
     async def _pull(self, source: Member) -> None:
-        self._pulled_from.add(source.name)
+        self._in_progress.add(source.name)
         try:
             await self._pull_from(source)
         except PeerNotReached:
-            # The next message with a newer revision starts another pull.
+            # The next message that has a newer revision starts another pull.
             pass
         finally:
-            self._pulled_from.discard(source.name)
+            self._in_progress.discard(source.name)
 
     async def _pull_from(self, source: Member) -> None:
         request = PullTextRequest(gossip=self._gossip(source.name))
-        reply = await self._channels.call_twice(
+        reply = await self._channels.call_with_retry(
             source.peer_address,
             lambda stub: stub.PullText(request),
             self._call_timeout,
         )
         record = text_from_message(reply)
         if record is not None:
-            self._taken(record)
+            self._on_text(record)
--- a/src/sassafrasdale/peers/rendezvous.py
+++ b/src/sassafrasdale/peers/rendezvous.py
@@ -1,4 +1,4 @@
-"""Order of the members for a request, the same on every entry."""
+"""Rendezvous hashing: an order of members per key, the same on every entry."""
 
 from collections.abc import Iterable
 
@@ -8,9 +8,9 @@
 
 
 def rendezvous(request_id: str, members: Iterable[Member]) -> list[Member]:
-    """Return ``members`` in the order of their weights for ``request_id``.
+    """Return ``members`` sorted by their rendezvous weights for ``request_id``.
 
-    A member that comes or goes leaves the order of the others as it is.
+    Adding or removing a member doesn't change the order of the others.
     """
 
     def weight(member: Member) -> tuple[int, str]:
--- a/src/sassafrasdale/peers/service.py
+++ b/src/sassafrasdale/peers/service.py
@@ -1,4 +1,4 @@
-"""The server side of the peers' messages."""
+"""gRPC service for the peers."""
 
 import asyncio
 import logging
@@ -26,21 +26,21 @@
 from sassafrasdale.peers.messages import fill_text, member_from_message
 from sassafrasdale.peers.structures import FindAsked, HandOver, HandOverOffered
 
-ANSWER_LIMIT = timedelta(milliseconds=1500)
+DECISION_TIMEOUT = timedelta(milliseconds=1500)
 
-Ask = Callable[[Callable[[bool], None]], None]
+PostRequest = Callable[[Callable[[bool], None]], None]
 
 
 class _LateCancellations(logging.Filter):
-    """Drops what grpclib logs as an error when a sender closes its connection.
+    """Suppresses grpclib's error when a client closes its connection late in a call.
 
-    A sender closes idle channels right after an answer, sometimes while the
-    handler is in its last step. grpclib then reports that the handler did not
-    end by cancellation. Errors of handlers are logged in other words.
+    A client may close an idle channel right after a reply, while the handler is
+    still returning. grpclib then logs that the handler was not cancelled. Errors
+    raised by handlers are logged with another message.
     """
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether ``record`` is to be logged."""
+        """Return whether to log ``record``."""
         return record.msg != "Failed to handle cancellation"
 
 
@@ -48,10 +48,10 @@
 
 
 class PeersService(PeersBase):
-    """Answers the messages of other entries.
+    """Handles the requests of other entries.
 
-    :param agent: state and tasks of this entry.
-    :param post: takes the messages for the green side.
+    :param agent: gossip agent of this entry.
+    :param post: posts messages to the green tasks.
     """
 
     def __init__(self, agent: PeerAgent, post: Callable[[object], None]) -> None:
@@ -61,9 +61,9 @@
     async def Probe(  # noqa: N802
         self, stream: Stream[ProbeRequest, ProbeReply]
     ) -> None:
-        """Answer that this entry lives, with what the sender may lack."""
+        """Reply that this entry is alive, with gossip that the sender may lack."""
         request = await stream.recv_message()
-        self._agent.take_in(request.gossip, served=True)
+        self._agent.merge(request.gossip, from_request=True)
         sender = request.gossip.sender.name
         gossip = self._agent.gossip(sender, request.gossip.highest_notice)
         if request.wants_members:
@@ -73,32 +73,34 @@
     async def ProbeIndirectly(  # noqa: N802
         self, stream: Stream[IndirectProbeRequest, IndirectProbeReply]
     ) -> None:
-        """Probe another entry for the sender."""
+        """Probe another entry on behalf of the sender."""
         request = await stream.recv_message()
-        self._agent.take_in(request.gossip, served=True)
+        self._agent.merge(request.gossip, from_request=True)
         target = member_from_message(request.target)
-        # In a task of its own: when the sender gives up, grpclib cancels this
-        # handler, and the call inside would take that for its own failure.
+        # Runs in its own task: when the sender cancels its call, grpclib cancels
+        # this handler, and the inner call would count that as a failed probe.
         probe = self._agent.run(self._agent.probe_for(target))
-        answered = await asyncio.shield(probe)
+        replied = await asyncio.shield(probe)
         gossip = self._agent.gossip(request.gossip.sender.name)
-        await stream.send_message(IndirectProbeReply(gossip=gossip, answered=answered))
+        await stream.send_message(IndirectProbeReply(gossip=gossip, answered=replied))
 
     async def Spread(  # noqa: N802
         self, stream: Stream[SpreadRequest, SpreadReply]
     ) -> None:
-        """Take in news and pass it on."""
+        """Merge updates and forward them."""
         request = await stream.recv_message()
-        self._agent.take_in(request.gossip, served=True, hops_left=request.hops_left)
+        self._agent.merge(
+            request.gossip, from_request=True, hops_left=request.hops_left
+        )
         gossip = self._agent.gossip(request.gossip.sender.name)
         await stream.send_message(SpreadReply(gossip=gossip))
 
     async def PullText(  # noqa: N802
         self, stream: Stream[PullTextRequest, PullTextReply]
     ) -> None:
-        """Give the newest text held here."""
+        """Return the newest configuration known here."""
         request = await stream.recv_message()
-        self._agent.take_in(request.gossip, served=True)
+        self._agent.merge(request.gossip, from_request=True)
         reply = PullTextReply(gossip=self._agent.gossip(request.gossip.sender.name))
         if self._agent.record is not None:
             fill_text(reply, self._agent.record)
@@ -107,12 +109,12 @@
     async def HandOver(  # noqa: N802
         self, stream: Stream[HandOverRequest, HandOverReply]
     ) -> None:
-        """Offer a request to the green side and acknowledge if it took it."""
+        """Offer a request to the green tasks and reply whether they accepted it."""
         request = await stream.recv_message()
-        self._agent.take_in(request.gossip, served=True)
+        self._agent.merge(request.gossip, from_request=True)
         sender = request.gossip.sender.name
         handover = HandOver(request.request_id, sender, request.request)
-        accepted = await self._ask(
+        accepted = await self._request_decision(
             lambda reply: self._post(HandOverOffered(handover, reply))
         )
         gossip = self._agent.gossip(sender)
@@ -121,31 +123,31 @@
     async def Find(  # noqa: N802
         self, stream: Stream[FindRequest, FindReply]
     ) -> None:
-        """Ask the green side whether it holds a request."""
+        """Ask the green tasks whether this entry holds a request."""
         request = await stream.recv_message()
-        self._agent.take_in(request.gossip, served=True)
-        held = await self._ask(
+        self._agent.merge(request.gossip, from_request=True)
+        held = await self._request_decision(
             lambda reply: self._post(FindAsked(request.request_id, reply))
         )
         gossip = self._agent.gossip(request.gossip.sender.name)
         await stream.send_message(FindReply(gossip=gossip, held=held))
 
-    async def _ask(self, ask: Ask) -> bool:
-        """Return the green side's reply, or False if it gives none in time.
+    async def _request_decision(self, post_request: PostRequest) -> bool:
+        """Return the green tasks' decision, or False if it takes too long.
 
-        A reply after the limit is lost: then the sender keeps the request and so
-        does this entry, which is safe as resuming is idempotent.
+        A later decision is ignored. Then both the sender and this entry may have
+        the request, which is safe, as resuming is idempotent.
         """
         loop = asyncio.get_running_loop()
-        answer: asyncio.Future[bool] = loop.create_future()
+        decision: asyncio.Future[bool] = loop.create_future()
 
-        def settle(value: bool) -> None:
-            if not answer.done():
-                answer.set_result(value)
+        def resolve(value: bool) -> None:
+            if not decision.done():
+                decision.set_result(value)
 
-        ask(lambda value: loop.call_soon_threadsafe(settle, bool(value)))
+        post_request(lambda value: loop.call_soon_threadsafe(resolve, bool(value)))
         try:
-            async with asyncio.timeout(ANSWER_LIMIT.total_seconds()):
-                return await answer
+            async with asyncio.timeout(DECISION_TIMEOUT.total_seconds()):
+                return await decision
         except TimeoutError:
             return False
--- a/src/sassafrasdale/peers/slowness.py
+++ b/src/sassafrasdale/peers/slowness.py
@@ -1,29 +1,30 @@
-"""How slow this entry itself is, by the signs that its probes give."""
+"""Local health of this entry, judged by its own probes."""
 
-MAX_SLOWNESS = 4
+MAX_SCORE = 4
 
 
-class Slowness:
-    """How far this entry is to doubt itself before it doubts others.
+class LocalHealth:
+    """Scales this entry's probe timeouts while it is slow itself.
 
-    A machine that is short of processor time answers and hears late. Its probes
-    time out, and without this it would call healthy members suspect, whose
-    refutations make more work for all. Probes to which nobody answers, helpers
-    neither, and own refutations lengthen its time-outs; answered probes shorten them.
+    A machine that is short of CPU time sends and receives late. Its probes time
+    out, and with fixed timeouts it would suspect healthy members, whose
+    refutations add load everywhere. Probes without a reply from the target or any
+    helper, and refutations by this entry, lengthen its timeouts; successful probes
+    shorten them.
     """
 
     def __init__(self) -> None:
         self._score = 0
 
     @property
-    def factor(self) -> int:
-        """By how much to lengthen time-outs."""
+    def timeout_factor(self) -> int:
+        """Factor by which to multiply probe timeouts."""
         return 1 + self._score
 
-    def add(self) -> None:
-        """Note a sign of slowness."""
-        self._score = min(self._score + 1, MAX_SLOWNESS)
+    def degrade(self) -> None:
+        """Record a sign that this entry is slow."""
+        self._score = min(self._score + 1, MAX_SCORE)
 
-    def lessen(self) -> None:
-        """Note a sign of health."""
+    def improve(self) -> None:
+        """Record a sign that this entry is healthy."""
         self._score = max(self._score - 1, 0)
--- a/src/sassafrasdale/peers/spreading.py
+++ b/src/sassafrasdale/peers/spreading.py
@@ -1,4 +1,4 @@
-"""News on its way to the peers: what is to be told, when and to whom."""
+"""Spreads updates to the peers in rounds."""
 
 import asyncio
 import math
@@ -12,20 +12,20 @@
 from sassafrasdale.peers.structures import Member, PeerTimings
 from sassafrasdale.structures import Notice
 
-FAN_OUT = 4
-SPREAD_TO_ALL = 16
-SPARE_HOPS = 2
-UPDATES_A_SPREAD = 64
+FANOUT = 4
+MAX_BROADCAST_SIZE = 16
+EXTRA_HOPS = 2
+UPDATES_PER_ROUND = 64
 
 
 @dataclass(frozen=True, slots=True)
-class News:
-    """What one round of spreading tells.
+class SpreadRound:
+    """Updates that one round sends.
 
-    :param receivers: whom it goes to.
-    :param members: changed beliefs about members.
+    :param receivers: members to send the updates to.
+    :param members: members whose state has changed.
     :param notices: reclaim notices.
-    :param hops_left: how often it is to be passed on.
+    :param hops_left: how many more times receivers forward the updates.
     """
 
     receivers: list[Member]
@@ -35,13 +35,13 @@
 
 
 class Spreader:
-    """Gathers news and gives it out in rounds.
+    """Collects updates and sends them in rounds.
 
-    :param membership: what is believed of the others.
+    :param membership: state of the other entries, as known here.
     :param clock: source of time.
-    :param rng: source of the choice of receivers.
-    :param timings: periods and limits.
-    :param send: sends the news of one round.
+    :param rng: source of the random choice of receivers.
+    :param timings: periods and timeouts.
+    :param send: sends one round.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         clock: Clock,
         rng: Random,
         timings: PeerTimings,
-        send: Callable[[News], None],
+        send: Callable[[SpreadRound], None],
     ) -> None:
         self._membership = membership
         self._clock = clock
@@ -65,58 +65,58 @@
 
     @property
     def first_hops(self) -> int:
-        """How often news that begins here is to be passed on."""
+        """Number of times that receivers forward an update that starts here."""
         size = len(self._membership.reachable)
-        if size <= SPREAD_TO_ALL:
+        if size <= MAX_BROADCAST_SIZE:
             return 0
-        return math.ceil(math.log(size, FAN_OUT)) + SPARE_HOPS
+        return math.ceil(math.log(size, FANOUT)) + EXTRA_HOPS
 
     def add_member(self, member: Member, hops: int) -> None:
-        """Tell of a changed belief; the latest about a member counts."""
+        """Add a changed member state; a later one replaces it."""
         self._members[member.name] = member
         self.spread_soon(hops)
 
     def add_notice(self, notice: Notice, hops: int) -> None:
-        """Tell of a reclaim notice."""
+        """Add a reclaim notice."""
         self._notices.append(notice)
         self.spread_soon(hops)
 
     def spread_soon(self, hops: int) -> None:
-        """Spread what is new after a moment, so that news travels together.
+        """Schedule a round after a short delay, so that updates are batched.
 
-        The first news goes at once, what follows waits for the least interval. So
-        a fleet in which everything changes at once spends no more than a fixed
-        number of messages a second on saying so. The sender's own state and
-        revision go along in any case.
+        The first update is sent after ``coalesce``; later ones wait for
+        ``spread_interval``. This bounds the number of messages per second when all
+        members change at the same time. Every round includes the sender's own
+        state and revision.
         """
         if hops < 0:
             return
         self._hops_left = max(self._hops_left, hops)
         if self._round is None:
             loop = asyncio.get_running_loop()
-            self._round = loop.call_later(self._pause().total_seconds(), self._spread)
+            self._round = loop.call_later(self._delay().total_seconds(), self._spread)
 
     def stop(self) -> None:
-        """Tell nothing any more."""
+        """Cancel the scheduled round."""
         if self._round is not None:
             self._round.cancel()
 
-    def _pause(self) -> timedelta:
+    def _delay(self) -> timedelta:
         since = self._clock.elapsed() - self._spread_at
         return max(self._timings.coalesce, self._timings.spread_interval - since)
 
     def _spread(self) -> None:
         self._round = None
         self._spread_at = self._clock.elapsed()
-        # What is too much for one round is left to the probes.
-        members = list(self._members.values())[-UPDATES_A_SPREAD:]
+        # Updates beyond the maximum of one round are left to the probes' gossip.
+        members = list(self._members.values())[-UPDATES_PER_ROUND:]
         notices, self._notices = self._notices, []
         hops, self._hops_left = self._hops_left, 0
         self._members = {}
-        self._send(News(self._receivers(), members, notices, hops))
+        self._send(SpreadRound(self._receivers(), members, notices, hops))
 
     def _receivers(self) -> list[Member]:
         reachable = self._membership.reachable
-        if len(reachable) <= SPREAD_TO_ALL:
+        if len(reachable) <= MAX_BROADCAST_SIZE:
             return reachable
-        return self._rng.sample(self._membership.neighbours, FAN_OUT)
+        return self._rng.sample(self._membership.neighbours, FANOUT)
--- a/src/sassafrasdale/peers/structures.py
+++ b/src/sassafrasdale/peers/structures.py
@@ -1,4 +1,4 @@
-"""Data classes of the peers' layer and the messages that it posts."""
+"""Data classes of the communication between entries, and the messages it posts."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; at equal incarnation the higher one wins."""
+    """State of a member; at equal incarnations the higher value wins."""
 
     ALIVE = 0
     LEAVING = 1
@@ -21,15 +21,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """An entry as this entry knows it.
-
-    :param name: the platform's identifier.
-    :param availability_zone: where it runs.
-    :param address: where it takes HTTP.
-    :param peer_address: where it takes messages of its peers.
-    :param state: what is believed of it.
-    :param incarnation: counts what the member has said about itself.
-    :param revision: newest text revision heard from it, 0 if none.
+    """An entry as known to this entry.
+
+    :param name: the platform's name of the instance.
+    :param availability_zone: availability zone of the instance.
+    :param address: address of its HTTP server.
+    :param peer_address: address of its server for peers.
+    :param state: its last known state.
+    :param incarnation: number that the member raises with each state it announces.
+    :param revision: highest configuration revision received from it, 0 if none.
     """
 
     name: str
@@ -42,21 +42,21 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it is alive and stays."""
+        """Whether it is alive and not leaving."""
         return self.state is MemberState.ALIVE
 
     @property
     def precedence(self) -> tuple[int, int]:
-        """Order of two beliefs about one member: the greater one holds."""
+        """Sort key for two states of one member: the greater one wins."""
         return (self.incarnation, int(self.state))
 
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """A request that its holder gives to another entry.
+    """A request that its holder transfers to another entry.
 
-    :param request_id: id by which the caller resumes.
-    :param holder: name of the entry that gives it away.
+    :param request_id: id with which the client resumes the request.
+    :param holder: name of the entry that transfers it.
     :param request: the request and its progress, encoded by the caller.
     """
 
@@ -67,28 +67,28 @@
 
 @dataclass(frozen=True, slots=True)
 class TextOffered:
-    """A peer holds a newer text."""
+    """Message: a newer configuration was pulled from a peer."""
 
     record: TextRecord
 
 
 @dataclass(frozen=True, slots=True)
 class NoticeHeard:
-    """A peer passed on a reclaim notice that was new here."""
+    """Message: a peer sent a reclaim notice that was new here."""
 
     notice: Notice
 
 
 @dataclass(frozen=True, slots=True)
 class MembersChanged:
-    """The membership as seen from here has changed."""
+    """Message: the membership as seen from this entry has changed."""
 
     members: tuple[Member, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class HandOverOffered:
-    """A peer wants to hand a request over; call ``reply`` with the decision."""
+    """Message: a peer offers a hand-over; call ``reply`` with the decision."""
 
     handover: HandOver
     reply: Callable[[bool], None]
@@ -96,14 +96,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FindAsked:
-    """A peer asks whether a request is held here; call ``reply`` with that."""
+    """Message: a peer asks whether this entry holds a request; call ``reply``."""
 
     request_id: str
     reply: Callable[[bool], None]
 
 
 class NodeSettings(Protocol):
-    """The part of the process settings that this layer reads."""
+    """The process settings that this package reads."""
 
     name: str
     availability_zone: str
@@ -113,18 +113,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerTimings:
-    """Periods and limits of the peers' messages.
+    """Periods and timeouts of the communication between entries.
 
     :param period: time between two probes.
-    :param probe_timeout: limit of a first probe.
-    :param retry_timeout: limit of the probe on a fresh connection and through
-        others.
-    :param suspicion: time in which a suspect member may refute.
-    :param forget: how long a dead member that the platform does not list is kept.
-    :param pause: lateness of a period that shows that this process was paused.
-    :param call_timeout: limit of one attempt at any other call.
-    :param coalesce: how long news waits for more of it before it is spread.
-    :param spread_interval: least time between two rounds of spreading.
+    :param probe_timeout: timeout of the first probe.
+    :param retry_timeout: timeout of the retry on a new connection and of indirect
+        probes.
+    :param suspicion: time that a suspect member has to refute.
+    :param forget: time after which a dead member that isn't listed is removed.
+    :param pause: delay of a period from which this process counts as paused.
+    :param call_timeout: timeout of one attempt of any other call.
+    :param coalesce: delay before a round, to batch updates.
+    :param spread_interval: minimum time between two rounds.
     """
 
     period: timedelta = timedelta(seconds=1)
--- a/tests/peers/__init__.py
+++ b/tests/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the peers layer."""
+"""Tests of the communication between entries."""
--- a/tests/peers/nodes.py
+++ b/tests/peers/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes for the tests: several in this process, or one a process."""
+"""Nodes for the tests, and helpers to list them and to wait."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -65,6 +65,6 @@
     clock = SystemClock()
     start = clock.elapsed()
     while not condition():
-        assert clock.elapsed() - start < limit, "the condition did not come to hold"
+        assert clock.elapsed() - start < limit, "timed out waiting for the condition"
         sleep(timedelta(milliseconds=10))
     return clock.elapsed() - start
--- a/tests/peers/peer_process.py
+++ b/tests/peers/peer_process.py
@@ -1,9 +1,10 @@
-"""A node in a process of its own, driven by JSON lines.
+"""A node in its own process, controlled by JSON lines.
 
-Standard input takes ``{"candidates": [[name, zone, peer_address], ...]}``,
-``{"mute": bool}`` and ``{"cut": [peer_address, ...]}``. A muted node keeps its
-sockets open and goes on sending, but answers nothing. A node that is cut from
-addresses can't send there. Standard output gives ``{"peer_address"}`` once and then
+Commands on standard input are
+``{"candidates": [[name, zone, peer_address], ...]}``, ``{"mute": bool}``,
+``{"claim": revision}`` and ``{"cut": [peer_address, ...]}``. A muted node keeps its
+sockets open and sends requests, but no replies. A node that is cut from addresses
+can't send to them. Standard output has ``{"peer_address"}`` once and then
 ``{"members": {name: state}}`` after each change.
 """
 
@@ -28,27 +29,27 @@
 
 
 class MutableService(PeersService):
-    """Service that can stop answering."""
+    """Service that can stop replying."""
 
     is_muted = False
 
     async def Probe(self, stream):  # noqa: N802
-        """Answer a probe, or leave it without an answer."""
+        """Reply to a probe, unless muted."""
         await self._hang_if_muted()
         await super().Probe(stream)
 
     async def ProbeIndirectly(self, stream):  # noqa: N802
-        """Answer an indirect probe, or leave it without an answer."""
+        """Reply to an indirect probe, unless muted."""
         await self._hang_if_muted()
         await super().ProbeIndirectly(stream)
 
     async def Spread(self, stream):  # noqa: N802
-        """Answer news, or leave them without an answer."""
+        """Reply to updates, unless muted."""
         await self._hang_if_muted()
         await super().Spread(stream)
 
     async def PullText(self, stream):  # noqa: N802
-        """Give the text, or leave the call without an answer."""
+        """Return the configuration, unless muted."""
         await self._hang_if_muted()
         await super().PullText(stream)
 
@@ -58,12 +59,12 @@
 
 
 class CuttableChannels(ChannelPool):
-    """Channels that can be cut from some addresses."""
+    """Channels that fail for some addresses."""
 
     cut: frozenset[Address] = frozenset()
 
     async def call(self, address, call, limit):
-        """Make a call, or fail at once if the address is cut off."""
+        """Make a call, or fail immediately if the address is cut off."""
         if address in CuttableChannels.cut:
             raise PeerNotReached(f"{address} is cut off")
         return await super().call(address, call, limit)
@@ -74,8 +75,8 @@
     print(json.dumps(line), flush=True)
 
 
-def take_commands(node):
-    """Carry out the lines of standard input; runs in a thread."""
+def run_commands(node):
+    """Execute the commands from standard input; runs in a thread."""
     for line in sys.stdin:
         command = json.loads(line)
         MutableService.is_muted = command.get("mute", MutableService.is_muted)
@@ -103,7 +104,7 @@
     node = PeerNode(Settings(name, zone), SystemClock(), Random(name), inbox, FAST)
     node.start()
     write(peer_address=str(node.peer_address))
-    threading.Thread(target=take_commands, args=(node,), daemon=True).start()
+    threading.Thread(target=run_commands, args=(node,), daemon=True).start()
     while True:
         message = inbox.get()
         if isinstance(message, MembersChanged):
--- a/tests/peers/processes.py
+++ b/tests/peers/processes.py
@@ -1,4 +1,4 @@
-"""Starts and watches nodes that run as processes."""
+"""Starts and observes nodes that run as processes."""
 
 import json
 import signal
@@ -14,7 +14,7 @@
 
 
 class PeerProcess:
-    """A node in a process of its own and what it last said of the others."""
+    """A node in its own process, and the member states that it last reported."""
 
     def __init__(self, number: int) -> None:
         self.name = f"entry-{number}"
@@ -40,7 +40,7 @@
         self._process.send_signal(number)
 
     def end(self) -> None:
-        """Kill the process, frozen or not."""
+        """Kill the process, which may be stopped."""
         self._process.kill()
         self._process.wait()
         self._process.stdin.close()
@@ -52,7 +52,7 @@
 
 
 def introduce(processes: list[PeerProcess]) -> None:
-    """Give every process the list of all, as the platform does."""
+    """Send the list of all processes to every process, as the platform does."""
     listed = [[each.name, each.zone, each.peer_address] for each in processes]
     for each in processes:
         each.tell(candidates=listed)
@@ -62,7 +62,9 @@
     """Return the time until ``condition`` held; fail after ``limit``."""
     start = time.monotonic()
     while not condition():
-        assert time.monotonic() - start < limit.total_seconds(), "it did not happen"
+        assert time.monotonic() - start < limit.total_seconds(), (
+            "timed out waiting for the condition"
+        )
         time.sleep(0.01)
     return timedelta(seconds=time.monotonic() - start)
 
--- a/tests/peers/proxies.py
+++ b/tests/peers/proxies.py
@@ -1,4 +1,4 @@
-"""A TCP forwarder whose open connections can go silent for good."""
+"""A TCP proxy whose open connections can be made unresponsive."""
 
 import socket
 import threading
@@ -9,7 +9,7 @@
 
 
 class Proxy:
-    """Forwards connections to ``target``; runs in threads of its own."""
+    """Forwards connections to ``target``, in its own threads."""
 
     def __init__(self, target: Address) -> None:
         self._target = (target.host, target.port)
@@ -20,16 +20,16 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address on which the proxy listens."""
         return Address(*self._listening.getsockname())
 
     def silence(self) -> None:
-        """Drop what open connections carry from now on, and keep them open."""
+        """Discard all data on open connections from now on, and keep them open."""
         self._silenced.set()
         self._silenced = threading.Event()
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         self._listening.close()
 
     def _accept(self) -> None:
--- a/tests/peers/test_bridge.py
+++ b/tests/peers/test_bridge.py
@@ -1,4 +1,4 @@
-"""Messages between green tasks and the peers' thread."""
+"""Tests of the messages between green tasks and the peers' thread."""
 
 import asyncio
 import threading
@@ -28,7 +28,7 @@
     made.stop()
 
 
-def test_messages_of_a_thread_come_in_order_and_on_the_green_side(mailbox):
+def test_posted_functions_run_in_order_in_the_green_thread(mailbox):
     inbox = Queue()
     green = threading.get_ident()
     count = 10_000
@@ -43,14 +43,14 @@
     ]
 
 
-def test_a_message_that_fails_does_not_stop_the_next(mailbox):
+def test_failed_function_does_not_stop_the_next(mailbox):
     inbox = Queue()
     mailbox.post(lambda: 1 / 0)
     mailbox.post(inbox.put, "next")
     assert inbox.get(timeout=5) == "next"
 
 
-def test_a_call_gives_its_result_while_other_tasks_go_on(thread):
+def test_call_returns_its_result_while_other_tasks_run(thread):
     beats = []
 
     def beat():
@@ -60,16 +60,16 @@
 
     beating = spawn(beat)
 
-    async def answer():
+    async def compute():
         await asyncio.sleep(0.2)
         return 42
 
-    assert thread.call(answer(), SECOND) == 42
+    assert thread.call(compute(), SECOND) == 42
     assert len(beats) > 5
     beating.kill()
 
 
-def test_a_call_raises_what_its_coroutine_raised(thread):
+def test_call_raises_the_exception_of_its_coroutine(thread):
     async def fail():
         raise KeyError("x")
 
@@ -77,8 +77,8 @@
         thread.call(fail(), SECOND)
 
 
-def test_a_call_past_its_limit_is_cancelled(thread):
-    """A green task would wait for ever on a peer that says nothing."""
+def test_call_is_cancelled_after_its_timeout(thread):
+    """Guards against a green task that waits forever for an unresponsive peer."""
     ended = threading.Event()
 
     async def hang():
--- a/tests/peers/test_failures.py
+++ b/tests/peers/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of peers, on real processes."""
+"""Tests of failure detection with real processes."""
 
 import signal
 import time
@@ -28,22 +28,22 @@
 
 
 def test_killed_peer_is_found_dead(processes):
-    """Hand-overs would go to a peer that is gone.
+    """Guards against hand-overs to a killed peer.
 
-    A peer is killed; the platform goes on listing it. Its port refuses
-    connections, so probes of it fail directly and through others.
+    The platform still lists it. Its port refuses connections, so direct and
+    indirect probes fail.
     """
     *others, victim = processes
     victim.signal(signal.SIGKILL)
     wait_for(lambda: all_see(others, victim.name, "DEAD"), DETECTION)
 
 
-def test_frozen_peer_is_found_dead_and_comes_back(processes):
-    """A frozen peer takes connections and never answers; then it thaws.
+def test_stopped_peer_is_found_dead_and_rejoins(processes):
+    """A stopped process accepts connections but never replies; then it continues.
 
-    The kernel goes on accepting for a stopped process, so only time-outs show
-    it. The others declare it dead. After SIGCONT it must be a member again,
-    although all remember it as dead: it raises its incarnation.
+    The kernel still accepts connections for it, so only timeouts reveal it, and
+    the others declare it dead. After SIGCONT it must become a member again, by
+    raising its incarnation.
     """
     *others, victim = processes
     victim.signal(signal.SIGSTOP)
@@ -54,12 +54,12 @@
     wait_for(lambda: all(victim.members.get(each) == "ALIVE" for each in names))
 
 
-def test_peer_that_sends_but_does_not_answer_stays_dead(processes):
-    """A one-way cut: a peer's messages arrive, nothing sent to it is answered.
+def test_peer_that_sends_but_does_not_reply_stays_dead(processes):
+    """One-way partition: a peer's requests arrive, but it doesn't reply to others'.
 
-    It goes on probing the others, whose replies say that it is dead. If it
-    refuted on their account it would flap between alive and dead for ever and
-    be chosen for hand-overs that nobody takes. Once healed it comes back.
+    It still probes the others, whose replies say that it is dead. If it refuted
+    these, it would flap between alive and dead and be chosen for hand-overs that
+    it can't accept. After the partition it becomes a member again.
     """
     *others, victim = processes
     victim.tell(mute=True)
@@ -73,13 +73,12 @@
     wait_for(lambda: all_see(others, victim.name, "ALIVE"))
 
 
-def test_parted_groups_find_each_other_again(processes):
-    """Two regions lose each other for a while; then one would stay split.
+def test_groups_rejoin_after_a_partition(processes):
+    """Guards against a fleet that stays split after a partition.
 
-    Each side declares the other dead and goes on. When the network is whole
-    again, nobody has a reason to send to members believed dead, except the probe
-    of one other member in each round. That one carries the belief, and the
-    answer refutes it.
+    Each side declares the other dead. After the partition only the probe of one
+    other member per round reaches a dead member. It includes the recorded state,
+    which the reply refutes.
     """
     west, east = processes[:2], processes[2:]
     for side, other in ((west, east), (east, west)):
--- a/tests/peers/test_generated.py
+++ b/tests/peers/test_generated.py
@@ -1,4 +1,4 @@
-"""The committed stubs match the proto file."""
+"""Tests that the committed stubs match the proto file."""
 
 import re
 from pathlib import Path
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -1,4 +1,4 @@
-"""Rules of the membership, without input or output."""
+"""Tests of the membership rules, without I/O."""
 
 from collections import Counter
 from datetime import timedelta
@@ -35,19 +35,19 @@
 
 
 @given(st.lists(updates), st.randoms())
-def test_beliefs_do_not_depend_on_the_order_of_news(news, random):
-    """Two entries would disagree for good about who lives.
+def test_states_do_not_depend_on_the_order_of_updates(received, random):
+    """Guards against entries that permanently disagree about a member's state.
 
-    News reaches entries in different orders and more than once. The belief of
-    the highest precedence holds everywhere.
+    Updates reach entries in different orders and more than once. The state with
+    the highest precedence must win everywhere.
     """
     first, second = make(), make()
     for membership in (first, second):
         for name in ("a", "b"):
             membership.apply(member(name, incarnation=0))
-    shuffled = news * 2
+    shuffled = received * 2
     random.shuffle(shuffled)
-    for each in news:
+    for each in received:
         first.apply(each)
     for each in shuffled:
         second.apply(each)
@@ -55,9 +55,9 @@
 
 
 @given(st.lists(updates))
-def test_incarnation_of_this_entry_never_falls(news):
+def test_incarnation_of_this_entry_never_decreases(received):
     membership = make()
-    for each in news:
+    for each in received:
         before = membership.me.incarnation
         membership.apply(each)
         assert membership.me.incarnation >= before
@@ -78,13 +78,13 @@
     assert membership.get("a").is_usable
 
 
-def test_answer_after_the_probe_makes_its_failure_void():
+def test_newer_incarnation_overrides_a_failed_probe():
     membership = make()
     membership.apply(member("a", incarnation=2))
     assert not membership.suspect("a", 1)
 
 
-def test_dead_member_is_kept_while_listed_and_then_forgotten():
+def test_dead_member_is_kept_while_listed_and_then_removed():
     clock = ManualClock()
     membership = make(clock)
     membership.set_candidates([instance_of("a", "zone-a", ADDRESS)])
@@ -100,7 +100,7 @@
 
 
 def make_fleet(size):
-    """Return the memberships of a fleet in which all know all."""
+    """Return the memberships of a fleet in which every entry knows all others."""
     names = [f"entry-{number}" for number in range(size)]
     fleet = []
     for name in names:
@@ -115,13 +115,13 @@
 
 
 @pytest.mark.parametrize("size", [2, 9, 17])
-def test_a_round_of_a_small_fleet_probes_every_member_once(size):
+def test_round_of_a_small_fleet_probes_every_member_once(size):
     membership = make_fleet(size)[0]
     probed = [membership.next_targets(8)[0].name for _ in range(size - 1)]
     assert set(probed) == {each.name for each in membership.members}
 
 
-def test_a_round_of_a_large_fleet_probes_its_neighbours_and_one_other():
+def test_round_of_a_large_fleet_probes_neighbours_and_one_other():
     membership = make_fleet(50)[0]
     neighbours = {each.name for each in membership.neighbours}
     probed = [membership.next_targets(8)[0].name for _ in range(17)]
@@ -131,7 +131,7 @@
 
 
 def test_every_member_of_a_large_fleet_has_neighbours_that_probe_it():
-    """A member that nobody probes could die unseen."""
+    """The failure of a member that nobody probes would not be detected."""
     fleet = make_fleet(320)
     probers = Counter(
         neighbour.name for membership in fleet for neighbour in membership.neighbours
@@ -140,8 +140,8 @@
     assert min(probers.values()) >= 4
 
 
-def test_a_dead_member_is_probed_once_in_a_round():
-    """Regions that lost each other must find each other again."""
+def test_dead_members_are_probed_in_some_rounds():
+    """Regions must find each other again after a partition."""
     membership = make_fleet(50)[0]
     membership.apply(member("entry-7", MemberState.DEAD))
     assert "entry-7" not in {each.name for each in membership.neighbours}
@@ -149,8 +149,8 @@
     assert "entry-7" in rounds
 
 
-def test_when_a_dead_member_comes_back_the_other_dead_ones_are_asked():
-    """After a partition each side would find the other's members one by one."""
+def test_when_a_dead_member_rejoins_the_other_dead_members_are_probed():
+    """Guards against slow recovery from a partition, one member per round."""
     membership = make_fleet(50)[0]
     dead = {f"entry-{number}" for number in range(1, 9)}
     for name in dead:
@@ -160,7 +160,7 @@
     assert dead - {"entry-1"} <= probed
 
 
-def test_updates_are_bounded_and_run_out():
+def test_updates_are_bounded_and_expire():
     membership = make()
     for number in range(20):
         membership.apply(member(f"entry-{number}"))
@@ -171,7 +171,7 @@
     assert 20 < count <= 20 * 20
 
 
-def test_bad_belief_about_the_receiver_always_goes_along():
+def test_suspect_or_dead_receiver_is_always_included():
     membership = make()
     membership.apply(member("a", MemberState.DEAD))
     membership.apply(member("b"))
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -1,4 +1,4 @@
-"""Several nodes in one process."""
+"""Tests of several nodes in one process."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -42,7 +42,7 @@
         try:
             message = inbox.get(timeout=limit.total_seconds())
         except Empty:
-            pytest.fail(f"no {kind.__name__} came")
+            pytest.fail(f"no {kind.__name__} message")
         if isinstance(message, kind):
             return message
 
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("accepted", [True, False])
-def test_hand_over_is_acknowledged_by_the_receivers_decision(cluster, accepted):
+def test_hand_over_returns_the_receivers_decision(cluster, accepted):
     node, _ = cluster[0]
     receiver = node.receivers("r-1")[0]
     inbox = cluster[int(receiver.name[-1])][1]
@@ -81,31 +81,31 @@
     deciding.wait()
 
 
-def test_find_names_the_holder(cluster):
+def test_find_returns_the_holder(cluster):
     def answer(inbox, held):
         take(inbox, FindAsked, timedelta(seconds=8)).reply(held)
 
-    answering = [
+    replying = [
         spawn(answer, inbox, number == 2)
         for number, (_, inbox) in enumerate(cluster)
         if number
     ]
     assert cluster[0][0].find("r-2").name == "entry-2"
-    for each in answering:
+    for each in replying:
         each.kill()
 
 
-def test_find_without_a_holder_gives_none(cluster):
+def test_find_without_a_holder_returns_none(cluster):
     def answer(inbox):
         take(inbox, FindAsked).reply(False)
 
-    answering = [spawn(answer, inbox) for _, inbox in cluster[1:]]
+    replying = [spawn(answer, inbox) for _, inbox in cluster[1:]]
     assert cluster[0][0].find("r-3") is None
-    for each in answering:
+    for each in replying:
         each.wait()
 
 
-def test_leaving_is_told(cluster):
+def test_leaving_is_announced(cluster):
     cluster[0][0].announce_leaving()
     wait_until(
         lambda: all(
@@ -119,16 +119,16 @@
     )
 
 
-def test_a_newcomer_that_the_list_lacks_is_learnt_from_peers(cluster):
-    """The platform's list lags behind a new entry.
+def test_unlisted_new_entry_is_discovered_through_peers(cluster):
+    """The platform's list doesn't include a new entry yet.
 
-    The newcomer has a list with one old entry only, and no list has the
-    newcomer. It probes the old one, which tells it of the others and them of it.
+    The new entry's list has a single other entry. It probes that entry, which
+    sends it the other members and spreads the new one to them.
     """
     nodes = [node for node, _ in cluster]
-    newcomer, _ = start_node(3)
+    joiner, _ = start_node(3)
     try:
-        newcomer.set_candidates(instances_of(nodes)[:1])
-        wait_until(lambda: all(count_alive(each) == 3 for each in [*nodes, newcomer]))
+        joiner.set_candidates(instances_of(nodes)[:1])
+        wait_until(lambda: all(count_alive(each) == 3 for each in [*nodes, joiner]))
     finally:
-        newcomer.stop()
+        joiner.stop()
--- a/tests/peers/test_notices.py
+++ b/tests/peers/test_notices.py
@@ -1,8 +1,8 @@
-"""Notices to pass on."""
+"""Tests of the log of reclaim notices."""
 
 from datetime import UTC, datetime
 
-from sassafrasdale.peers.notices import NoticeBoard
+from sassafrasdale.peers.notices import NoticeLog
 from sassafrasdale.structures import Notice
 
 
@@ -10,31 +10,31 @@
     return Notice(sequence, f"endpoint-{sequence}", datetime(2026, 1, 1, tzinfo=UTC))
 
 
-def test_a_notice_is_news_once():
-    board = NoticeBoard()
-    assert board.add(notice(3))
-    assert not board.add(notice(3))
+def test_notice_is_new_only_once():
+    log = NoticeLog()
+    assert log.add(notice(3))
+    assert not log.add(notice(3))
 
 
-def test_receiver_that_missed_a_wave_gets_what_it_lacks_oldest_first():
-    """An entry would go on sending to a zone that is about to vanish.
+def test_receiver_gets_missing_notices_oldest_first():
+    """Guards against requests to a zone that is about to be reclaimed.
 
-    All of its peers had the news of a wave, and it was left out. The next probe
-    must bring it all, not sixteen notices a second.
+    All peers of an entry received the zone's notices, but the entry itself did
+    not. The next probe must include up to 128 of them, not sixteen per second.
     """
-    board = NoticeBoard()
+    log = NoticeLog()
     for sequence in range(1, 201):
-        board.add(notice(sequence))
-    while board.take(16):
+        log.add(notice(sequence))
+    while log.take(16):
         pass
-    taken = board.take(16, above=10)
+    taken = log.take(16, above=10)
     assert [each.sequence for each in taken] == list(range(11, 11 + 128))
 
 
-def test_notices_in_messages_are_bounded_and_run_out():
-    board = NoticeBoard()
+def test_notices_in_messages_are_bounded_and_expire():
+    log = NoticeLog()
     for sequence in range(1, 41):
-        board.add(notice(sequence))
-    taken = list(iter(lambda: board.take(16), []))
+        log.add(notice(sequence))
+    taken = list(iter(lambda: log.take(16), []))
     assert max(map(len, taken)) == 16
     assert {each.sequence for batch in taken for each in batch} == set(range(1, 41))
--- a/tests/peers/test_rendezvous.py
+++ b/tests/peers/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Order of members for a request."""
+"""Tests of the rendezvous order of members for a request."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 
 
 @given(st.text(), st.sampled_from(MEMBERS))
-def test_a_member_that_leaves_does_not_move_the_others(request_id, leaving):
+def test_leaving_member_does_not_change_the_order_of_others(request_id, leaving):
     ordered = rendezvous(request_id, MEMBERS)
     rest = [each for each in MEMBERS if each is not leaving]
     assert rendezvous(request_id, rest) == [
@@ -25,7 +25,7 @@
 
 @given(st.text(), st.sampled_from(MEMBERS))
 def test_receiver_in_another_zone_is_among_the_first_two_asked(request_id, holder):
-    """A caller that resumes would wait while every entry is asked in turn."""
+    """Guards against a resuming caller that waits until every entry was asked."""
     ordered = rendezvous(request_id, MEMBERS)
     receiver = next(
         each for each in ordered if each.availability_zone != holder.availability_zone
--- a/tests/peers/test_silent_connections.py
+++ b/tests/peers/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections between peers that go silent for good while new ones work."""
+"""Tests of unresponsive connections between peers, while new ones work."""
 
 import time
 from datetime import timedelta
@@ -20,10 +20,10 @@
 
 
 class ProxiedNode(PeerNode):
-    """Node that its peers reach through a proxy, and that can be held up."""
+    """Node that its peers reach through a proxy, and whose loop can be stalled."""
 
-    def hold_up(self, seconds: float) -> None:
-        """Let the node's loop do nothing for a while."""
+    def block_loop(self, seconds: float) -> None:
+        """Block the node's loop for ``seconds``."""
         self._thread.loop.call_soon_threadsafe(time.sleep, seconds)
 
     def _listen(self):
@@ -53,7 +53,7 @@
     far.proxy.close()
 
 
-def states_told(inbox: Queue) -> set[MemberState]:
+def reported_states(inbox: Queue) -> set[MemberState]:
     return {
         member.state
         for message in inbox.queue
@@ -62,12 +62,12 @@
     }
 
 
-def test_silent_connection_does_not_make_a_suspect(pair):
-    """A healthy peer would be taken for dead, and its requests refused.
+def test_unresponsive_connection_does_not_make_a_suspect(pair):
+    """Guards against a healthy peer that is considered dead.
 
-    Something between two entries loses track of their open connection: it
-    stays open and carries nothing. New connections work. The next probe times
-    out; the one on a fresh connection is answered, so there is no suspicion.
+    The open connection between two entries becomes unresponsive while new
+    connections work. The next probe times out; its retry on a new connection gets
+    a reply, so the peer isn't suspected.
     """
     node, inbox, far, _ = pair
     before = far.proxy.accepted
@@ -76,29 +76,29 @@
     far.proxy.silence()
     wait_until(lambda: far.proxy.accepted > before)
     sleep(timedelta(seconds=1))
-    assert states_told(inbox) <= {MemberState.ALIVE}
+    assert reported_states(inbox) <= {MemberState.ALIVE}
 
 
 @pytest.mark.parametrize("stall", [0.3, 0.45])
-def test_a_process_that_is_held_up_does_not_make_a_suspect(pair, stall):
-    """Guards against a busy process that takes its own stalls for a peer's silence."""
+def test_stalled_process_does_not_make_a_suspect(pair, stall):
+    """Guards against a stalled process that blames its peer for its own stalls."""
     node, inbox, far, _ = pair
     while not inbox.empty():
         inbox.get()
     far.proxy.silence()
     for _ in range(round(1.5 / stall)):
-        node.hold_up(stall)
+        node.block_loop(stall)
         sleep(timedelta(seconds=stall * 1.2))
     sleep(timedelta(seconds=1))
-    assert states_told(inbox) <= {MemberState.ALIVE}
+    assert reported_states(inbox) <= {MemberState.ALIVE}
 
 
-def test_hand_over_survives_a_silent_connection(pair):
-    """A request in flight would be lost with its entry.
+def test_hand_over_survives_an_unresponsive_connection(pair):
+    """Guards against a request that is lost with its reclaimed entry.
 
-    The entry has notice of its reclaim and hands the request over, on a
-    connection that went silent. The call times out and is made again on a
-    fresh connection; taking it twice is safe, as resuming is idempotent.
+    The entry hands the request over on an unresponsive connection. The call times
+    out and is retried on a new connection; accepting it twice is safe, as resuming
+    is idempotent.
     """
     node, _, far, far_inbox = pair
 
--- a/tests/peers/test_spreading.py
+++ b/tests/peers/test_spreading.py
@@ -1,4 +1,4 @@
-"""Rounds of news."""
+"""Tests of the rounds of updates."""
 
 import asyncio
 from datetime import UTC, datetime, timedelta
@@ -33,24 +33,23 @@
 def test_receivers_are_all_of_a_small_fleet_and_few_of_a_large_one(size, receivers):
     sent = []
 
-    async def tell():
+    async def spread():
         make(size, sent).spread_soon(0)
         await asyncio.sleep(0.05)
 
-    asyncio.run(tell())
+    asyncio.run(spread())
     assert len({each.name for each in sent[0].receivers}) == receivers
 
 
-def test_what_comes_together_goes_together_and_rounds_are_spaced():
-    """A fleet whose members all change at once drowns in its own news.
+def test_updates_are_batched_and_rounds_are_spaced():
+    """Guards against a flood of messages when all members change at once.
 
-    News that follows a round waits for the least interval, and all of it goes
-    with the next one.
+    Updates after a round wait for the interval and are all sent in the next round.
     """
     sent = []
     leaves_at = datetime(2026, 1, 1, tzinfo=UTC)
 
-    async def tell():
+    async def spread():
         spreader = make(3, sent)
         spreader.add_member(member(1, MemberState.DEAD), 0)
         spreader.add_notice(Notice(1, "endpoint-1", leaves_at), 0)
@@ -61,19 +60,19 @@
         assert len(sent) == 1
         await asyncio.sleep(0.2)
 
-    asyncio.run(tell())
+    asyncio.run(spread())
     first, second = sent
     assert [each.name for each in first.members] == ["entry-1"]
     assert [each.sequence for each in first.notices] == [1]
     assert [each.sequence for each in second.notices] == list(range(2, 102))
 
 
-def test_news_without_hops_left_is_not_passed_on():
+def test_update_without_hops_left_is_not_forwarded():
     sent = []
 
-    async def tell():
+    async def spread():
         make(3, sent).spread_soon(-1)
         await asyncio.sleep(0.1)
 
-    asyncio.run(tell())
+    asyncio.run(spread())
     assert sent == []
--- a/tests/peers/test_waiting.py
+++ b/tests/peers/test_waiting.py
@@ -1,4 +1,4 @@
-"""Time-outs of a process that is held up."""
+"""Tests of timeouts in a stalled process."""
 
 import asyncio
 import time
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sassafrasdale.peers.waiting import within
+from sassafrasdale.peers.waiting import wait_within
 
 LIMIT = timedelta(milliseconds=200)
 STALL = 0.5  # seconds
@@ -17,32 +17,32 @@
     return "answer"
 
 
-def test_an_answer_that_came_while_the_process_was_held_up_counts():
-    """Guards against healthy peers that a busy process takes for dead."""
+def test_result_received_while_the_process_was_stalled_counts():
+    """Guards against a stalled process that considers healthy peers dead."""
 
-    async def play() -> str:
+    async def run() -> str:
         asyncio.get_running_loop().call_later(0.01, time.sleep, STALL)
-        return await within(LIMIT, answer(0.05))
+        return await wait_within(LIMIT, answer(0.05))
 
-    assert asyncio.run(play()) == "answer"
+    assert asyncio.run(run()) == "answer"
 
 
-def test_no_answer_is_a_time_out():
+def test_no_result_raises_timeout_error():
     began = time.monotonic()
     with pytest.raises(TimeoutError):
-        asyncio.run(within(LIMIT, answer(5)))
+        asyncio.run(wait_within(LIMIT, answer(5)))
     assert LIMIT.total_seconds() <= time.monotonic() - began < 2
 
 
-def test_errors_go_through():
+def test_exceptions_propagate():
     async def fail() -> None:
         raise OSError("refused")
 
     with pytest.raises(OSError, match="refused"):
-        asyncio.run(within(LIMIT, fail()))
+        asyncio.run(wait_within(LIMIT, fail()))
 
 
-def test_work_that_is_given_up_is_cancelled():
+def test_awaitable_is_cancelled_after_the_timeout():
     cancelled = []
 
     async def work() -> None:
@@ -52,10 +52,10 @@
             cancelled.append(True)
             raise
 
-    async def play() -> None:
+    async def run() -> None:
         with pytest.raises(TimeoutError):
-            await within(LIMIT, work())
+            await wait_within(LIMIT, work())
         await asyncio.sleep(0)
 
-    asyncio.run(play())
+    asyncio.run(run())
     assert cancelled == [True]
