--- a/src/sassafrasdale/duties/__init__.py
+++ b/src/sassafrasdale/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one entry at a time has, held by a lease of the store."""
+"""Duties of the leader, the entry that holds a lease of the store."""
--- a/src/sassafrasdale/duties/capacity.py
+++ b/src/sassafrasdale/duties/capacity.py
@@ -1,11 +1,11 @@
-"""The capacity duty: one entry plans what runs and gives the orders for it.
+"""The capacity duty: the leader plans the instances and orders the changes.
 
 Usage::
 
     duty = CapacityDuty(holder, cloud, store, view, clock, rng)
     spawn(duty.run)
 
-docs/LEASES.md gives the reasoning and what remains possible.
+docs/LEASES.md explains the design and what can still go wrong.
 """
 
 import random
@@ -29,15 +29,15 @@
 from sassafrasdale.decisions.structures import CapacityPolicy, GiveBack, StartInstance
 from sassafrasdale.duties.demand import (
     FleetView,
-    demand_of,
+    current_load,
     offers_for,
-    present_load,
     running_instances,
+    service_demand,
 )
 from sassafrasdale.duties.exceptions import DutyError
 from sassafrasdale.duties.loads import LoadHistory
-from sassafrasdale.duties.orders import EngineOrders, WantedState
-from sassafrasdale.duties.starts import PendingStart, StartBook, StartRecord
+from sassafrasdale.duties.orders import DesiredState, EngineOrders
+from sassafrasdale.duties.starts import PendingStart, StartRecord, StartRecordStore
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.green import sleep
 from sassafrasdale.text.structures import Service, ServiceKind
@@ -45,19 +45,19 @@
 DUTY = "capacity"
 ROUND = timedelta(seconds=2)
 JITTER = 0.2
-# An engine's report that is older than this does not show that it is idle.
+# An engine's load report that is older than this doesn't show that it is idle.
 IDLE_REPORT_AGE = timedelta(seconds=5)
 
 log = Logger("capacity")
 
 
 class CapacityDuty:
-    """Task that acts on the capacity plan while it holds the lease.
+    """Task that carries out the capacity plan while it holds the lease.
 
-    :param holder: seeks and keeps the lease; its task is run by others.
-    :param cloud: takes starts and give-backs.
-    :param store: keeps the starts that are not listed yet.
-    :param view: gives what the entry knows, or None if that is not enough yet.
+    :param holder: holder of the lease; the caller runs its task.
+    :param cloud: client to start and release instances.
+    :param store: stores the starts that are not listed yet.
+    :param view: returns the entry's view of the fleet, or None if it is incomplete.
     :param clock: source of time.
     :param rng: source of jitter.
     :param policy: constants of the plan.
@@ -75,7 +75,7 @@
     ) -> None:
         self._holder = holder
         self._cloud = cloud
-        self._book = StartBook(store)
+        self._records = StartRecordStore(store)
         self._view = view
         self._clock = clock
         self._rng = rng
@@ -86,74 +86,74 @@
 
     @property
     def state(self) -> str:
-        """State of the lease's chart."""
+        """State of the lease holder's statechart."""
         return self._holder.state
 
     def run(self) -> None:
-        """Act in rounds until the task is killed."""
+        """Execute steps until the task is killed."""
         while True:
             sleep(ROUND * self._rng.uniform(1 - JITTER, 1 + JITTER))
             with suppress(LeaseNotHeld):
                 self.step()
 
     def step(self) -> None:
-        """Do one round.
+        """Execute one step.
 
-        :raises LeaseNotHeld: if the duty is not held, or was lost on the way.
+        :raises LeaseNotHeld: if the lease is not held, or was lost during the step.
         """
         view = self._view()
         if view is None:
             return
         now = self._clock.elapsed()
         for service in view.text.services.values():
-            self._loads.add(service.name, present_load(service, view), now)
+            self._loads.add(service.name, current_load(service, view), now)
         try:
-            self._bring_engines(view)
+            self._reconcile_engines(view)
             self._plan(view)
         except (DutyError, StoreError, CloudError) as error:
-            log.warning("the round was broken off: {}", error)
+            log.warning("step aborted: {}", error)
 
-    def _bring_engines(self, view: FleetView) -> None:
-        wanted = [
-            (endpoint, WantedState("load_model", service.name))
+    def _reconcile_engines(self, view: FleetView) -> None:
+        desired = [
+            (endpoint, DesiredState("load_model", service.name))
             for service in view.text.services.values()
             if service.kind is ServiceKind.MODEL
             for endpoint in view.of_service(service)
             if endpoint.takes_work
         ]
-        # An engine that doesn't check the number takes no order until the former
-        # lease's time is over; the others need not wait for that.
-        checking = [each for each in wanted if each[0].instance.checks_fencing]
-        others = [each for each in wanted if not each[0].instance.checks_fencing]
-        self._orders.bring(checking)
-        self._orders.bring(others)
+        # Engines that don't check fencing numbers get no orders until the former
+        # lease has expired; those that check them needn't wait for that.
+        fencing = [each for each in desired if each[0].instance.checks_fencing]
+        others = [each for each in desired if not each[0].instance.checks_fencing]
+        self._orders.reconcile(fencing)
+        self._orders.reconcile(others)
 
     def _plan(self, view: FleetView) -> None:
-        # The cloud checks no fencing numbers.
+        # The cloud API doesn't check fencing numbers.
         self._holder.permit(False)
         now = self._clock.now()
-        read = self._book.read()
+        stored = self._records.read()
         listed = [endpoint.instance for endpoint in view.endpoints]
-        record = read.reconciled(listed, now)
-        given_back: list[Endpoint] = []
+        record = stored.reconciled(listed, now)
+        surplus: list[Endpoint] = []
         for service in view.text.services.values():
-            record = self._plan_service(service, view, record, given_back, now)
-        if record != read:
-            record = self._book.write(record)
+            record = self._plan_service(service, view, record, surplus, now)
+        if record != stored:
+            record = self._records.write(record)
         self._send_starts(record)
-        self._give_back(given_back)
+        self._release(surplus)
 
     def _plan_service(
         self,
         service: Service,
         view: FleetView,
         record: StartRecord,
-        given_back: list[Endpoint],
+        surplus: list[Endpoint],
         now: datetime,
     ) -> StartRecord:
         endpoints = view.of_service(service)
         plan = plan_capacity(
-            demand_of(service, self._loads.of_service(service.name)),
+            service_demand(service, self._loads.of_service(service.name)),
             [*running_instances(endpoints), *record.of_service(service.name)],
             offers_for(service, view.prices),
             record.refused(now),
@@ -167,11 +167,11 @@
                 case StartInstance():
                     starts.append(PendingStart(order, now, names))
                 case GiveBack(name):
-                    given_back.extend(e for e in endpoints if e.name == name)
+                    surplus.extend(e for e in endpoints if e.name == name)
         return record.with_starts(starts)
 
     def _send_starts(self, record: StartRecord) -> None:
-        """Send what is recorded and was not yet sent by this holder."""
+        """Send the recorded starts that this leader has not sent yet."""
         pending = {start.order.request_id: start.order for start in record.pending}
         self._sent &= pending.keys()
         for request_id, order in pending.items():
@@ -187,21 +187,21 @@
                     reclaimable=order.reclaimable,
                 )
             except StartRefused:
-                log.info("start {} was refused", request_id)
+                log.info("cloud refused start {}", request_id)
                 record = record.with_refusal(order, self._clock.now())
-                record = self._book.write(record)
+                record = self._records.write(record)
                 continue
             self._sent.add(request_id)
-            log.info("start {} was ordered", request_id)
+            log.info("requested start {}", request_id)
 
-    def _give_back(self, endpoints: list[Endpoint]) -> None:
-        """Give back instances on which nothing runs, as far as is known."""
+    def _release(self, endpoints: list[Endpoint]) -> None:
+        """Release the instances that are known to be idle."""
         for endpoint in endpoints:
             if not self._is_idle(endpoint):
                 continue
             self._holder.permit(False)
             self._cloud.release_instance(endpoint.name)
-            log.info("instance {} was given back", endpoint.name)
+            log.info("released instance {}", endpoint.name)
 
     def _is_idle(self, endpoint: Endpoint) -> bool:
         if endpoint.reported_at is None or endpoint.in_flight:
--- a/src/sassafrasdale/duties/demand.py
+++ b/src/sassafrasdale/duties/demand.py
@@ -1,4 +1,4 @@
-"""What an entry knows, as the capacity plan takes it."""
+"""An entry's view of the fleet, and its conversion to the capacity plan's inputs."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetView:
-    """What an entry knows of the fleet.
+    """An entry's view of the fleet.
 
-    :param text: the operators' text in force.
+    :param text: the current configuration.
     :param endpoints: the endpoints that the platform lists.
     :param prices: the platform's prices.
-    :param entries: number of live entries, this one among them.
+    :param entries: number of live entries, including this one.
     """
 
     text: Text
@@ -34,11 +34,12 @@
         return [e for e in self.endpoints if e.instance.service == service.name]
 
 
-def present_load(service: Service, view: FleetView) -> float:
-    """Return the requests in flight at a service, of all entries.
+def current_load(service: Service, view: FleetView) -> float:
+    """Return the requests in flight at a service, from all entries.
 
-    Engines report it. Of plain services, which report none, this entry knows its
-    own calls; the balancer gives the others as many.
+    Engines report their load. Plain services don't, so the entry's own requests
+    are multiplied by the number of entries, as the load balancer distributes
+    requests evenly.
     """
     endpoints = view.of_service(service)
     own = sum(each.in_flight for each in endpoints)
@@ -47,10 +48,10 @@
     return float(max(own, sum(each.reported_load for each in endpoints)))
 
 
-def demand_of(service: Service, load: Load) -> ServiceDemand:
-    """Return what a service needs; operators' counts are the least.
+def service_demand(service: Service, load: Load) -> ServiceDemand:
+    """Return a service's demand; the configured counts are its minimum.
 
-    :param load: the service's load over the last minute.
+    :param load: load of the service over the last minute.
     """
     zones = [zone for pool in service.pools for zone in pool.availability_zones]
     return ServiceDemand(
@@ -63,7 +64,7 @@
 
 
 def running_instances(endpoints: Iterable[Endpoint]) -> list[RunningInstance]:
-    """Return endpoints as the plan takes them."""
+    """Return ``endpoints`` in the form that the capacity plan uses."""
     return [
         RunningInstance(
             name=each.name,
@@ -78,7 +79,7 @@
 
 
 def offers_for(service: Service, prices: Sequence[Price]) -> list[InstanceOffer]:
-    """Return the kinds of instance that a service's pools may start."""
+    """Return the kinds of instance that may be started for a service's pools."""
     return [
         InstanceOffer(
             price.availability_zone,
--- a/src/sassafrasdale/duties/exceptions.py
+++ b/src/sassafrasdale/duties/exceptions.py
@@ -1,15 +1,15 @@
-"""Errors of the duties."""
+"""Exceptions of the duties."""
 
 from sassafrasdale.exceptions import SassafrasdaleError
 
 
 class DutyError(SassafrasdaleError):
-    """A duty could not be done now."""
+    """A step of a duty failed."""
 
 
 class OrderFenced(DutyError):
-    """An endpoint has seen a higher fencing number: the duty is another's."""
+    """An endpoint has seen a higher fencing number: another entry is the leader."""
 
 
 class RecordChanged(DutyError):
-    """Another holder has written the record of the duty."""
+    """Another leader has written the duty's record."""
--- a/src/sassafrasdale/duties/loads.py
+++ b/src/sassafrasdale/duties/loads.py
@@ -1,4 +1,4 @@
-"""The load of each service over the last minute."""
+"""History of each service's load over the last minute."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
     """Load of a service.
 
     :param mean: mean over the window.
-    :param growth: change in a second, from the window's halves.
+    :param growth: change per second, between the means of the window's halves.
     """
 
     mean: float
@@ -20,17 +20,17 @@
 
 
 class LoadHistory:
-    """Samples of the last minute by service.
+    """Load samples of the last minute, by service.
 
-    Every entry keeps one, so that a new holder of the duty need not begin
-    without a past and give back what a passing lull leaves idle.
+    Every entry keeps a history, so that a new leader doesn't start without one and
+    release instances that are idle only for a short time.
     """
 
     def __init__(self) -> None:
         self._samples: dict[str, deque[tuple[timedelta, float]]] = {}
 
     def add(self, service: str, load: float, now: timedelta) -> None:
-        """Take a sample.
+        """Add a sample.
 
         :param now: elapsed time.
         """
@@ -40,7 +40,7 @@
             samples.popleft()
 
     def of_service(self, service: str) -> Load:
-        """Return the load of a service, 0 if there was no sample."""
+        """Return the load of a service, 0 if there are no samples."""
         samples = self._samples.get(service)
         if not samples:
             return Load(0.0, 0.0)
--- a/src/sassafrasdale/duties/orders.py
+++ b/src/sassafrasdale/duties/orders.py
@@ -1,9 +1,9 @@
-"""Orders to model engines: wanted end states, fenced, read back and repaired.
+"""Reconciles model engines with their desired state, by fenced orders.
 
-Engines that check fencing numbers refuse a former holder's orders by themselves,
-once they have seen the new holder's number. Those that don't may take such an
-order, sent before a pause and arriving after it; the holder reads every engine
-back in each round and repairs what differs.
+Engines that check fencing numbers reject a former leader's orders once they have
+seen the new leader's number. Engines that don't may apply such an order if it was
+sent before a pause and arrives after it; the leader reads the state of every engine
+in each step and corrects differences.
 """
 
 import json
@@ -20,18 +20,18 @@
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.endpoints.exceptions import AnswerLost, EndpointError
 
-ORDERS = "/v1/orders"
-ORDER_LIMIT = timedelta(seconds=1)
+ORDERS_PATH = "/v1/orders"
+ORDER_TIMEOUT = timedelta(seconds=1)
 JSON_HEADERS = (("Content-Type", "application/json"),)
 
 log = Logger("orders")
 
 
 @dataclass(frozen=True, slots=True)
-class WantedState:
-    """What an engine is to be.
+class DesiredState:
+    """Desired state of an engine.
 
-    :param kind: kind of the order that brings it about.
+    :param kind: kind of the order that sets the state.
     :param value: the state.
     """
 
@@ -40,74 +40,73 @@
 
 
 class EngineOrders:
-    """Brings engines to their wanted state.
+    """Reconciles engines with their desired state.
 
-    :param permit: gives leave for one order, by whether its endpoint checks
-        fencing numbers; raises ``LeaseNotHeld``.
+    :param permit: returns permission for one order, given whether its endpoint
+        checks fencing numbers; raises ``LeaseNotHeld``.
     """
 
     def __init__(self, permit: Callable[[bool], Permit]) -> None:
         self._permit = permit
-        self._announced: dict[str, int] = {}
+        self._sent_numbers: dict[str, int] = {}
 
-    def bring(self, engines: Iterable[tuple[Endpoint, WantedState]]) -> int:
-        """Order each engine that differs, and return how many were ordered.
+    def reconcile(self, engines: Iterable[tuple[Endpoint, DesiredState]]) -> int:
+        """Send orders to the engines that need one, and return their number.
 
-        An engine that does not answer is left for the next round.
+        An engine that doesn't respond is left for the next step.
 
-        :raises LeaseNotHeld: if the duty was lost.
+        :raises LeaseNotHeld: if the lease was lost.
         :raises OrderFenced: if an engine has seen a higher number.
         """
-        ordered = 0
-        for engine, wanted in engines:
+        count = 0
+        for engine, desired in engines:
             try:
-                ordered += self._bring_one(engine, wanted)
+                count += self._reconcile_engine(engine, desired)
             except EndpointError as error:
                 log.debug("engine {}: {}", engine.name, error)
-        return ordered
+        return count
 
-    def _bring_one(self, engine: Endpoint, wanted: WantedState) -> bool:
+    def _reconcile_engine(self, engine: Endpoint, desired: DesiredState) -> bool:
         checks = engine.instance.checks_fencing
         number = self._permit(checks).fencing_number
-        found = _read_back(engine).get(wanted.kind)
-        if found == wanted.value and not self._is_new(engine, number):
+        found = _read_state(engine).get(desired.kind)
+        if found == desired.value and not self._is_unfenced(engine, number):
             return False
-        # Reading took time, in which the process may have been paused past its
-        # lease: only a permit looked at now, right before the send, says that
-        # the order may go out.
-        self._send(engine, wanted, self._permit(checks).fencing_number)
+        # While the state was read, the process may have been paused until its
+        # lease expired. So a new permit is needed right before the order is sent.
+        self._send(engine, desired, self._permit(checks).fencing_number)
         return True
 
-    def _is_new(self, engine: Endpoint, number: int) -> bool:
-        """Return whether a checking engine has not had an order of this number.
+    def _is_unfenced(self, engine: Endpoint, number: int) -> bool:
+        """Return whether an engine that checks numbers has not received this one.
 
-        Until it has, it would still take the former holder's orders.
+        Until it has, it would still apply the former leader's orders.
         """
         if not engine.instance.checks_fencing:
             return False
-        return self._announced.get(engine.name, 0) < number
+        return self._sent_numbers.get(engine.name, 0) < number
 
-    def _send(self, engine: Endpoint, wanted: WantedState, number: int) -> None:
+    def _send(self, engine: Endpoint, desired: DesiredState, number: int) -> None:
         document = {
             "fencing_number": number,
-            "kind": wanted.kind,
-            "value": wanted.value,
+            "kind": desired.kind,
+            "value": desired.value,
         }
         body = json.dumps(document).encode()
-        request = EndpointRequest("POST", ORDERS, JSON_HEADERS, body)
-        answer = engine.adapter.send(request, ORDER_LIMIT)
-        if answer.status == 409:
+        request = EndpointRequest("POST", ORDERS_PATH, JSON_HEADERS, body)
+        response = engine.adapter.send(request, ORDER_TIMEOUT)
+        if response.status == 409:
             raise OrderFenced(f"engine {engine.name} has seen a higher number")
-        if answer.status >= 300:
-            raise AnswerLost(f"the order was answered {answer.status}")
-        self._announced[engine.name] = number
-        log.info("engine {}: {} is {}", engine.name, wanted.kind, wanted.value)
+        if response.status >= 300:
+            raise AnswerLost(f"engine responded to the order with {response.status}")
+        self._sent_numbers[engine.name] = number
+        log.info("engine {}: {} is {}", engine.name, desired.kind, desired.value)
 
 
-def _read_back(engine: Endpoint) -> dict[str, Any]:
+def _read_state(engine: Endpoint) -> dict[str, Any]:
     """Return the engine's state by kind of order."""
-    answer = engine.adapter.ask("GET", ORDERS, limit=ORDER_LIMIT)
-    match answer:
+    response = engine.adapter.ask("GET", ORDERS_PATH, limit=ORDER_TIMEOUT)
+    match response:
         case {"state": dict(state)}:
             return state
-    raise AnswerLost("the engine gave no state")
+    raise AnswerLost("engine's response has no state")
--- a/src/sassafrasdale/duties/starts.py
+++ b/src/sassafrasdale/duties/starts.py
@@ -1,9 +1,9 @@
-"""Starts of instances that were ordered and are not listed yet.
+"""Record of requested instance starts that the platform doesn't list yet.
 
-They are recorded in the platform's store before they are sent. The next holder
-of the duty reads them, counts them, and sends them again under the same ids, so
-that a start is neither lost nor made twice when its holder dies or pauses
-between the record and the send.
+Starts are recorded in the platform's store before they are sent. The next leader
+reads them, counts them in its plan, and sends them again with the same request
+ids. So no start is lost or executed twice when a leader crashes or is paused
+between recording and sending it.
 """
 
 import json
@@ -22,19 +22,19 @@
 from sassafrasdale.structures import Instance
 
 STARTS_KEY = "sassafrasdale/capacity"
-# A start whose instance is not listed after this time is ordered anew.
-START_LIMIT = timedelta(minutes=3)
-# A refusal older than this has no bearing on a plan.
-REFUSAL_MEMORY = timedelta(minutes=10)
+# A start whose instance is not listed after this time is dropped and planned again.
+START_TIMEOUT = timedelta(minutes=3)
+# Refusals older than this don't affect the plan.
+REFUSAL_TTL = timedelta(minutes=10)
 
 
 @dataclass(frozen=True, slots=True)
 class PendingStart:
-    """An ordered start.
+    """A requested start.
 
-    :param order: what was ordered.
+    :param order: the start as planned.
     :param ordered_at: when it was recorded.
-    :param known: names of the service's instances that were listed by then.
+    :param known: names of the service's instances that were listed at that time.
     """
 
     order: StartInstance
@@ -42,7 +42,7 @@
     known: tuple[str, ...]
 
     def as_instance(self) -> RunningInstance:
-        """Return the instance that it will become, as the plan counts it."""
+        """Return the expected instance, in the form that the plan uses."""
         order = self.order
         return RunningInstance(
             name=order.request_id,
@@ -52,17 +52,17 @@
             serving=False,
         )
 
-    def is_met_by(self, instance: Instance) -> bool:
-        """Return whether a listed instance may be the one that it started."""
+    def matches(self, instance: Instance) -> bool:
+        """Return whether a listed instance may result from this start."""
         order = self.order
-        wanted = (order.service, order.availability_zone, order.instance_class)
+        expected = (order.service, order.availability_zone, order.instance_class)
         found = (instance.service, instance.availability_zone, instance.instance_class)
-        return found == wanted and instance.name not in self.known
+        return found == expected and instance.name not in self.known
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Refusals in a row of one kind of instance."""
+    """Consecutive refusals of one kind of instance."""
 
     availability_zone: str
     instance_class: str
@@ -73,11 +73,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRecord:
-    """What the store keeps of the duty.
+    """Stored record of the capacity duty.
 
-    :param number: counts the writes of the record; part of new request ids.
-    :param pending: starts that are not listed yet.
-    :param refusals: starts that the cloud refused lately.
+    :param number: number of writes of the record; part of new request ids.
+    :param pending: starts whose instances are not listed yet.
+    :param refusals: recent refusals of starts by the cloud.
     """
 
     number: int = 0
@@ -85,7 +85,7 @@
     refusals: tuple[Refusal, ...] = ()
 
     def of_service(self, service: str) -> list[RunningInstance]:
-        """Return the instances that a service's pending starts will become."""
+        """Return the expected instances of a service's pending starts."""
         return [
             start.as_instance()
             for start in self.pending
@@ -106,44 +106,44 @@
         ]
 
     def with_starts(self, starts: Iterable[PendingStart]) -> "StartRecord":
-        """Return the record with further starts."""
+        """Return the record with ``starts`` added."""
         return replace(self, pending=(*self.pending, *starts))
 
     def without(self, request_ids: Collection[str]) -> "StartRecord":
-        """Return the record without some starts."""
-        kept = [s for s in self.pending if s.order.request_id not in request_ids]
-        return replace(self, pending=tuple(kept))
+        """Return the record without the starts in ``request_ids``."""
+        remaining = [s for s in self.pending if s.order.request_id not in request_ids]
+        return replace(self, pending=tuple(remaining))
 
     def with_refusal(self, order: StartInstance, now: datetime) -> "StartRecord":
         """Return the record after the cloud refused ``order``."""
         kind = (order.availability_zone, order.instance_class, order.reclaimable)
         others = [each for each in self.refusals if _kind(each) != kind]
-        before = sum(each.refusals for each in self.refusals if _kind(each) == kind)
-        refusal = Refusal(*kind, before + 1, now)
-        kept = replace(self, refusals=(*others, refusal))
-        return kept.without({order.request_id})
+        count = sum(each.refusals for each in self.refusals if _kind(each) == kind)
+        refusal = Refusal(*kind, count + 1, now)
+        updated = replace(self, refusals=(*others, refusal))
+        return updated.without({order.request_id})
 
     def reconciled(self, listed: Iterable[Instance], now: datetime) -> "StartRecord":
-        """Return the record without what the list shows or time has settled."""
-        pending = [s for s in self.pending if now - s.ordered_at < START_LIMIT]
-        unclaimed = list(listed)
-        left = []
+        """Return the record without listed starts, expired starts and old refusals."""
+        pending = [s for s in self.pending if now - s.ordered_at < START_TIMEOUT]
+        unmatched = list(listed)
+        remaining = []
         for start in pending:
-            met = next((each for each in unclaimed if start.is_met_by(each)), None)
-            if met is None:
-                left.append(start)
+            match = next((each for each in unmatched if start.matches(each)), None)
+            if match is None:
+                remaining.append(start)
             else:
-                unclaimed.remove(met)
-        refusals = [r for r in self.refusals if now - r.refused_at < REFUSAL_MEMORY]
-        return replace(self, pending=tuple(left), refusals=tuple(refusals))
+                unmatched.remove(match)
+        refusals = [r for r in self.refusals if now - r.refused_at < REFUSAL_TTL]
+        return replace(self, pending=tuple(remaining), refusals=tuple(refusals))
 
     def to_json(self) -> bytes:
-        """Return the record as the store keeps it."""
+        """Return the record as it is stored."""
         return json.dumps(asdict(self), default=datetime.isoformat).encode()
 
     @classmethod
     def from_json(cls, value: bytes) -> "StartRecord":
-        """Return the record that ``value`` holds."""
+        """Return the record stored as ``value``."""
         fields = json.loads(value)
         return cls(
             fields["number"],
@@ -152,8 +152,8 @@
         )
 
 
-class StartBook:
-    """The record in the store, written by compare-and-swap.
+class StartRecordStore:
+    """Reads the record and writes it by compare-and-swap.
 
     :param store: the platform's store.
     """
@@ -172,10 +172,10 @@
         return StartRecord.from_json(stored.value) if stored else StartRecord()
 
     def write(self, record: StartRecord) -> StartRecord:
-        """Write ``record`` over the one that was read, and return it as written.
+        """Replace the record that was read by ``record``; return it as written.
 
-        :raises RecordChanged: if another holder has written it since.
-        :raises StoreError: if the store fails; read it again before the next write.
+        :raises RecordChanged: if another leader has written it since.
+        :raises StoreError: if the store fails; read the record before the next write.
         """
         numbered = replace(record, number=record.number + 1)
         swap = self._store.compare_and_swap(
--- a/tests/duties/test_capacity.py
+++ b/tests/duties/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity duty between a record and its orders."""
+"""Tests of the capacity duty, between recording and sending starts."""
 
 from datetime import timedelta
 from random import Random
@@ -14,10 +14,10 @@
 from sassafrasdale.duties.demand import FleetView
 from sassafrasdale.duties.exceptions import RecordChanged
 from sassafrasdale.duties.starts import (
-    START_LIMIT,
+    START_TIMEOUT,
     PendingStart,
-    StartBook,
     StartRecord,
+    StartRecordStore,
 )
 from sassafrasdale.structures import Address, Instance, Role
 from sassafrasdale.text.parser import parse_text
@@ -43,7 +43,7 @@
 
 
 class FakeCloud:
-    """Cloud that remembers starts by id."""
+    """Cloud that records starts by request id."""
 
     def __init__(self):
         self.started = {}
@@ -91,13 +91,13 @@
     )
 
 
-def test_start_recorded_by_a_lost_holder_is_sent_once_by_the_next(
+def test_start_recorded_by_a_former_leader_is_sent_once_by_the_next(
     duty_of, store, cloud
 ):
-    """An instance would never start, or start twice.
+    """Guards against an instance that never starts, or starts twice.
 
-    The holder records a start and loses its lease before it sends it. The next
-    holder must send that very start and plan no second one for the same need.
+    The leader records a start and loses its lease before it sends it. The next
+    leader must send that start and plan no second one for the same demand.
     """
     with pytest.raises(LeaseNotHeld):
         duty_of(FakeHolder(permits=1)).step()
@@ -106,47 +106,47 @@
     successor.step()
     successor.step()
     assert len(cloud.started) == cloud.calls == 1
-    (recorded,) = StartBook(store).read().pending
+    (recorded,) = StartRecordStore(store).read().pending
     assert [recorded.order.request_id] == list(cloud.started)
 
 
-def test_sent_start_is_sent_again_under_its_id_by_the_next_holder(duty_of, cloud):
-    """A holder dies after its send; nobody else knows that it was sent."""
+def test_sent_start_is_sent_again_with_its_id_by_the_next_leader(duty_of, cloud):
+    """A leader crashes after sending a start; no other entry knows that it was sent."""
     duty_of(FakeHolder()).step()
     duty_of(FakeHolder()).step()
     assert cloud.calls == 2
     assert len(cloud.started) == 1
 
 
-def test_record_of_a_paused_holder_is_not_written_over_the_next(store):
-    """A paused holder thaws between reading the record and writing it."""
-    paused, successor = StartBook(store), StartBook(store)
+def test_paused_leader_does_not_overwrite_the_next_leaders_record(store):
+    """A leader is paused between reading the record and writing it."""
+    paused, successor = StartRecordStore(store), StartRecordStore(store)
     paused.read()
     successor.write(successor.read())
     with pytest.raises(RecordChanged):
         paused.write(StartRecord())
 
 
-def test_refused_start_is_backed_off_from(duty_of, store, cloud, clock):
-    """The cloud refuses a start; asking in every round would be no use."""
+def test_refused_start_is_not_retried_immediately(duty_of, store, cloud, clock):
+    """The cloud refuses a start; retrying in every step would be useless."""
     cloud.refuses = True
     duty = duty_of(FakeHolder())
     for _ in range(3):
         duty.step()
         clock.advance(timedelta(seconds=2))
     assert cloud.calls == 1
-    record = StartBook(store).read()
+    record = StartRecordStore(store).read()
     assert record.pending == ()
     assert record.refusals[0].refusals == 1
 
 
-def test_start_ends_when_its_instance_is_listed_or_never_comes(clock):
-    """A start that is counted for ever would hide that an instance is missing."""
+def test_start_is_removed_when_listed_or_timed_out(clock):
+    """Guards against a start that counts forever and hides a missing instance."""
     order = StartInstance("r-1", "records", "zone-a", "cpu-small", True)
     now = clock.now()
     record = StartRecord(1, (PendingStart(order, now, ("records-1",)),))
     assert record.reconciled([_instance("records-1")], now) == record
     listed = [_instance("records-1"), _instance("i-1")]
     assert record.reconciled(listed, now).pending == ()
-    assert record.reconciled([], now + START_LIMIT).pending == ()
+    assert record.reconciled([], now + START_TIMEOUT).pending == ()
     assert StartRecord.from_json(record.to_json()) == record
--- a/tests/duties/test_loads.py
+++ b/tests/duties/test_loads.py
@@ -1,4 +1,4 @@
-"""The load over the last minute."""
+"""Tests of the load history."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
     return history.of_service("reports")
 
 
-def test_nothing_known_is_no_load():
+def test_load_without_samples_is_zero():
     assert LoadHistory().of_service("reports") == Load(0.0, 0.0)
     assert _history([4]) == Load(4.0, 0.0)
 
@@ -23,7 +23,7 @@
     assert _history([8] * 40) == Load(8.0, 0.0)
 
 
-def test_growth_is_told_by_the_second():
+def test_growth_is_per_second():
     load = _history(range(40))
     assert abs(load.growth - 0.5) < 0.05
 
--- a/tests/duties/test_orders.py
+++ b/tests/duties/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines at the moment in which the duty is lost."""
+"""Tests of orders to engines, in particular when the lease is lost."""
 
 import json
 from datetime import timedelta
@@ -8,17 +8,17 @@
 from sassafrasdale.coordination.exceptions import LeaseNotHeld
 from sassafrasdale.coordination.leases import Permit
 from sassafrasdale.duties.exceptions import OrderFenced
-from sassafrasdale.duties.orders import EngineOrders, WantedState
+from sassafrasdale.duties.orders import DesiredState, EngineOrders
 from sassafrasdale.endpoints.adapters import EndpointAnswer
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.endpoints.exceptions import NotSent
 from sassafrasdale.structures import Address, Instance, Role
 
-WANTED = WantedState("load_model", "reports")
+DESIRED = DesiredState("load_model", "reports")
 
 
 class FakeEngine:
-    """Engine that keeps the last order, and checks its number if it is told to."""
+    """Engine that applies orders, and checks their fencing number if configured to."""
 
     def __init__(self, *, checks=False, state=None, answers=True):
         self.checks = checks
@@ -64,45 +64,45 @@
     return permit
 
 
-def test_engine_that_is_right_gets_no_order():
+def test_engine_in_its_desired_state_gets_no_order():
     engine = FakeEngine(state={"load_model": "reports"})
-    assert EngineOrders(_permits(7)).bring([(engine.endpoint(), WANTED)]) == 0
+    assert EngineOrders(_permits(7)).reconcile([(engine.endpoint(), DESIRED)]) == 0
     assert engine.orders == []
 
 
-def test_checking_engine_that_is_right_learns_the_new_number_once():
-    """Until it has heard the new number it would take the former holder's order."""
+def test_fencing_engine_in_its_desired_state_gets_the_new_number_once():
+    """Until it has the new number it would apply the former leader's orders."""
     engine = FakeEngine(checks=True, state={"load_model": "reports"})
     orders = EngineOrders(_permits(7))
-    engines = [(engine.endpoint(), WANTED)]
-    assert [orders.bring(engines), orders.bring(engines)] == [1, 0]
+    engines = [(engine.endpoint(), DESIRED)]
+    assert [orders.reconcile(engines), orders.reconcile(engines)] == [1, 0]
     assert engine.highest == 7
 
 
-def test_lease_lost_while_an_engine_is_read_sends_no_order():
-    """The process is paused between reading an engine and sending the order.
+def test_no_order_is_sent_if_the_lease_is_lost_while_reading():
+    """The process is paused between reading an engine's state and sending the order.
 
-    The look at the lease before the reading was right. Without another one the
-    order would go out after the successor's.
+    The lease was valid before the read. Without a second check the order would be
+    sent after the next leader's.
     """
     engine = FakeEngine()
     with pytest.raises(LeaseNotHeld):
-        EngineOrders(_permits(7, count=1)).bring([(engine.endpoint(), WANTED)])
+        EngineOrders(_permits(7, count=1)).reconcile([(engine.endpoint(), DESIRED)])
     assert engine.orders == []
 
 
-def test_higher_number_ends_the_round():
-    """Another entry has the duty already; further orders would only be refused."""
+def test_higher_number_aborts_the_remaining_orders():
+    """Another entry is the leader already; further orders would be rejected."""
     fenced, next_one = FakeEngine(checks=True), FakeEngine()
     fenced.highest = 8
-    engines = [(fenced.endpoint(), WANTED), (next_one.endpoint(), WANTED)]
+    engines = [(fenced.endpoint(), DESIRED), (next_one.endpoint(), DESIRED)]
     with pytest.raises(OrderFenced):
-        EngineOrders(_permits(7)).bring(engines)
+        EngineOrders(_permits(7)).reconcile(engines)
     assert next_one.orders == []
 
 
-def test_engine_out_of_reach_does_not_keep_the_others_waiting():
-    silent, other = FakeEngine(answers=False), FakeEngine()
-    engines = [(silent.endpoint(), WANTED), (other.endpoint(), WANTED)]
-    assert EngineOrders(_permits(7)).bring(engines) == 1
+def test_unreachable_engine_does_not_block_the_others():
+    unreachable, other = FakeEngine(answers=False), FakeEngine()
+    engines = [(unreachable.endpoint(), DESIRED), (other.endpoint(), DESIRED)]
+    assert EngineOrders(_permits(7)).reconcile(engines) == 1
     assert other.state == {"load_model": "reports"}
