--- a/src/sassafrasdale/peers/channels.py
+++ b/src/sassafrasdale/peers/channels.py
@@ -12,7 +12,7 @@
 
 from sassafrasdale.peers.exceptions import PeerNotReached
 from sassafrasdale.peers.generated.peers_grpc import PeersStub
-from sassafrasdale.peers.waiting import wait_within
+from sassafrasdale.peers.timeouts import wait_within
 from sassafrasdale.structures import Address
 
 Reply = TypeVar("Reply")
--- a/tests/peers/test_waiting.py
+++ b/tests/peers/test_timeouts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sassafrasdale.peers.waiting import wait_within
+from sassafrasdale.peers.timeouts import wait_within
 
 LIMIT = timedelta(milliseconds=200)
 STALL = 0.5  # seconds
