--- a/src/sassafrasdale/coordination/etcd.py
+++ b/src/sassafrasdale/coordination/etcd.py
@@ -264,8 +264,8 @@
 
         All connections of a pool that worked earlier may have become unresponsive
         while new ones work. So the first lost response replaces the pool, and lost
-        responses of such a pool are no sign of an outage. A lost response of a
-        pool that never had one counts as a failure of the store.
+        responses of such a pool are no sign of an outage. A lost response counts as
+        a failure of the store only on a pool that has had no response yet.
         """
         if not connections.has_responded:
             self._breaker.record_failure()
--- a/tests/duties/test_orders.py
+++ b/tests/duties/test_orders.py
@@ -20,15 +20,15 @@
 class FakeEngine:
     """Engine that applies orders, and checks their fencing number if configured to."""
 
-    def __init__(self, *, checks=False, state=None, answers=True):
+    def __init__(self, *, checks=False, state=None, responds=True):
         self.checks = checks
         self.state = dict(state or {})
-        self.answers = answers
+        self.responds = responds
         self.highest = 0
         self.orders = []
 
     def ask(self, method, target, *, limit):
-        if not self.answers:
+        if not self.responds:
             raise NotSent("no connection")
         return {"state": self.state}
 
@@ -102,7 +102,7 @@
 
 
 def test_unreachable_engine_does_not_block_the_others():
-    unreachable, other = FakeEngine(answers=False), FakeEngine()
+    unreachable, other = FakeEngine(responds=False), FakeEngine()
     engines = [(unreachable.endpoint(), DESIRED), (other.endpoint(), DESIRED)]
     assert EngineOrders(_permits(7)).reconcile(engines) == 1
     assert other.state == {"load_model": "reports"}
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -82,11 +82,11 @@
 
 
 def test_find_returns_the_holder(cluster):
-    def answer(inbox, held):
+    def reply_to_find(inbox, held):
         take(inbox, FindAsked, timedelta(seconds=8)).reply(held)
 
     replying = [
-        spawn(answer, inbox, number == 2)
+        spawn(reply_to_find, inbox, number == 2)
         for number, (_, inbox) in enumerate(cluster)
         if number
     ]
@@ -96,10 +96,10 @@
 
 
 def test_find_without_a_holder_returns_none(cluster):
-    def answer(inbox):
+    def reply_to_find(inbox):
         take(inbox, FindAsked).reply(False)
 
-    replying = [spawn(answer, inbox) for _, inbox in cluster[1:]]
+    replying = [spawn(reply_to_find, inbox) for _, inbox in cluster[1:]]
     assert cluster[0][0].find("r-3") is None
     for each in replying:
         each.wait()
--- a/tests/peers/test_timeouts.py
+++ b/tests/peers/test_timeouts.py
@@ -12,8 +12,8 @@
 STALL = 0.5  # seconds
 
 
-async def answer(after: float) -> str:
-    await asyncio.sleep(after)
+async def respond(delay: float) -> str:
+    await asyncio.sleep(delay)
     return "answer"
 
 
@@ -22,7 +22,7 @@
 
     async def run() -> str:
         asyncio.get_running_loop().call_later(0.01, time.sleep, STALL)
-        return await wait_within(LIMIT, answer(0.05))
+        return await wait_within(LIMIT, respond(0.05))
 
     assert asyncio.run(run()) == "answer"
 
@@ -30,7 +30,7 @@
 def test_no_result_raises_timeout_error():
     began = time.monotonic()
     with pytest.raises(TimeoutError):
-        asyncio.run(wait_within(LIMIT, answer(5)))
+        asyncio.run(wait_within(LIMIT, respond(5)))
     assert LIMIT.total_seconds() <= time.monotonic() - began < 2
 
 
