--- a/src/sassafrasdale/coordination/etcd.py
+++ b/src/sassafrasdale/coordination/etcd.py
@@ -154,7 +154,7 @@
             raise self._not_reached(error) from error
         except (HTTPError, OSError, ValueError) as error:
             raise StoreAnswerLost(
-                f"watch of {key} failed: {error}", retry_after=self._breaker.retry_after
+                f"watch of {key} broke: {error}", retry_after=self._breaker.retry_after
             ) from error
 
     def _first_event(self, request: Mapping[str, Any]) -> StoredValue | None:
@@ -207,7 +207,7 @@
         except (Timeout, HTTPError, OSError, ValueError) as error:
             self._handle_lost_response(connections)
             raise StoreAnswerLost(
-                f"no response from the store to {path}: {error}",
+                f"no answer of the store to {path}: {error}",
                 retry_after=self._breaker.retry_after,
             ) from error
         connections.has_responded = True
@@ -237,7 +237,7 @@
             return
         if response.status == 429:
             raise StoreOverloaded(
-                "the store rate-limited the call",
+                "the store refused a call over its rate",
                 retry_after=_retry_after(response),
             )
         detail = response.data.decode(errors="replace")[:200]
--- a/src/sassafrasdale/decisions/canary.py
+++ b/src/sassafrasdale/decisions/canary.py
@@ -188,7 +188,7 @@
         )
         if is_single_endpoint and not final and finding.bad < MAX_SINGLE_ENDPOINT_BAD:
             return PASSED
-    share = f"{finding.bad} of {finding.count}, baseline {finding.baseline:.2f}"
+    share = f"{finding.bad} of {finding.count}, usual {finding.baseline:.2f}"
     return Verdict(True, f"{finding.check}: {share}")
 
 
--- a/src/sassafrasdale/decisions/ordering.py
+++ b/src/sassafrasdale/decisions/ordering.py
@@ -108,7 +108,7 @@
     )
     return FleetPlan(
         orders,
-        f"load {service.load:.2f}, needed {needed}, reclaimable available {available}",
+        f"load {service.load:.2f}, needed {needed}, reclaimable to be had {available}",
     )
 
 
--- a/src/sassafrasdale/endpoints/adapters.py
+++ b/src/sassafrasdale/endpoints/adapters.py
@@ -151,7 +151,7 @@
                 if events:
                     yield events
         except _CONNECTION_ERRORS as error:
-            raise AnswerLost(f"the stream was interrupted: {error}") from error
+            raise AnswerLost(f"the stream broke off: {error}") from error
         finally:
             self.close()
 
@@ -195,7 +195,7 @@
     bodiless = response.status in (204, 304) or method == "HEAD"
     body = _read_body(response)
     if not framed and not bodiless:
-        raise AnswerLost("the response has neither a length nor chunks")
+        raise AnswerLost("the answer says neither its length nor its end")
     _raise_if_refused(response.status, response, body)
     headers = tuple(
         (name, value)
@@ -218,9 +218,9 @@
             body += part
             if len(body) > MAX_RESPONSE_BYTES:
                 response.close()
-                raise AnswerLost(f"the response is over {MAX_RESPONSE_BYTES} bytes")
+                raise AnswerLost(f"the answer is over {MAX_RESPONSE_BYTES} bytes")
     except _CONNECTION_ERRORS as error:
-        raise AnswerLost(f"the response was interrupted: {error}") from error
+        raise AnswerLost(f"the answer broke off: {error}") from error
     return bytes(body)
 
 
@@ -321,7 +321,7 @@
             return EventStream(response)
         complete = _read_response(response, request.method)
         if complete.status == 404:
-            raise StreamUnknown("the engine does not have the stream")
+            raise StreamUnknown("the engine does not know the stream")
         if complete.status in INVALID_REQUEST_STATUSES:
             raise Rejected(complete.status, complete.headers, complete.body)
         raise AnswerLost(f"the engine answered {complete.status}")
@@ -346,7 +346,7 @@
         try:
             return json.loads(complete.body or b"null")
         except ValueError as error:
-            raise AnswerLost(f"{method} {target} did not return JSON") from error
+            raise AnswerLost(f"{method} {target} did not answer JSON") from error
 
     def drop_connections(self) -> None:
         """Close all pooled connections, so that the next call uses a fresh one."""
--- a/src/sassafrasdale/endpoints/engines.py
+++ b/src/sassafrasdale/endpoints/engines.py
@@ -144,7 +144,7 @@
     try:
         return str(response["kv_handle"])
     except (KeyError, TypeError) as error:
-        raise AnswerLost("the engine's export response has no handle") from error
+        raise AnswerLost("the engine's export names no handle") from error
 
 
 def check_health(adapter: HttpAdapter) -> None:
@@ -177,7 +177,9 @@
             content, choice.get("finish_reason"), _usage(usage) if usage else None
         )
     except (ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
-        raise AnswerLost(f"the engine sent a malformed chunk: {error}") from (error)
+        raise AnswerLost(f"the engine sent an event that is no chunk: {error}") from (
+            error
+        )
 
 
 def _usage(document: dict) -> Usage:
--- a/src/sassafrasdale/gateway/metering.py
+++ b/src/sassafrasdale/gateway/metering.py
@@ -86,9 +86,7 @@
             except DutyCallFailed as error:
                 log.warning("usage report not confirmed", why=error.message)
             except DutyCallRefused as error:
-                log.warning(
-                    "usage report refused, releasing the lease", why=error.message
-                )
+                log.warning("usage report refused, stepping down", why=error.message)
                 self._lease.release()
 
     def step(self) -> None:
--- a/src/sassafrasdale/gateway/roster.py
+++ b/src/sassafrasdale/gateway/roster.py
@@ -107,7 +107,7 @@
                 address=str(contact.address),
             )
         elif known.incarnation not in (0, contact.incarnation):
-            log.info("peer restarted", peer=contact.name)
+            log.info("peer started anew", peer=contact.name)
 
     def merge(self, contacts: Iterable[Contact]) -> None:
         """Merge contacts from other gateways: later starts, and shutdowns."""
@@ -129,7 +129,7 @@
         now = self._clock.elapsed()
         for name, last_seen_at in list(self._last_seen_at.items()):
             if now - last_seen_at > RETENTION_TIME:
-                log.info("peer removed", peer=name)
+                log.info("peer forgotten", peer=name)
                 del self._contacts[name]
                 del self._last_seen_at[name]
                 self._avoided_until.pop(name, None)
--- a/src/sassafrasdale/requests/execution.py
+++ b/src/sassafrasdale/requests/execution.py
@@ -115,7 +115,7 @@
                 else:
                     self._observe(endpoint, ok=False)
             if same_endpoint is None and not self._may_retry(endpoint, avoid):
-                return self._give_up(f"{reason}; the retry budget is exhausted")
+                return self._give_up(f"{reason}; the retry budget is spent")
             if self._lifecycle.allows("retry"):
                 self._lifecycle.fire("retry")
 
--- a/src/sassafrasdale/requests/generation.py
+++ b/src/sassafrasdale/requests/generation.py
@@ -399,7 +399,7 @@
     def _answer(self) -> Outcome:
         ending = self._transcript.ending()
         if ending is None:
-            raise AnswerLost("the engine ended its stream without a finish reason")
+            raise AnswerLost("the engine ended its stream without a reason")
         if self._call.streamed:
             return Answered(200, (), b"")
         body = self._transcript.completion(self._call.call.request_id, ending)
--- a/src/sassafrasdale/tasks.py
+++ b/src/sassafrasdale/tasks.py
@@ -23,5 +23,5 @@
         try:
             task()
         except Exception:
-            log.exception("task {} failed and is restarted", task.__qualname__)
+            log.exception("task {} failed and is started again", task.__qualname__)
         sleep(RESTART_DELAY)
