--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""Replays every trace with every way of routing and prints the table.
+"""Replays every trace with every routing strategy and prints the table.
 
 Usage::
 
@@ -13,9 +13,14 @@
 
 from cyclopts import App
 
-from bench.replay.entries import WAYS
-from bench.replay.measures import Case, Measures, cost_at_target, measure
-from bench.replay.measures import same_knowledge as reduced
+from bench.replay.entries import STRATEGIES
+from bench.replay.measures import (
+    Case,
+    Measures,
+    cost_at_target,
+    measure,
+)
+from bench.replay.measures import equivalent_case as reduced
 from bench.replay.structures import SCENARIOS, USERS
 from bench.replay.tables import HEADER, customer_rows, row
 
@@ -34,10 +39,10 @@
     :param customers: print the share in time of each customer too.
     """
     cases = [
-        Case(user, scenario, way, unseen=unseen)
+        Case(user, scenario, strategy, held_out=unseen)
         for user in USERS
         for scenario in SCENARIOS
-        for way in WAYS
+        for strategy in STRATEGIES
     ]
     distinct = list(dict.fromkeys(reduced(case) for case in cases))
     with Pool(PROCESSES) as pool:
--- a/bench/replay/capacity.py
+++ b/bench/replay/capacity.py
@@ -1,6 +1,6 @@
 """Replay of a launch day at the interface of the capacity plan.
 
-Load is a level that is spread over what runs; there are no requests.
+Load is a number that is spread over the instances; there are no single requests.
 
 Usage::
 
@@ -44,15 +44,15 @@
 """Time until a started instance serves, in seconds."""
 
 NOTICE = 10
-"""Time from a reclaim's notice to the end, in seconds."""
+"""Time from a reclaim's notice until the instances end, in seconds."""
 
 SMOOTHING = 60
 """Time over which the planner is given the mean of the load, in seconds."""
 
 RECLAIM_AT, RETURN_AT = 1080, 2250
-"""Times at which zone a is reclaimed and can be had again, in seconds."""
+"""Times at which zone a is reclaimed and available again, in seconds."""
 
-SCARCE = (900, 1080)
+SHORTAGE = (900, 1080)
 """Times between which zone c refuses all starts, in seconds."""
 
 OFFERS = (
@@ -66,7 +66,9 @@
     InstanceOffer("b", "large", False, 1.05, 10.0),
     InstanceOffer("c", "large", False, 1.00, 10.0),
 )
-KINDS = {(o.availability_zone, o.instance_class, o.reclaimable): o for o in OFFERS}
+OFFERS_BY_KIND = {
+    (o.availability_zone, o.instance_class, o.reclaimable): o for o in OFFERS
+}
 
 Planner = Callable[
     [float, float, list[RunningInstance], list[RefusedStart], int], CapacityPlan
@@ -76,23 +78,23 @@
 
 
 @dataclass(slots=True)
-class Machine:
+class ReplayInstance:
     """An instance of the replay; times in seconds."""
 
-    seen: RunningInstance
+    view: RunningInstance
     serves_at: int
     ends_at: int | None = None
 
 
 @dataclass(slots=True)
 class DayFigures:
-    """What a day gave.
+    """The figures of a day.
 
     :param cost: price of all instances over the day.
-    :param served: share of the load that found capacity.
-    :param worst: lowest such share at any time.
+    :param served: share of the load that was within capacity.
+    :param worst: lowest such share at any step.
     :param refusals: starts that were refused.
-    :param starts: starts that were not.
+    :param starts: starts that were accepted.
     """
 
     cost: float = 0.0
@@ -105,7 +107,7 @@
 def load_at(at: int) -> float:
     """Return the load at a time of the day: the launch, twelve times as long.
 
-    Requests come and go by chance, so the level swings by its square root.
+    Arrivals are random, so the level varies by its square root.
     """
     level = PEAK * share_of_peak(at / DAY * DURATION)
     return max(1.0, level + Random(at).gauss(0, level**0.5))
@@ -114,22 +116,23 @@
 def replay(planner: Planner) -> DayFigures:
     """Run a day under a planner."""
     figures = DayFigures()
-    names = count()
-    machines = [
-        _machine(names, KINDS["abc"[n % 3], "large", True], 0) for n in range(6)
+    numbers = count()
+    instances = [
+        _new_instance(numbers, OFFERS_BY_KIND["abc"[n % 3], "large", True], 0)
+        for n in range(6)
     ]
     refused: dict[tuple, tuple[int, int]] = {}
-    offered = carried = 0.0
+    offered = total_served = 0.0
     for at in range(0, DAY, STEP):
-        _reclaim(machines, at)
-        machines = [m for m in machines if m.ends_at is None or m.ends_at > at]
+        _reclaim(instances, at)
+        instances = [m for m in instances if m.ends_at is None or m.ends_at > at]
         load = load_at(at)
         mean = _mean_load(at)
         growth = (mean - _mean_load(max(0, at - SMOOTHING))) / SMOOTHING
         plan = planner(
             mean,
             growth,
-            [replace(m.seen, serving=m.serves_at <= at) for m in machines],
+            [replace(m.view, serving=m.serves_at <= at) for m in instances],
             [
                 RefusedStart(*k, n, timedelta(seconds=at - t))
                 for k, (n, t) in refused.items()
@@ -137,14 +140,14 @@
             at,
         )
         for order in plan.orders:
-            _carry_out(order, machines, refused, names, at, figures)
-        capacity = sum(_capacity(m) for m in machines if m.serves_at <= at)
+            _carry_out(order, instances, refused, numbers, at, figures)
+        capacity = sum(_capacity(m) for m in instances if m.serves_at <= at)
         served = min(load, capacity)
         offered += load
-        carried += served
+        total_served += served
         figures.worst = min(figures.worst, served / load)
-        figures.cost += sum(_price(m) for m in machines) * STEP / 3600
-    figures.served = carried / offered
+        figures.cost += sum(_price(m) for m in instances) * STEP / 3600
+    figures.served = total_served / offered
     return figures
 
 
@@ -165,18 +168,18 @@
 
 
 def fixed(load, growth, running, refused, at) -> CapacityPlan:
-    """Keep enough lasting instances for the peak without any one zone."""
+    """Keep enough on-demand instances for the peak with any one zone lost."""
     wanted = 18 - sum(1 for instance in running if not instance.reclaimable)
     orders = [
         StartInstance(f"{at}-{n}", "drafts", ZONES[n % 3], "large", False)
         for n in range(wanted if at == 0 else 0)
     ]
-    gone = [
+    released = [
         GiveBack(instance.name)
         for instance in running
         if instance.reclaimable and at > START_TIME
     ]
-    return CapacityPlan((*orders, *gone))
+    return CapacityPlan((*orders, *released))
 
 
 def cheapest(load, growth, running, refused, at) -> CapacityPlan:
@@ -185,13 +188,15 @@
 
 
 def spread(load, growth, running, refused, at) -> CapacityPlan:
-    """Follow the load in all zones in turn, with no room for a loss."""
+    """Follow the load in all zones in turn, without spare capacity for a loss."""
     return _follow(load, running, at, ZONES)
 
 
 def _follow(load, running, at, zones) -> CapacityPlan:
     staying = [instance for instance in running if not instance.leaving]
-    missing = load * 1.25 - sum(KINDS[_key(instance)].capacity for instance in staying)
+    missing = load * 1.25 - sum(
+        OFFERS_BY_KIND[_key(instance)].capacity for instance in staying
+    )
     if missing < -10:
         return CapacityPlan((GiveBack(staying[-1].name),))
     starts = max(0, -int(-missing // 10))
@@ -209,11 +214,11 @@
     )
 
 
-def least_cost() -> float:
-    """Return the price of carrying just the load on the cheapest instances.
+def min_cost() -> float:
+    """Return the price of serving exactly the load on the cheapest instances.
 
-    No planner reaches it, as it knows the load and the losses beforehand and
-    keeps no room.
+    No planner reaches it, as it knows the load and the losses in advance and
+    keeps no spare capacity.
     """
     cost = 0.0
     for at in range(0, DAY, STEP):
@@ -246,7 +251,7 @@
     if not constant:
         for name, planner in PLANNERS.items():
             print(_row(name, replay(planner)))
-        print(f"| least cost | {least_cost():.2f} | 100.00% | 100.0% | - | - |")
+        print(f"| least cost | {min_cost():.2f} | 100.00% | 100.0% | - | - |")
     for value in values:
         print(_row(f"{constant} {value:g}", replay(ours(_policy(constant, value)))))
 
@@ -265,29 +270,31 @@
     return replace(CapacityPolicy(), **{constant: value})
 
 
-def _machine(names: "count[int]", offer: InstanceOffer, serves_at: int) -> Machine:
-    seen = RunningInstance(
-        f"i{next(names)}",
+def _new_instance(
+    numbers: "count[int]", offer: InstanceOffer, serves_at: int
+) -> ReplayInstance:
+    view = RunningInstance(
+        f"i{next(numbers)}",
         offer.availability_zone,
         offer.instance_class,
         offer.reclaimable,
     )
-    return Machine(seen, serves_at)
+    return ReplayInstance(view, serves_at)
 
 
-def _reclaim(machines: list[Machine], at: int) -> None:
+def _reclaim(instances: list[ReplayInstance], at: int) -> None:
     """Give notice to the reclaimable instances of zone a."""
     if at != RECLAIM_AT:
         return
-    for machine in machines:
-        if machine.seen.availability_zone == "a" and machine.seen.reclaimable:
-            machine.seen = replace(machine.seen, leaving=True)
-            machine.ends_at = at + NOTICE
+    for instance in instances:
+        if instance.view.availability_zone == "a" and instance.view.reclaimable:
+            instance.view = replace(instance.view, leaving=True)
+            instance.ends_at = at + NOTICE
 
 
-def _carry_out(order, machines, refused, names, at, figures) -> None:
+def _carry_out(order, instances, refused, numbers, at, figures) -> None:
     if isinstance(order, GiveBack):
-        machines[:] = [m for m in machines if m.seen.name != order.name]
+        instances[:] = [m for m in instances if m.view.name != order.name]
         return
     kind = (order.availability_zone, order.instance_class, order.reclaimable)
     if _refuses(order, at):
@@ -297,25 +304,25 @@
         return
     refused.pop(kind, None)
     figures.starts += 1
-    machines.append(_machine(names, KINDS[kind], at + START_TIME))
+    instances.append(_new_instance(numbers, OFFERS_BY_KIND[kind], at + START_TIME))
 
 
 def _refuses(order: StartInstance, at: int) -> bool:
-    scarce = order.availability_zone == "c" and SCARCE[0] <= at < SCARCE[1]
-    gone = order.availability_zone == "a" and RECLAIM_AT <= at < RETURN_AT
-    return scarce or (gone and order.reclaimable)
+    in_shortage = order.availability_zone == "c" and SHORTAGE[0] <= at < SHORTAGE[1]
+    reclaimed = order.availability_zone == "a" and RECLAIM_AT <= at < RETURN_AT
+    return in_shortage or (reclaimed and order.reclaimable)
 
 
 def _key(instance: RunningInstance) -> tuple[str, str, bool]:
     return (instance.availability_zone, instance.instance_class, instance.reclaimable)
 
 
-def _capacity(machine: Machine) -> float:
-    return KINDS[_key(machine.seen)].capacity
+def _capacity(instance: ReplayInstance) -> float:
+    return OFFERS_BY_KIND[_key(instance.view)].capacity
 
 
-def _price(machine: Machine) -> float:
-    return KINDS[_key(machine.seen)].price_per_hour
+def _price(instance: ReplayInstance) -> float:
+    return OFFERS_BY_KIND[_key(instance.view)].price_per_hour
 
 
 if __name__ == "__main__":
--- a/bench/replay/choices.py
+++ b/bench/replay/choices.py
@@ -1,4 +1,4 @@
-"""Processor time of one choice.
+"""Processor time of one routing decision.
 
 Usage::
 
@@ -24,16 +24,16 @@
 ROUNDS = 7
 CALLS = 500
 PROMPT_BLOCKS = 100
-BIG = 2**40
-"""Distance between block numbers, which are as large as hashes."""
+HASH_STEP = 2**40
+"""Difference between block numbers, so that these are as large as real hashes."""
 
 
 def main() -> None:
-    """Print microseconds of processor time a call, as the median of some rounds."""
+    """Print microseconds of processor time per call, the median of several rounds."""
     print("| call | endpoints | us |\n| --- | ---: | ---: |")
     for count in (6, 12, 30, 100):
         for name, call in _calls(count).items():
-            print(f"| {name} | {count} | {_taken(call):.1f} |")
+            print(f"| {name} | {count} | {_median_us(call):.1f} |")
     print("\n| endpoints | blocks | bytes a block |\n| ---: | ---: | ---: |")
     for count in (6, 30):
         blocks, size = _index_size(count)
@@ -48,10 +48,12 @@
     names = [f"e{n}" for n in range(count)]
     matches = dict.fromkeys(names, 512)
     index, prompt = _index(count)
-    homes = (request.home, request.second_home)
+    owners = (request.home, request.second_home)
     return {
         f"match {PROMPT_BLOCKS} blocks": partial(index.matches, prompt),
-        "draw candidates": partial(draw_candidates, names, matches, homes, policy, rng),
+        "draw candidates": partial(
+            draw_candidates, names, matches, owners, policy, rng
+        ),
         "build views": partial(_views, count),
         "choose": partial(choose, request, _views(count), policy, rng),
     }
@@ -59,7 +61,7 @@
 
 def _views(count: int) -> list[EndpointView]:
     age = timedelta(seconds=2)
-    distance = timedelta(milliseconds=1)
+    network_delay = timedelta(milliseconds=1)
     return [
         EndpointView(
             f"e{n}",
@@ -67,7 +69,7 @@
             in_flight=n % 5,
             reported_load=n % 9,
             report_age=age,
-            distance=distance,
+            distance=network_delay,
             cached_tokens=6400 if n < 3 else 0,
         )
         for n in range(count)
@@ -75,7 +77,7 @@
 
 
 def _index(count: int) -> tuple[PrefixIndex, tuple[int, ...]]:
-    """Return an index in which three endpoints hold a prompt, and all its start."""
+    """Return an index with a prompt at three endpoints, and its start at all."""
     prompt = tuple(range(PROMPT_BLOCKS))
     index = PrefixIndex()
     for n in range(count):
@@ -84,18 +86,18 @@
 
 
 def _index_size(count: int) -> tuple[int, int]:
-    """Return the blocks in a full index and the bytes of memory that it takes."""
+    """Return the blocks in a full index and its size in bytes."""
     tracemalloc.start()
     index = PrefixIndex()
     for n in range(count):
-        first = n * MAX_BLOCKS * BIG
-        index.record(f"e{n}", range(first, first + MAX_BLOCKS * BIG, BIG))
+        first = n * MAX_BLOCKS * HASH_STEP
+        index.record(f"e{n}", range(first, first + MAX_BLOCKS * HASH_STEP, HASH_STEP))
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return len(index), size
 
 
-def _taken(function: Callable[[], object]) -> float:
+def _median_us(function: Callable[[], object]) -> float:
     rounds = []
     for _ in range(ROUNDS):
         start = process_time()
--- a/bench/replay/engines.py
+++ b/bench/replay/engines.py
@@ -1,6 +1,6 @@
 """A fake engine: a queue, one prefill at a time, and a prefix cache.
 
-It has no network and generates no tokens; it only takes as long.
+It uses no network and generates no tokens; it only models the time they take.
 """
 
 from collections import OrderedDict
@@ -18,11 +18,11 @@
     """How fast and large an engine is; times in seconds.
 
     :param slots: requests that run at once.
-    :param prefill_rate: prompt tokens computed in a second.
+    :param prefill_rate: prompt tokens computed per second.
     :param token_delay: time between tokens of one stream alone.
-    :param token_delay_step: added to it by each request that runs.
+    :param token_delay_step: increase of ``token_delay`` for each running request.
     :param cache_tokens: size of the prefix cache.
-    :param move_rate: cached tokens exported in a second.
+    :param move_rate: cached tokens exported per second.
     :param move_setup: fixed time of an export.
     """
 
@@ -40,27 +40,28 @@
 
 
 class Job:
-    """A request as an engine holds it.
+    """A request at an engine.
 
-    :param prompt_tokens: context to have in the cache before the next token.
+    :param prompt_tokens: tokens that must be in the cache before the next token.
     :param tokens: tokens to generate.
-    :param priority: 0 goes first.
+    :param priority: lower values run first.
     :param blocks: hashes of the context's blocks.
-    :param on_prefill: called with the cached and the uncached block hashes.
+    :param on_prefill: called with the number of uncached tokens and the hashes of
+        the uncached blocks.
     :param on_first: called at the first token.
     :param on_done: called at the last token.
     """
 
     __slots__ = (
         "blocks",
-        "dropped",
+        "cancelled",
         "first_at",
         "on_done",
         "on_first",
         "on_prefill",
         "priority",
         "prompt_tokens",
-        "ready",
+        "has_kv_cache",
         "token_delay",
         "tokens",
     )
@@ -82,8 +83,8 @@
         self.on_prefill = on_prefill
         self.on_first = on_first
         self.on_done = on_done
-        self.dropped = False
-        self.ready = False
+        self.cancelled = False
+        self.has_kv_cache = False
         self.first_at: float | None = None
         self.token_delay = 0.0
 
@@ -132,7 +133,7 @@
         return len(self.running) + len(self._waiting)
 
     def cached_blocks(self, blocks: Sequence[int]) -> int:
-        """Return how many of the first ``blocks`` are in the cache."""
+        """Return the length of the prefix of ``blocks`` that is cached."""
         found = 0
         for block in blocks:
             if block not in self._cache:
@@ -141,35 +142,35 @@
         return found
 
     def submit(self, job: Job) -> None:
-        """Take a request."""
+        """Run a request, or queue it if all slots are taken."""
         if len(self.running) < self.shape.slots:
             self._start(job)
         else:
             heappush(self._waiting, (job.priority, next(self._order), job))
 
-    def drop(self, job: Job) -> None:
-        """Stop a request, which then ends here without a word."""
-        job.dropped = True
+    def cancel(self, job: Job) -> None:
+        """Cancel a request without calling any of its callbacks."""
+        job.cancelled = True
         if job in self.running:
             self.running.remove(job)
-            self._fill()
+            self._start_waiting()
         else:
             self._waiting = [item for item in self._waiting if item[2] is not job]
             self._waiting.sort()
 
-    def move_done_at(self, tokens: int) -> float:
+    def reserve_export(self, tokens: int) -> float:
         """Reserve the link for an export and return when it is done."""
         start = max(self._events.now, self._link_free_at)
         self._link_free_at = start + self.shape.move_setup
         self._link_free_at += tokens / self.shape.move_rate
         return self._link_free_at
 
-    def leave(self) -> None:
-        """Lose all requests and the cache."""
+    def terminate(self) -> None:
+        """Cancel all requests and clear the cache."""
         for job in self.running:
-            job.dropped = True
+            job.cancelled = True
         for _, _, job in self._waiting:
-            job.dropped = True
+            job.cancelled = True
         self.running.clear()
         self._waiting.clear()
         self._prefills.clear()
@@ -177,7 +178,7 @@
         self._cache.clear()
 
     def store(self, blocks: Sequence[int]) -> None:
-        """Put blocks into the cache and drop the least recent beyond its size."""
+        """Cache blocks, and evict the least recently used beyond the cache's size."""
         cache = self._cache
         stored = [block for block in reversed(blocks) if block not in cache]
         for block in reversed(blocks):
@@ -192,30 +193,30 @@
         self.running.add(job)
         heappush(self._prefills, (job.priority, next(self._order), job))
         if self._prefilling is None:
-            self._next_prefill()
+            self._start_next_prefill()
 
-    def _next_prefill(self) -> None:
+    def _start_next_prefill(self) -> None:
         self._prefilling = None
         while self._prefills:
             _, _, job = heappop(self._prefills)
-            if not job.dropped:
+            if not job.cancelled:
                 self._prefill(job)
                 return
 
     def _prefill(self, job: Job) -> None:
         self._prefilling = job
-        cached = len(job.blocks) if job.ready else self.cached_blocks(job.blocks)
-        uncached = 0 if job.ready else job.prompt_tokens - cached * BLOCK
+        cached = len(job.blocks) if job.has_kv_cache else self.cached_blocks(job.blocks)
+        uncached = 0 if job.has_kv_cache else job.prompt_tokens - cached * BLOCK
         job.on_prefill(uncached, job.blocks[cached:])
-        pause = uncached / self.shape.prefill_rate * self.slowness
-        self._events.after(pause, self._prefilled, job)
+        delay = uncached / self.shape.prefill_rate * self.slowness
+        self._events.after(delay, self._finish_prefill, job)
 
-    def _prefilled(self, job: Job) -> None:
+    def _finish_prefill(self, job: Job) -> None:
         if self._prefilling is not job:
             return
-        if not job.dropped:
+        if not job.cancelled:
             self._decode(job)
-        self._next_prefill()
+        self._start_next_prefill()
 
     def _decode(self, job: Job) -> None:
         self.store(job.blocks)
@@ -226,13 +227,13 @@
         self._events.after(job.tokens * job.token_delay, self._finish, job)
 
     def _finish(self, job: Job) -> None:
-        if job.dropped:
+        if job.cancelled:
             return
         self.running.discard(job)
         job.on_done()
-        self._fill()
+        self._start_waiting()
 
-    def _fill(self) -> None:
+    def _start_waiting(self) -> None:
         while self._waiting and len(self.running) < self.shape.slots:
             _, _, job = heappop(self._waiting)
             self._start(job)
--- a/bench/replay/events.py
+++ b/bench/replay/events.py
@@ -1,4 +1,4 @@
-"""The replay's clock: a queue of what happens when."""
+"""The replay's clock: a queue of scheduled calls."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -7,7 +7,7 @@
 
 
 class EventQueue:
-    """Calls functions in the order of their times; equal times in order of asking."""
+    """Calls functions in the order of their times; ties in order of scheduling."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -18,12 +18,12 @@
         """Call ``function`` at a time, in seconds."""
         heappush(self._queue, (when, next(self._order), function, args))
 
-    def after(self, pause: float, function: Callable[..., None], *args: Any) -> None:
-        """Call ``function`` after a pause, in seconds."""
-        self.at(self.now + pause, function, *args)
+    def after(self, delay: float, function: Callable[..., None], *args: Any) -> None:
+        """Call ``function`` after a delay, in seconds."""
+        self.at(self.now + delay, function, *args)
 
     def run(self) -> None:
-        """Run until nothing is left to do."""
+        """Run until the queue is empty."""
         while self._queue:
             self.now, _, function, args = heappop(self._queue)
             function(*args)
--- a/bench/replay/measures.py
+++ b/bench/replay/measures.py
@@ -1,4 +1,4 @@
-"""What a replay is measured by."""
+"""The figures of a replay."""
 
 from collections import defaultdict
 from collections.abc import Sequence
@@ -10,39 +10,39 @@
 from bench.replay.traces import load_trace
 from sassafrasdale.decisions.structures import RoutingPolicy
 
-SHARE_WANTED = 0.95
-"""Share of first tokens in time at which the cost is taken."""
+TARGET_SHARE = 0.95
+"""Share of first tokens in time at which the cost is determined."""
 
 PRICE_PER_HOUR = 1.0
-"""Price of a model replica, in units."""
+"""Price of a model replica per hour, in units."""
 
-SLOWEST = 0.2
-FASTEST = 2.5
-"""Bounds of the compression in time that the cost is sought between."""
+MIN_SPEED = 0.2
+MAX_SPEED = 2.5
+"""Bounds of the time compression between which the cost is searched."""
 
 COST_STEPS = 8
-"""Halvings of these bounds; the last leaves 1 %."""
+"""Bisection steps between these bounds; the remaining range is 1 %."""
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One replay to make.
+    """The parameters of one replay.
 
-    :param user: whose trace.
-    :param scenario: what goes wrong.
-    :param way: how the entries route.
+    :param user: the user whose trace is replayed.
+    :param scenario: the faults.
+    :param strategy: the entries' routing strategy.
     :param policy: constants; the user's own by default.
-    :param seed: seed of the balancer and of the lost events.
-    :param unseen: whether the trace is one that nothing was tuned on.
+    :param seed: seed of the load balancer and of the event losses.
+    :param held_out: whether to replay a trace on which nothing was tuned.
     :param fleet: how many entries and replicas there are.
     """
 
     user: User
     scenario: Scenario
-    way: str
+    strategy: str
     policy: RoutingPolicy | None = None
     seed: int = 0
-    unseen: bool = False
+    held_out: bool = False
     fleet: Fleet = Fleet()
 
 
@@ -50,13 +50,13 @@
 class Measures:
     """Figures of one replay; times in seconds.
 
-    :param recomputed_tokens: tokens computed again.
+    :param recomputed_tokens: tokens that were computed before.
     :param first_token_50: median time to the first token.
     :param first_token_95: its 95th percentile.
     :param first_token_99: its 99th percentile.
     :param lookup_99: 99th percentile of a lookup's time.
     :param share_in_time: share of first tokens within the user's target.
-    :param by_customer: the same for each customer.
+    :param by_customer: the same share for each customer.
     :param unfinished: requests that never ended.
     """
 
@@ -72,12 +72,12 @@
 
 def measure(case: Case, speed: float = 1.0) -> Measures:
     """Replay a case and return its figures."""
-    trace = load_trace(case.user, case.unseen)
+    trace = load_trace(case.user, case.held_out)
     replay = Replay(
         case.user,
         trace,
         case.scenario,
-        case.way,
+        case.strategy,
         speed,
         case.policy,
         seed=case.seed,
@@ -102,16 +102,16 @@
     """Return the price of a thousand generations at the latency target.
 
     The trace is compressed in time until one first token in twenty is late; the
-    fleet's price is then shared by the generations that it served.
+    fleet's price is then divided by the generations that it served.
     """
-    low, high = SLOWEST, FASTEST
+    low, high = MIN_SPEED, MAX_SPEED
     for _ in range(COST_STEPS):
         middle = (low * high) ** 0.5
-        if measure(case, middle).share_in_time >= SHARE_WANTED:
+        if measure(case, middle).share_in_time >= TARGET_SHARE:
             low = middle
         else:
             high = middle
-    trace = load_trace(case.user, case.unseen)
+    trace = load_trace(case.user, case.held_out)
     generations = sum(1 for request in trace if not request.is_lookup)
     hours = trace[-1].at / low / 3600
     return Fleet().models * PRICE_PER_HOUR * hours / generations * 1000
@@ -130,18 +130,22 @@
     return in_time / len(delays) if delays else 0.0
 
 
-def same_knowledge(case: Case) -> Case:
-    """Return the case that gives the same figures with the least knowledge of it.
+def equivalent_case(case: Case) -> Case:
+    """Return the simplest case that gives the same figures.
 
-    Only our own way reads load reports and cache events, so one replay stands
-    for the traces that differ in nothing else.
+    Only the package's own strategy uses load reports and cache events; for the
+    others, scenarios that differ only in these have one result.
     """
-    if case.way == OURS or case.scenario.reclaimed_zone or case.scenario.slow_endpoint:
+    if (
+        case.strategy == OURS
+        or case.scenario.reclaimed_zone
+        or case.scenario.slow_endpoint
+    ):
         return case
     return replace(case, scenario=Scenario("launch"))
 
 
-def worst(values: dict[str, float]) -> tuple[str, float]:
+def worst_customer(values: dict[str, float]) -> tuple[str, float]:
     """Return the customer with the lowest share, and the share."""
     name = min(values, key=values.__getitem__)
     return name, values[name]
--- a/bench/replay/reclaims.py
+++ b/bench/replay/reclaims.py
@@ -1,4 +1,4 @@
-"""Replays the reclaim of a zone with other ways of emptying its replicas.
+"""Replays the reclaim of a zone with other policies for draining its replicas.
 
 Usage::
 
@@ -18,7 +18,7 @@
 
 PROCESSES = 3
 NOTICES = (2.0, 5.0, 10.0)
-"""Times of notice, in seconds."""
+"""Notice periods, in seconds."""
 
 RECLAIM = next(scenario for scenario in SCENARIOS if scenario.reclaimed_zone)
 
--- a/bench/replay/simulation.py
+++ b/bench/replay/simulation.py
@@ -1,4 +1,4 @@
-"""The replay of one trace under one scenario with one way of routing."""
+"""The replay of one trace under one scenario with one routing strategy."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 from random import Random
 
 from bench.replay.engines import MODEL, PLAIN, FakeEngine, Job
-from bench.replay.entries import OURS, Entry, Flight, LoadReport
+from bench.replay.entries import OURS, Entry, LoadReport, PendingRequest
 from bench.replay.events import EventQueue
 from bench.replay.structures import BLOCK, ZONES, Scenario, TraceRequest, User
 from bench.replay.zones import ZoneReclaim
@@ -17,19 +17,20 @@
 """Time between an engine's load reports, in seconds."""
 
 TOKENS_OBSERVED = 16
-"""Tokens of a stream after which an entry takes the time between them."""
+"""Tokens of a stream after which an entry records the time between tokens."""
 
-RETRY_PAUSE = 0.5
-"""Pause of a request that finds no endpoint, in seconds."""
+RETRY_DELAY = 0.5
+"""Delay before a request that found no endpoint is routed again, in seconds."""
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What a replay gave; times in seconds.
+    """The outcome of a replay; times in seconds.
 
     :param first_tokens: time to the first token of each generation, by number.
     :param lookups: time of each lookup, by number.
-    :param recomputed_tokens: tokens computed again after they were lost or missed.
+    :param recomputed_tokens: tokens computed again because a cache had lost or lacked
+        them.
     :param prefilled_tokens: all prompt tokens computed.
     :param finished: generations and lookups that ended.
     """
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """How many entries, model replicas and plain replicas there are."""
+    """Numbers of entries, model replicas and plain replicas."""
 
     entries: int = 6
     models: int = 6
@@ -53,15 +54,15 @@
 class Replay:
     """Replays a trace.
 
-    :param user: whose trace it is.
+    :param user: the user whose trace it is.
     :param trace: the requests.
-    :param scenario: what goes wrong.
-    :param way: how the entries route.
-    :param speed: by how much the trace is compressed in time.
+    :param scenario: the faults.
+    :param strategy: the entries' routing strategy.
+    :param speed: factor by which the trace is compressed in time.
     :param policy: constants of the routing.
-    :param reclaims: constants of the reclaims.
-    :param seed: seed of the balancer and of the lost events.
-    :param fleet: how many entries and replicas there are.
+    :param reclaims: constants of the reclaim decisions.
+    :param seed: seed of the load balancer and of the event losses.
+    :param fleet: numbers of entries and replicas.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         user: User,
         trace: Sequence[TraceRequest],
         scenario: Scenario,
-        way: str,
+        strategy: str,
         speed: float = 1.0,
         policy: RoutingPolicy | None = None,
         reclaims: ReclaimPolicy | None = None,
@@ -79,15 +80,15 @@
         self._user = user
         self._trace = trace
         self.scenario = scenario
-        self.way = way
+        self.strategy = strategy
         self._speed = speed
         self._policy = policy or policy_of(user)
         self._reclaim = ZoneReclaim(self, reclaims or ReclaimPolicy())
         self.events = EventQueue()
-        self._losses = Random(7 + 2 * seed)
-        self._balancer = Random(11 + 2 * seed)
+        self._loss_rng = Random(7 + 2 * seed)
+        self._balancer_rng = Random(11 + 2 * seed)
         self.leaving: set[str] = set()
-        self.gone: set[str] = set()
+        self.terminated: set[str] = set()
         self._computed: set[int] = set()
         self._outcome = Outcome()
         self.entries: list[Entry] = []
@@ -95,7 +96,7 @@
         for number in range(fleet.entries):
             zone = ZONES[number % len(ZONES)]
             self.entries.append(
-                Entry(number, zone, user, way, self._policy, self.entries)
+                Entry(number, zone, user, strategy, self._policy, self.entries)
             )
         self.models = [self._engine("model", n) for n in range(fleet.models)]
         self.plains = [self._engine("plain", n) for n in range(fleet.plains)]
@@ -104,11 +105,13 @@
     def run(self) -> Outcome:
         """Replay the whole trace and return the outcome."""
         for request in self._trace:
-            entry = self._balancer.choice(self.entries)
-            self.events.at(request.at / self._speed, self.send, entry, Flight(request))
-        self._end = self._trace[-1].at / self._speed + 60
+            entry = self._balancer_rng.choice(self.entries)
+            self.events.at(
+                request.at / self._speed, self.send, entry, PendingRequest(request)
+            )
+        self._report_until = self._trace[-1].at / self._speed + 60
         self.events.at(0.0, self._report)
-        self._plan_faults()
+        self._schedule_faults()
         self.events.run()
         return self._outcome
 
@@ -119,18 +122,18 @@
         return FakeEngine(name, zone, shape, self.events, self._cache_event)
 
     def set_endpoints(self) -> None:
-        """Tell the entries which model engines stay."""
+        """Set the entries' model endpoints: those not being reclaimed."""
         names = [e.name for e in self.models if e.name not in self.leaving]
         for entry in self.entries:
             entry.set_endpoints(names)
 
-    def _plan_faults(self) -> None:
+    def _schedule_faults(self) -> None:
         scenario = self.scenario
         if scenario.reclaimed_zone:
             at = scenario.reclaim_at / self._speed
             self.events.at(at, self._reclaim.notify)
-            self.events.at(at + scenario.notice, self._reclaim.leave)
-            self.events.at(scenario.return_at / self._speed, self._reclaim.come_back)
+            self.events.at(at + scenario.notice, self._reclaim.terminate)
+            self.events.at(scenario.return_at / self._speed, self._reclaim.restore)
         if scenario.slow_endpoint:
             slow = next(e for e in self.models if e.name == scenario.slow_endpoint)
             for when, factor in (
@@ -141,109 +144,117 @@
 
     # Requests
 
-    def send(self, entry: Entry, flight: Flight) -> None:
+    def send(self, entry: Entry, pending: PendingRequest) -> None:
         """Have an entry choose an engine for a request, and send it."""
-        request = flight.request
+        request = pending.request
         engines = self.plains if request.is_lookup else self.models
         routed = entry.route(request, engines, self.leaving, self.events.now)
         if routed is None:
-            self.events.after(RETRY_PAUSE, self.send, entry, flight)
+            self.events.after(RETRY_DELAY, self.send, entry, pending)
             return
         engine, view = routed
-        flight.expected_tokens = max(0, request.prompt_tokens - view.cached_tokens)
-        known = view.cached_tokens >= entry.home_trust.share * request.prompt_tokens
-        flight.unknown_at_home = entry.is_home(request, engine) and not known
+        pending.expected_tokens = max(0, request.prompt_tokens - view.cached_tokens)
+        known = view.cached_tokens >= entry.owner_cache.share * request.prompt_tokens
+        pending.unknown_at_owner = entry.is_owner(request, engine) and not known
         if not request.is_lookup:
             entry.index.record(engine.name, request.blocks)
-        self.submit(entry, flight, engine, ready=False)
+        self.submit(entry, pending, engine, has_kv_cache=False)
 
     def submit(
-        self, entry: Entry, flight: Flight, engine: FakeEngine, ready: bool
+        self,
+        entry: Entry,
+        pending: PendingRequest,
+        engine: FakeEngine,
+        has_kv_cache: bool,
     ) -> None:
         """Send a request to an engine.
 
-        :param ready: whether its KV cache is there already.
+        :param has_kv_cache: whether the engine already has its KV cache.
         """
-        request = flight.request
-        flight.engine = engine
-        flight.job = Job(
-            request.prompt_tokens + flight.generated,
-            request.max_tokens - flight.generated,
+        request = pending.request
+        pending.engine = engine
+        pending.job = Job(
+            request.prompt_tokens + pending.generated,
+            request.max_tokens - pending.generated,
             request.priority,
             request.blocks,
-            partial(self._prefill, flight),
-            partial(self._first, entry, flight),
-            partial(self._done, entry, flight),
+            partial(self._on_prefill, pending),
+            partial(self._on_first_token, entry, pending),
+            partial(self._on_done, entry, pending),
         )
-        flight.job.ready = ready
-        if ready:
-            flight.expected_tokens = 0
-        entry.flights[request.number] = flight
-        entry.own_tokens[engine.name] += flight.expected_tokens
+        pending.job.has_kv_cache = has_kv_cache
+        if has_kv_cache:
+            pending.expected_tokens = 0
+        entry.pending_requests[request.number] = pending
+        entry.prefill_tokens[engine.name] += pending.expected_tokens
         if not request.is_lookup:
-            compute = flight.expected_tokens / MODEL.prefill_rate
+            compute = pending.expected_tokens / MODEL.prefill_rate
             entry.queues.sent(
                 engine.name,
                 str(request.number),
                 timedelta(seconds=self.events.now),
-                timedelta(seconds=compute + 2 * entry.distance(engine)),
+                timedelta(seconds=compute + 2 * entry.network_delay(engine)),
             )
         self._count(entry, engine, 1)
-        self.events.after(entry.distance(engine), self._arrive, entry, flight)
+        self.events.after(entry.network_delay(engine), self._arrive, entry, pending)
 
-    def _arrive(self, entry: Entry, flight: Flight) -> None:
-        if flight.engine.name in self.gone:
-            self.lost(entry, flight)
+    def _arrive(self, entry: Entry, pending: PendingRequest) -> None:
+        if pending.engine.name in self.terminated:
+            self.reroute(entry, pending)
             return
-        flight.engine.submit(flight.job)
+        pending.engine.submit(pending.job)
 
-    def _prefill(self, flight: Flight, uncached: int, missing: Sequence[int]) -> None:
+    def _on_prefill(
+        self, pending: PendingRequest, uncached: int, missing: Sequence[int]
+    ) -> None:
         self._outcome.prefilled_tokens += uncached
-        flight.cached_tokens = flight.job.prompt_tokens - uncached
-        again = sum(1 for block in missing if block in self._computed)
-        self._outcome.recomputed_tokens += again * BLOCK
+        pending.cached_tokens = pending.job.prompt_tokens - uncached
+        recomputed = sum(1 for block in missing if block in self._computed)
+        self._outcome.recomputed_tokens += recomputed * BLOCK
         if uncached:
-            self._outcome.recomputed_tokens += flight.generated
+            self._outcome.recomputed_tokens += pending.generated
         self._computed.update(missing)
 
-    def _first(self, entry: Entry, flight: Flight) -> None:
-        engine = flight.engine
+    def _on_first_token(self, entry: Entry, pending: PendingRequest) -> None:
+        engine = pending.engine
         now = self.events.now
-        self._settle_tokens(entry, flight)
+        self._release_prefill_tokens(entry, pending)
         at = timedelta(seconds=now)
-        entry.queues.answered(engine.name, str(flight.request.number), at)
-        if flight.first_at is None and not flight.request.is_lookup:
-            flight.first_at = now
-            taken = now - flight.request.at / self._speed + entry.distance(engine)
-            self._outcome.first_tokens[flight.request.number] = taken
-        tokens = min(TOKENS_OBSERVED, flight.job.tokens)
-        pause = tokens * flight.job.token_delay
-        self.events.after(pause, self._observe, entry, engine, flight.job)
+        entry.queues.answered(engine.name, str(pending.request.number), at)
+        if pending.first_at is None and not pending.request.is_lookup:
+            pending.first_at = now
+            elapsed = (
+                now - pending.request.at / self._speed + entry.network_delay(engine)
+            )
+            self._outcome.first_tokens[pending.request.number] = elapsed
+        tokens = min(TOKENS_OBSERVED, pending.job.tokens)
+        delay = tokens * pending.job.token_delay
+        self.events.after(delay, self._observe, entry, engine, pending.job)
 
     def _observe(self, entry: Entry, engine: FakeEngine, job: Job) -> None:
-        if not job.dropped:
+        if not job.cancelled:
             at = timedelta(seconds=self.events.now)
             entry.delays.observe(engine.name, timedelta(seconds=job.token_delay), at)
 
-    def _done(self, entry: Entry, flight: Flight) -> None:
-        engine = flight.engine
+    def _on_done(self, entry: Entry, pending: PendingRequest) -> None:
+        engine = pending.engine
         self._count(entry, engine, -1)
-        del entry.flights[flight.request.number]
-        if flight.unknown_at_home:
-            entry.home_trust.observe(flight.cached_tokens, flight.job.prompt_tokens)
+        del entry.pending_requests[pending.request.number]
+        if pending.unknown_at_owner:
+            entry.owner_cache.observe(pending.cached_tokens, pending.job.prompt_tokens)
         self._outcome.finished += 1
-        if flight.request.is_lookup:
-            taken = self.events.now - flight.request.at / self._speed
-            taken += entry.distance(engine)
-            self._outcome.lookups[flight.request.number] = taken
+        if pending.request.is_lookup:
+            elapsed = self.events.now - pending.request.at / self._speed
+            elapsed += entry.network_delay(engine)
+            self._outcome.lookups[pending.request.number] = elapsed
 
     def _count(self, entry: Entry, engine: FakeEngine, step: int) -> None:
         at = timedelta(seconds=self.events.now)
         entry.in_flight[engine.name].change(at, step)
 
-    def _settle_tokens(self, entry: Entry, flight: Flight) -> None:
-        entry.own_tokens[flight.engine.name] -= flight.expected_tokens
-        flight.expected_tokens = 0
+    def _release_prefill_tokens(self, entry: Entry, pending: PendingRequest) -> None:
+        entry.prefill_tokens[pending.engine.name] -= pending.expected_tokens
+        pending.expected_tokens = 0
 
     # Load reports and cache events
 
@@ -255,54 +266,54 @@
                 own = entry.in_flight[engine.name].at(at)
                 report = LoadReport(engine.load, own, now)
                 lag = self.scenario.report_lag
-                self.events.after(lag, self._hear_report, entry, engine.name, report)
-        if now < self._end:
+                self.events.after(lag, self._receive_report, entry, engine.name, report)
+        if now < self._report_until:
             self.events.after(REPORT_INTERVAL, self._report)
 
-    def _hear_report(self, entry: Entry, engine: str, report: LoadReport) -> None:
-        if engine not in self.gone:
+    def _receive_report(self, entry: Entry, engine: str, report: LoadReport) -> None:
+        if engine not in self.terminated:
             entry.reports[engine] = report
 
     def _cache_event(self, engine: str, stored: list[int], removed: list[int]) -> None:
-        """Publish cache events; each may get lost on its own."""
-        if self.way != OURS:
+        """Publish cache events; each may be lost independently."""
+        if self.strategy != OURS:
             return
-        loss, draw = self.scenario.event_loss, self._losses.random
+        loss, draw = self.scenario.event_loss, self._loss_rng.random
         published = len(stored) + len(removed)
         stored = [block for block in stored if draw() >= loss]
         removed = [block for block in removed if draw() >= loss]
         delay = self.scenario.event_delay
-        heard = (engine, stored, removed, published)
-        self.events.after(delay, self._hear_cache, *heard)
+        event = (engine, stored, removed, published)
+        self.events.after(delay, self._receive_cache_events, *event)
 
-    def _hear_cache(
+    def _receive_cache_events(
         self, engine: str, stored: list[int], removed: list[int], published: int
     ) -> None:
-        if engine in self.gone:
+        if engine in self.terminated:
             return
         for entry in self.entries:
-            entry.home_trust.hear(len(stored) + len(removed), published)
+            entry.owner_cache.hear(len(stored) + len(removed), published)
             for block in stored:
                 entry.index.stored(engine, block)
             for block in removed:
                 entry.index.removed(engine, block)
 
-    def take_off(self, entry: Entry, flight: Flight) -> None:
-        """End a flight's job at its engine, and keep the tokens it has."""
-        flight.generated += flight.job.generated(self.events.now)
-        flight.generated = min(flight.generated, flight.request.max_tokens - 1)
-        flight.engine.drop(flight.job)
-        flight.job.dropped = True
-        self._settle_tokens(entry, flight)
-        number = str(flight.request.number)
-        entry.queues.withdrawn(flight.engine.name, number)
-        self._count(entry, flight.engine, -1)
-        entry.flights.pop(flight.request.number, None)
-
-    def lost(self, entry: Entry, flight: Flight) -> None:
-        """Send a request elsewhere, whose engine is gone."""
-        self.take_off(entry, flight)
-        self.send(entry, flight)
+    def withdraw(self, entry: Entry, pending: PendingRequest) -> None:
+        """Cancel a request's job at its engine, and keep its generated tokens."""
+        pending.generated += pending.job.generated(self.events.now)
+        pending.generated = min(pending.generated, pending.request.max_tokens - 1)
+        pending.engine.cancel(pending.job)
+        pending.job.cancelled = True
+        self._release_prefill_tokens(entry, pending)
+        number = str(pending.request.number)
+        entry.queues.withdrawn(pending.engine.name, number)
+        self._count(entry, pending.engine, -1)
+        entry.pending_requests.pop(pending.request.number, None)
+
+    def reroute(self, entry: Entry, pending: PendingRequest) -> None:
+        """Send a request to another engine after its own was terminated."""
+        self.withdraw(entry, pending)
+        self.send(entry, pending)
 
 
 def policy_of(user: User) -> RoutingPolicy:
--- a/bench/replay/sizes.py
+++ b/bench/replay/sizes.py
@@ -14,7 +14,7 @@
 from bench.replay.structures import AUTHORITY, SCENARIOS
 
 PROCESSES = 3
-GROWTH = 6
+LOAD_FACTOR = 6
 LARGE = Fleet(entries=36, models=36, plains=18)
 SAMPLES = (2, 4, 8, 16, 36)
 MIRRORED = (0, 35)
@@ -23,8 +23,8 @@
 def main() -> None:
     """Print the table."""
     cases = [
-        Case(AUTHORITY, SCENARIOS[0], way, fleet=LARGE)
-        for way in (ROUND_ROBIN, LEAST_REQUESTS)
+        Case(AUTHORITY, SCENARIOS[0], strategy, fleet=LARGE)
+        for strategy in (ROUND_ROBIN, LEAST_REQUESTS)
     ]
     for mirrored in MIRRORED:
         for sample in SAMPLES:
@@ -42,13 +42,13 @@
 
 
 def _row(case: Case) -> str:
-    found = measure(case, speed=GROWTH)
+    found = measure(case, speed=LOAD_FACTOR)
     sample = mirrored = "-"
     if case.policy is not None:
         sample = case.policy.sample_size
         mirrored = case.policy.mirrored_entries
     return (
-        f"| {case.way} | {sample} | {mirrored} "
+        f"| {case.strategy} | {sample} | {mirrored} "
         f"| {found.recomputed_tokens / 1000:.0f} k | {found.first_token_95:.3f} s "
         f"| {found.first_token_99:.3f} s | {found.share_in_time:.2%} |"
     )
--- a/bench/replay/structures.py
+++ b/bench/replay/structures.py
@@ -1,4 +1,4 @@
-"""Data of the replay."""
+"""Data structures of the replay."""
 
 from dataclasses import dataclass
 
@@ -12,14 +12,14 @@
 
     :param number: its place in the trace.
     :param at: when it reaches an entry, in seconds.
-    :param customer: who sent it.
+    :param customer: customer that sent it.
     :param kind: lookup, or a kind of generation.
     :param prompt_tokens: length of its prompt.
     :param max_tokens: tokens that it generates.
-    :param priority: 0 goes first.
-    :param key: hash of what all turns of its thread begin with.
+    :param priority: lower values run first.
+    :param key: hash that identifies its thread.
     :param blocks: hashes of its prompt's blocks.
-    :param continues: whether it goes on with a thread.
+    :param continues: whether it belongs to a thread of several turns.
     """
 
     number: int
@@ -44,7 +44,7 @@
     """One of the product's users.
 
     :param name: its name, which is also its trace's.
-    :param template_tokens: tokens that all prompts of a customer begin with.
+    :param template_tokens: tokens of the prefix that all prompts of a customer share.
     :param zone_delay: one-way delay between availability zones, in seconds.
     :param first_token_target: objective of the time to the first token, in seconds.
     :param latency_cost: weight of latency-bound cost.
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """What goes wrong while a trace is replayed; times in seconds.
+    """The faults while a trace is replayed; times in seconds.
 
     :param name: its name.
     :param report_lag: age of a load report when it arrives.
@@ -69,12 +69,12 @@
     :param event_loss: share of cache events that no entry gets.
     :param reclaimed_zone: availability zone that is reclaimed, if any.
     :param reclaim_at: when its notice is given.
-    :param notice: time from the notice to the end.
-    :param return_at: when its instances are given back, with empty caches.
+    :param notice: time from the notice until the instances end.
+    :param return_at: when its instances are available again, with empty caches.
     :param slow_endpoint: endpoint that is slow, if any.
     :param slow_from: when it becomes slow.
-    :param slow_until: when it is well again.
-    :param slow_factor: how much longer it takes for all it does.
+    :param slow_until: when it has its usual speed again.
+    :param slow_factor: factor on the time of all its work.
     """
 
     name: str
@@ -92,7 +92,7 @@
 
 
 ZONES = ("a", "b", "c")
-"""Availability zones of either user."""
+"""Availability zones of each user."""
 
 AUTHORITY = User("authority", 512, 0.0005, 0.5, 1.0, 0.2)
 ASSOCIATION = User("association", 1536, 0.0015, 1.5, 0.2, 1.0)
--- a/bench/replay/sweeps.py
+++ b/bench/replay/sweeps.py
@@ -31,8 +31,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Swept:
-    """A case with the value that one constant has in it."""
+class SweepCase:
+    """A case, and the value of the swept constant in it."""
 
     constant: str
     value: float
@@ -68,7 +68,7 @@
         for value in values
     ]
     cases = [
-        Swept(
+        SweepCase(
             constant,
             value,
             Case(owner, scenario, way, _policy(owner, constant, value), seed),
@@ -81,8 +81,8 @@
         found = pool.map(partial(_figures, cost=cost), cases, chunksize=1)
     print(HEADER.format(constant))
     size = len(SCENARIOS) * seeds
-    for place, (owner, value) in enumerate(groups):
-        figures = found[place * size : (place + 1) * size]
+    for index, (owner, value) in enumerate(groups):
+        figures = found[index * size : (index + 1) * size]
         print(_row(owner, value, figures, seeds))
 
 
@@ -122,15 +122,15 @@
     return replace(policy, **{constant: type(default)(value)})
 
 
-def _figures(swept: Swept, cost: bool) -> tuple[Measures, float | None]:
-    if "." in swept.constant:
-        _set_constant(swept.constant, swept.value)
-    case = swept.case
+def _figures(sweep: SweepCase, cost: bool) -> tuple[Measures, float | None]:
+    if "." in sweep.constant:
+        _set_constant(sweep.constant, sweep.value)
+    case = sweep.case
     return measure(case), cost_at_target(case) if cost else None
 
 
 def _set_constant(constant: str, value: float) -> None:
-    """Set a module's constant in this process, which replays nothing else."""
+    """Set a module's constant in this process, which replays only cases with it set."""
     module_name, _, name = constant.partition(".")
     module = import_module(f"sassafrasdale.decisions.{module_name}")
     default = getattr(module, name)
--- a/bench/replay/traces.py
+++ b/bench/replay/traces.py
@@ -1,4 +1,4 @@
-"""Reading of the recorded traces."""
+"""Loads the recorded traces."""
 
 import csv
 from dataclasses import replace
@@ -10,22 +10,22 @@
 from bench.replay.structures import BLOCK, TraceRequest, User
 from bench.traces.generate import COLUMNS, WORKLOADS, rows
 
-UNSEEN_SEED_STEP = 1000
-"""Added to a workload's seed for the trace that nothing was tuned on."""
+HELD_OUT_SEED_STEP = 1000
+"""Added to a workload's seed for a held-out trace, on which nothing was tuned."""
 
 FOLDER = Path(__file__).parent.parent / "traces"
 
 
 @cache
-def load_trace(user: User, unseen: bool = False) -> tuple[TraceRequest, ...]:
+def load_trace(user: User, held_out: bool = False) -> tuple[TraceRequest, ...]:
     """Return the trace of a user's launch day.
 
-    :param user: whose trace.
-    :param unseen: whether to make another one, that nothing was tuned on.
+    :param user: the user whose trace to load.
+    :param held_out: whether to generate another one, on which nothing was tuned.
     """
-    if unseen:
+    if held_out:
         workload = WORKLOADS[user.name]
-        made = rows(replace(workload, seed=workload.seed + UNSEEN_SEED_STEP))
+        made = rows(replace(workload, seed=workload.seed + HELD_OUT_SEED_STEP))
         named = (dict(zip(COLUMNS, map(str, row), strict=True)) for row in made)
         return tuple(_request(number, row, user) for number, row in enumerate(named))
     path = FOLDER / f"{user.name}.csv"
