--- a/bench/placement/model.py
+++ b/bench/placement/model.py
@@ -1,10 +1,10 @@
-"""Engines that read prompts, gateways that choose among them, and old news.
+"""Engines that prefill prompts, and gateways that choose on stale load reports.
 
-Time advances from arrival to arrival. An engine reads one prompt at a time, the most
-urgent first and otherwise in the order of arrival; a prompt that is more urgent than
-the one being read goes ahead of it. What an engine has read stays in its memory. Each
-gateway chooses by the package's own placement, with its own sends and what the others
-told it at the last exchange.
+Time advances from arrival to arrival. An engine prefills one prompt at a time, by
+priority and then in order of arrival; a prompt of higher priority preempts the current
+one. What an engine has prefilled stays in its KV cache. Each gateway chooses by the
+package's own placement, from its own attempts and the loads that the others reported
+in the last exchange.
 """
 
 import heapq
@@ -23,25 +23,26 @@
 from sassafrasdale.gateway.placement import CacheBelief, Placement
 from sassafrasdale.structures import Address
 
-# Time from the end of a prompt's reading until the caller has the first event, s.
+# Time from the end of a prompt's prefill until the caller has the first event, s.
 FIRST_EVENT = 0.035
-# Prompt tokens that are read in the time of a pause between two events.
-PAUSE_TOKENS = 1600
-# Time that a stream runs on after its first event, s.
+# Prompt tokens that are prefilled in the time of a gap between two events.
+GAP_TOKENS = 1600
+# Time from a stream's first event to its end, s.
 STREAM_TIME = 0.8
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """One kind of request.
 
-    :param rate: requests a second.
-    :param objective: time to the first event that is still on time, s.
-    :param mean: tokens of the request's own part, on average.
-    :param sigma: spread of the logarithm of that.
-    :param shared: tokens and number of each level of shared parts.
-    :param priority: rank at the engine, 0 first.
-    :param worth: what a request on time is worth.
+    :param rate: requests per second.
+    :param objective: maximum time to the first event that counts as on time, s.
+    :param mean: mean of the tokens of the part that is not shared.
+    :param sigma: standard deviation of the logarithm of these tokens.
+    :param max_tokens: maximum of these tokens.
+    :param shared: tokens and number of variants of each level of shared parts.
+    :param priority: priority at the engine, lowest value first.
+    :param credit: credit for a request on time.
     """
 
     name: str
@@ -49,77 +50,81 @@
     objective: float
     mean: float
     sigma: float
-    most: float
+    max_tokens: float
     shared: tuple[tuple[int, int], ...]
     priority: int
-    worth: float
+    credit: float
 
 
-REPORTS = Kind("report", 13.2, 0.8, 6610, 1.1, 54_600, ((512, 1), (4870, 117)), 1, 5.2)
-QUERIES = Kind("query", 29.2, 0.5, 1800, 1.0, 6870, ((341, 8), (227, 388)), 0, 1.6)
+REPORTS = RequestKind(
+    "report", 13.2, 0.8, 6610, 1.1, 54_600, ((512, 1), (4870, 117)), 1, 5.2
+)
+QUERIES = RequestKind(
+    "query", 29.2, 0.5, 1800, 1.0, 6870, ((341, 8), (227, 388)), 0, 1.6
+)
 
 
 @dataclass(slots=True)
 class Setting:
-    """What a run plays.
+    """The parameters of a run.
 
-    :param slowness: of each engine, against the fastest.
-    :param token_time: time that the fastest takes for a prompt token, s.
-    :param news: time between two exchanges, s.
-    :param clump: mean number of requests that come together.
+    :param slowness: of each engine, relative to the fastest.
+    :param token_time: time that the fastest engine takes to prefill a token, s.
+    :param report_interval: time between two exchanges of load reports, s.
+    :param batch_size: mean number of requests that arrive together.
     """
 
     gateways: int = 8
     slowness: Sequence[float] = (1.0, 1.0, 1.3, 1.0, 1.0, 1.3)
     token_time: float = 1 / 100_000
-    news: float = 0.4
-    clump: float = 3.0
+    report_interval: float = 0.4
+    batch_size: float = 3.0
     seconds: float = 60.0
     load: float = 1.0
-    kinds: tuple[Kind, ...] = (REPORTS, QUERIES)
+    kinds: tuple[RequestKind, ...] = (REPORTS, QUERIES)
 
 
 class Engine:
-    """One engine's reading queue.
+    """One engine's prefill queue.
 
-    :param ever: shared parts that any engine has read.
+    :param computed: names of the parts that any engine has prefilled.
     """
 
     def __init__(
-        self, name: str, slowness: float, setting: Setting, ever: set[str]
+        self, name: str, slowness: float, setting: Setting, computed: set[str]
     ) -> None:
-        self._ever = ever
+        self._computed = computed
         self.name = name
         self.token_time = setting.token_time * slowness
-        self.held: set[str] = set()
+        self.cached: set[str] = set()
         self.read_again = 0
         self._now = 0.0
         self._queue: list[list] = []
 
-    def take(self, now: float, number: int, job: "Job", source: "Engine | None"):
-        """Queue a prompt; what it lacks is fetched or read."""
+    def enqueue(self, now: float, number: int, job: "Job", source: "Engine | None"):
+        """Queue a prompt; parts that are not cached here are fetched or prefilled."""
         self.advance(now)
         tokens = job.traits.prompt_tokens
         extra = 0.0
         for part in job.traits.parts[:-1]:
-            if part.name in self.held:
+            if part.name in self.cached:
                 tokens -= part.tokens
-            elif source is not None and part.name in source.held:
+            elif source is not None and part.name in source.cached:
                 tokens -= part.tokens
                 extra = 0.005
             else:
-                self.read_again += part.tokens if part.name in self._ever else 0
-            self._ever.add(part.name)
-            self.held.add(part.name)
+                self.read_again += part.tokens if part.name in self._computed else 0
+            self._computed.add(part.name)
+            self.cached.add(part.name)
         work = tokens * self.token_time + extra
         heapq.heappush(self._queue, [job.kind.priority, number, work, job])
 
-    def pauses(self) -> list[timedelta]:
-        """Return the pauses between the events of a stream."""
-        return [timedelta(seconds=self.token_time * PAUSE_TOKENS)] * 20
+    def gaps(self) -> list[timedelta]:
+        """Return the gaps between the events of a stream."""
+        return [timedelta(seconds=self.token_time * GAP_TOKENS)] * 20
 
     def advance(self, now: float) -> list["Job"]:
-        """Read until a moment."""
+        """Prefill until ``now`` and return the jobs whose prefill ended."""
         done = []
         while self._queue and self._now < now:
             first = self._queue[0]
@@ -136,24 +141,26 @@
 
 @dataclass(slots=True)
 class Job:
-    """A request under way."""
+    """A request in progress."""
 
-    kind: Kind
+    kind: RequestKind
     traits: RequestTraits
     gateway: "Gateway"
     record: EndpointRecord
-    unread: int
+    prefill_tokens: int
     sent_at: float
     first_at: float = 0.0
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What a run gave.
+    """The results of a run.
 
-    :param late: late requests of each kind, as a part of them.
-    :param credit: worth of the requests on time, a tenth for late ones, as a part.
-    :param read_again: tokens of shared parts that engines read.
+    :param late: fraction of late requests, for each kind.
+    :param credit: credit earned, as a fraction of that for all requests on time;
+        late ones earn a tenth.
+    :param read_again: tokens of shared parts that engines prefilled though another
+        engine had before.
     """
 
     late: dict[str, float] = field(default_factory=dict)
@@ -175,11 +182,11 @@
             for engine in engines
         }
         self.cache = CacheBelief()
-        self.paces = EnginePaces()
-        self.placement = Placement("a", self.cache, self.paces, rng)
+        self.step_times = EnginePaces()
+        self.placement = Placement("a", self.cache, self.step_times, rng)
 
     def loads(self) -> dict[str, tuple[int, int]]:
-        """Return what this gateway has under way."""
+        """Return this gateway's requests and prefill tokens at each engine."""
         return {
             name: (record.in_flight, record.unread_tokens)
             for name, record in self.records.items()
--- a/bench/placement/run.py
+++ b/bench/placement/run.py
@@ -1,4 +1,4 @@
-"""Plays a setting on several seeds, with each mechanism on or off."""
+"""Runs settings on several seeds, with each mechanism on or off."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -15,8 +15,8 @@
     Engine,
     Gateway,
     Job,
-    Kind,
     Outcome,
+    RequestKind,
     Setting,
 )
 from sassafrasdale.decisions.fetching import MemoryLink
@@ -28,44 +28,45 @@
     Service,
 )
 
-# Loads that are compared, as multiples of the usual one: one that is borne, a burst.
+# Loads that are compared, as multiples of the usual one: a sustainable one, a burst.
 LOADS = (1.0, 1.3)
-# Engines of a run, by how much slower they are than the fastest.
+# Slowness of a run's engines, relative to the fastest.
 SLOWNESS = ((1, 1, 1.3, 1, 1), (1, 1, 1.3))
 LINK = MemoryLink(35_136, 550_000e6)
 CACHE_TOKENS = 1_067_497
 # Time over which the load is averaged, s.
 WORK_WINDOW = 5.0
-# What comes before this time meets empty engines and doesn't count, s.
+# Requests before this time find empty engines and don't count, s.
 WARM_UP = 10.0
-# What a late request is worth, as a part of one on time.
-LATE_WORTH = 0.1
+# Credit for a late request, as a fraction of that for one on time.
+LATE_CREDIT = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Ways:
     """Mechanisms that a run uses.
 
-    :param noise: part of the unseen work that choices are spread over.
-    :param drains: whether what peers told counts as read since.
+    :param noise: factor on the unreported work, over which choices are spread.
+    :param drains: whether peers' reported prefill tokens are reduced by the time since
+        the report.
     :param fetch: whether shared parts may be fetched.
-    :param paces: whether engines' paces are learned.
+    :param step_times: whether engines' step times are estimated.
     """
 
     noise: float = 1.0
     drains: bool = True
     fetch: bool = True
-    paces: bool = True
+    step_times: bool = True
 
 
-# All mechanisms, each one switched off alone, and none.
+# All mechanisms, all without one of them, and none.
 ABLATION = {
     "all": Ways(),
     "without spreading": Ways(noise=0.0),
     "without reading since": Ways(drains=False),
     "without fetches": Ways(fetch=False),
-    "without paces": Ways(paces=False),
-    "none": Ways(noise=0.0, drains=False, fetch=False, paces=False),
+    "without paces": Ways(step_times=False),
+    "none": Ways(noise=0.0, drains=False, fetch=False, step_times=False),
 }
 
 
@@ -76,49 +77,51 @@
         self._setting = setting
         self._ways = ways
         self._rng = rng = Random(seed)
-        ever: set[str] = set()
+        computed: set[str] = set()
         self._engines = {
-            f"i-{number}": Engine(f"i-{number}", slowness, setting, ever)
+            f"i-{number}": Engine(f"i-{number}", slowness, setting, computed)
             for number, slowness in enumerate(setting.slowness)
         }
         engines = list(self._engines.values())
         self._gateways = [
             Gateway(engines, Random(rng.random())) for _ in range(setting.gateways)
         ]
-        # A balancer's hash is uneven.
+        # A load balancer's hash distributes connections unevenly.
         self._weights = [rng.uniform(0.5, 1.5) for _ in self._gateways]
         link = LINK if ways.fetch else None
         self._service = Service("m", EngineTraits(128, CACHE_TOKENS, link))
         self._token_time = timedelta(seconds=setting.token_time)
         self._rate = sum(kind.rate for kind in setting.kinds) * setting.load
-        self._told = [(0.0, {}) for _ in self._gateways]
-        self._next_news = [rng.uniform(0, setting.news) for _ in self._gateways]
+        self._reports = [(0.0, {}) for _ in self._gateways]
+        self._next_exchange = [
+            rng.uniform(0, setting.report_interval) for _ in self._gateways
+        ]
         self._streaming: list[Job] = []
         self._done: list[Job] = []
         self._work_rate = 0.0
         self._number = 0
 
     def play(self) -> Outcome:
-        """Play to the end and return what it gave."""
+        """Run to the end and return the results."""
         setting = self._setting
         now = 0.0
         while now < setting.seconds:
-            pause = self._rng.expovariate(self._rate / setting.clump)
-            now += pause
-            self._work_rate *= max(1 - pause / WORK_WINDOW, 0)
-            self._read_until(now)
-            self._tell(now)
-            beyond_first = self._rng.expovariate(1 / max(setting.clump - 1, 1e-9))
-            for _ in range(1 + int(beyond_first)):
+            gap = self._rng.expovariate(self._rate / setting.batch_size)
+            now += gap
+            self._work_rate *= max(1 - gap / WORK_WINDOW, 0)
+            self._advance(now)
+            self._exchange_reports(now)
+            extra = self._rng.expovariate(1 / max(setting.batch_size - 1, 1e-9))
+            for _ in range(1 + int(extra)):
                 self._send(now)
         return self._outcome()
 
-    def _read_until(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
         for engine in self._engines.values():
             for job in engine.advance(now):
-                job.record.unread_tokens -= job.unread
-                if self._ways.paces:
-                    job.gateway.paces.observe(engine.name, engine.pauses())
+                job.record.unread_tokens -= job.prefill_tokens
+                if self._ways.step_times:
+                    job.gateway.step_times.observe(engine.name, engine.gaps())
                 self._streaming.append(job)
                 self._done.append(job)
         ended = [job for job in self._streaming if job.first_at + STREAM_TIME <= now]
@@ -126,28 +129,32 @@
             job.record.in_flight -= 1
             self._streaming.remove(job)
 
-    def _tell(self, now: float) -> None:
+    def _exchange_reports(self, now: float) -> None:
         for number, gateway in enumerate(self._gateways):
-            if now >= self._next_news[number]:
-                self._told[number] = (now, gateway.loads())
-                self._next_news[number] = now + self._setting.news
-
-    def _heard(self, number: int, now: float) -> Mapping[str, ToldLoad]:
-        """Return what a gateway knows of the others' loads."""
-        in_flight, unread, aged = Counter(), Counter(), Counter()
-        for other, (at, loads) in enumerate(self._told):
+            if now >= self._next_exchange[number]:
+                self._reports[number] = (now, gateway.loads())
+                self._next_exchange[number] = now + self._setting.report_interval
+
+    def _reported_loads(self, number: int, now: float) -> Mapping[str, ToldLoad]:
+        """Return the other gateways' loads, as last reported to a gateway."""
+        in_flight, prefill_tokens, weighted_ages = Counter(), Counter(), Counter()
+        for other, (at, loads) in enumerate(self._reports):
             if other == number:
                 continue
             for name, (running, tokens) in loads.items():
                 in_flight[name] += running
-                unread[name] += tokens
-                aged[name] += tokens * (now - at)
+                prefill_tokens[name] += tokens
+                weighted_ages[name] += tokens * (now - at)
         drains = self._ways.drains
         return {
             name: ToldLoad(
                 count,
-                unread[name],
-                timedelta(seconds=aged[name] / max(unread[name], 1) if drains else 0),
+                prefill_tokens[name],
+                timedelta(
+                    seconds=weighted_ages[name] / max(prefill_tokens[name], 1)
+                    if drains
+                    else 0
+                ),
             )
             for name, count in in_flight.items()
         }
@@ -164,10 +171,10 @@
             records,
             self._service,
             traits,
-            self._heard(number, now),
+            self._reported_loads(number, now),
             {},
             self._token_time,
-            self._unseen(number, now) * self._ways.noise,
+            self._unreported(number, now) * self._ways.noise,
         )
         source = gateway.placement.source(
             record,
@@ -177,58 +184,60 @@
             self._token_time,
             timedelta(seconds=now),
         )
-        unread = gateway.placement.unread_tokens(record, records, traits)
+        prefill_tokens = gateway.placement.unread_tokens(record, records, traits)
         if source is not None:
-            unread = min(unread, traits.parts[-1].tokens)
+            prefill_tokens = min(prefill_tokens, traits.parts[-1].tokens)
         gateway.cache.sent(record.name, traits.parts, CACHE_TOKENS)
         record.in_flight += 1
-        record.unread_tokens += unread
-        self._work_rate += unread * setting.token_time / WORK_WINDOW
-        job = Job(kind, traits, gateway, record, unread, now)
-        self._engines[record.name].take(
+        record.unread_tokens += prefill_tokens
+        self._work_rate += prefill_tokens * setting.token_time / WORK_WINDOW
+        job = Job(kind, traits, gateway, record, prefill_tokens, now)
+        self._engines[record.name].enqueue(
             now, self._number, job, self._engines[source.name] if source else None
         )
 
-    def _unseen(self, number: int, now: float) -> timedelta:
-        ages = [now - at for other, (at, _) in enumerate(self._told) if other != number]
+    def _unreported(self, number: int, now: float) -> timedelta:
+        ages = [
+            now - at for other, (at, _) in enumerate(self._reports) if other != number
+        ]
         age = timedelta(seconds=fmean(ages))
         return unseen_work(self._work_rate, age, len(self._engines))
 
-    def _draw(self, kind: Kind) -> RequestTraits:
-        """Return a request of a kind, with parts that others may share."""
+    def _draw(self, kind: RequestKind) -> RequestTraits:
+        """Draw a request of a kind, with parts that it may share with others."""
         self._number += 1
         parts = [
-            PromptPart(f"{kind.name}{level}-{self._rng.randrange(things)}", tokens)
-            for level, (tokens, things) in enumerate(kind.shared)
+            PromptPart(f"{kind.name}{level}-{self._rng.randrange(variants)}", tokens)
+            for level, (tokens, variants) in enumerate(kind.shared)
         ]
         factor = self._rng.lognormvariate(-(kind.sigma**2) / 2, kind.sigma)
-        own = int(min(kind.mean * factor, kind.most))
+        own = int(min(kind.mean * factor, kind.max_tokens))
         parts.append(PromptPart(f"own-{self._number}", own))
         tokens = sum(part.tokens for part in parts)
         return RequestTraits("r", prompt_tokens=tokens, parts=tuple(parts))
 
     def _outcome(self) -> Outcome:
-        asked, late = Counter(), Counter()
-        owed = earned = 0.0
+        counts, late = Counter(), Counter()
+        possible = earned = 0.0
         for job in self._done:
             if job.sent_at < WARM_UP:
                 continue
             kind = job.kind
-            worth = kind.worth * (0.3 + 0.7 * job.traits.prompt_tokens / kind.mean)
+            credit = kind.credit * (0.3 + 0.7 * job.traits.prompt_tokens / kind.mean)
             on_time = job.first_at - job.sent_at <= kind.objective
-            asked[kind.name] += 1
+            counts[kind.name] += 1
             late[kind.name] += not on_time
-            owed += worth
-            earned += worth * (1 if on_time else LATE_WORTH)
+            possible += credit
+            earned += credit * (1 if on_time else LATE_CREDIT)
         return Outcome(
-            late={name: late[name] / count for name, count in asked.items()},
-            credit=earned / owed,
+            late={name: late[name] / count for name, count in counts.items()},
+            credit=earned / possible,
             read_again=sum(engine.read_again for engine in self._engines.values()),
         )
 
 
 def play(setting: Setting, seed: int, ways: Ways) -> Outcome:
-    """Return the outcome of one run."""
+    """Return the results of one run."""
     return Run(setting, seed, ways).play()
 
 
@@ -245,8 +254,8 @@
         }
         credit = [row.credit for row in rows]
         shown = f"{fmean(credit):.4f} ± {stdev(credit):.4f}"
-        again = int(fmean(row.read_again for row in rows))
-        print(len(slowness), load, name, shown, late, again, sep="\t")
+        recomputed = int(fmean(row.read_again for row in rows))
+        print(len(slowness), load, name, shown, late, recomputed, sep="\t")
 
 
 if __name__ == "__main__":
