--- a/bench/canary/__init__.py
+++ b/bench/canary/__init__.py
@@ -1,1 +1,1 @@
-"""Drawn roll-outs, by which rules of judgement are compared."""
+"""Simulated rollouts, on which rules for canary analysis are compared."""
--- a/bench/canary/histories.py
+++ b/bench/canary/histories.py
@@ -1,7 +1,7 @@
-"""Drawn roll-outs: what comes of the requests to two versions, second by second.
+"""Simulated rollouts: the outcomes of the requests to two versions, step by step.
 
-A history has a service with some routes, a sound version in force and one on trial,
-which may be bad in one of several ways, or sound on a day with troubles of its own.
+A history has a service with some routes, a good baseline version and a canary version,
+which is bad in one of several ways, or good while unrelated faults occur.
 """
 
 from collections.abc import Iterator
@@ -13,9 +13,9 @@
 
 STEP = timedelta(milliseconds=500)
 SAMPLE_SHARE = 0.05
-# Requests of each route, as a part of all.
+# Requests of each route, as a fraction of all.
 ROUTES = {"r-reports": 0.2, "r-explanations": 0.45, "r-chats": 0.28, "r-rare": 0.07}
-USUAL_TIMES = {
+MEDIAN_TIMES = {
     "r-reports": 0.3,
     "r-explanations": 0.13,
     "r-chats": 0.1,
@@ -23,8 +23,8 @@
 }
 SPREAD = 0.6
 GROUPS = ("0", "1", "2", "3")
-OTHERS = ""
-USUAL_FAILURES = 0.01
+BASELINE = ""
+BASE_FAILURE_RATE = 0.01
 SORTS = (
     "good",
     "good, cold memory",
@@ -40,12 +40,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Drawn:
-    """What is known half a second later.
+class Snapshot:
+    """The outcomes after one more step.
 
-    :param at: time since the trial began.
+    :param at: time since the rollout began.
     :param rows: outcomes so far.
-    :param bad: answers of the version on trial so far that its badness made bad.
+    :param bad: responses of the canary so far that its defect made bad.
     """
 
     at: timedelta
@@ -53,52 +53,54 @@
     bad: int
 
 
-def draw(sort: str, rng: Random, requests: int, duration: timedelta) -> Iterator[Drawn]:
-    """Yield a history, step by step.
+def draw(
+    sort: str, rng: Random, requests: int, duration: timedelta
+) -> Iterator[Snapshot]:
+    """Yield the outcomes of a simulated rollout after each step.
 
     :param sort: one of :data:`SORTS`.
-    :param requests: requests to the service over the whole time.
+    :param requests: requests to the service over the whole duration.
     """
     rows: dict[tuple[str, str], Outcomes] = {}
     steps = int(duration / STEP)
     bad = 0
     for step in range(steps):
         at = step / steps
-        for _ in range(_around(requests / steps, rng)):
+        for _ in range(_round_randomly(requests / steps, rng)):
             route = rng.choices(list(ROUTES), list(ROUTES.values()))[0]
-            on_trial = rng.random() < SAMPLE_SHARE
-            group = rng.choice(GROUPS) if on_trial else OTHERS
+            is_canary = rng.random() < SAMPLE_SHARE
+            group = rng.choice(GROUPS) if is_canary else BASELINE
             outcomes = rows.setdefault((group, route), Outcomes())
-            took = USUAL_TIMES[route] * rng.lognormvariate(0, SPREAD)
-            fails = rng.random() < _usual_failures(sort, at)
-            harm = on_trial and _is_harmed(sort, route, group, at, rng)
-            if harm and "slower" in sort:
+            took = MEDIAN_TIMES[route] * rng.lognormvariate(0, SPREAD)
+            fails = rng.random() < _failure_rate(sort, at)
+            is_defective = is_canary and _has_defect(sort, route, group, at, rng)
+            if is_defective and "slower" in sort:
                 took *= 4
-            elif harm:
+            elif is_defective:
                 fails = True
-            if on_trial and "cold" in sort:
+            if is_canary and "cold" in sort:
                 took *= 1.5
-            bad += harm and not sort.startswith("good")
+            bad += is_defective and not sort.startswith("good")
             if fails:
                 outcomes.failed += 1
                 continue
             outcomes.answered += 1
             outcomes.times[bucket_of(timedelta(seconds=took))] += 1
-        yield Drawn(step * STEP, rows, bad)
+        yield Snapshot(step * STEP, rows, bad)
 
 
-def _around(mean: float, rng: Random) -> int:
-    """Return a whole number that is the mean in the mean."""
+def _round_randomly(mean: float, rng: Random) -> int:
+    """Round up or down at random, so that the expected value is the mean."""
     return int(mean) + (rng.random() < mean % 1)
 
 
-def _usual_failures(sort: str, at: float) -> float:
+def _failure_rate(sort: str, at: float) -> float:
     if "all endpoints" in sort and 0.4 < at < 0.6:
-        return USUAL_FAILURES + 0.05
-    return USUAL_FAILURES
+        return BASE_FAILURE_RATE + 0.05
+    return BASE_FAILURE_RATE
 
 
-def _is_harmed(sort: str, route: str, group: str, at: float, rng: Random) -> bool:
+def _has_defect(sort: str, route: str, group: str, at: float, rng: Random) -> bool:
     match sort:
         case "good, one endpoint fails 0.4":
             return group == GROUPS[0] and rng.random() < 0.4
--- a/bench/canary/run.py
+++ b/bench/canary/run.py
@@ -26,14 +26,16 @@
 RULES = {"fixed threshold": FixedThreshold(), "sequential test": SequentialTest()}
 
 
-def condemned_after(sort: str, seed: int, requests: int, rule: Rule) -> int | None:
-    """Return the bad answers until a version is condemned; None if it never is."""
-    trial = Trial(rule)
-    for drawn in draw(sort, Random(f"{sort} {seed}"), requests, DURATION):
-        if trial.judge(drawn.rows, drawn.at).is_bad:
-            return drawn.bad
-    last = trial.judge(drawn.rows, DURATION, final=True)
-    return drawn.bad if last.is_bad else None
+def bad_responses_until_rejected(
+    sort: str, seed: int, requests: int, rule: Rule
+) -> int | None:
+    """Return the bad responses until a canary is rejected; None if it never is."""
+    analysis = Trial(rule)
+    for snapshot in draw(sort, Random(f"{sort} {seed}"), requests, DURATION):
+        if analysis.judge(snapshot.rows, snapshot.at).is_bad:
+            return snapshot.bad
+    last = analysis.judge(snapshot.rows, DURATION, final=True)
+    return snapshot.bad if last.is_bad else None
 
 
 def main() -> None:
@@ -46,10 +48,11 @@
     for sort in SORTS:
         for requests in SIZES:
             for name, rule in RULES.items():
-                found = [
-                    condemned_after(sort, seed, requests, rule) for seed in range(seeds)
+                results = [
+                    bad_responses_until_rejected(sort, seed, requests, rule)
+                    for seed in range(seeds)
                 ]
-                bad = [count for count in found if count is not None]
+                bad = [count for count in results if count is not None]
                 seen = f"{median(bad):.0f}, {max(bad)}" if bad else "-"
                 print(f"| {sort} | {requests} | {name} | {len(bad)}/{seeds} | {seen} |")
 
