--- a/bench/admission/alternatives.py
+++ b/bench/admission/alternatives.py
@@ -1,4 +1,4 @@
-"""Ways that were weighed and not taken, with the interfaces of those that were."""
+"""Alternatives that were rejected, with the interfaces of those in use."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import replace
@@ -12,17 +12,17 @@
 from sassafrasdale.decisions.tickets import Ticket
 
 SHORT, LONG = 20, 600
-"""Answers over which the two moving means of the gradient are taken."""
+"""Responses over which the gradient's two moving averages are taken."""
 
 GRADIENT_TOLERANCE = 1.5
-"""Ratio of the short mean to the long one that is not yet taken as queueing."""
+"""Maximum ratio of the short to the long average that doesn't count as queueing."""
 
 GRADIENT_SMOOTHING = 0.2
 """Weight of a new limit."""
 
 
 class GradientLimit(ConcurrencyLimit):
-    """Limit that follows the ratio of a long mean of latencies to a short one."""
+    """Limit that follows the ratio of a long average of latencies to a short one."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._long = 0.0
 
     def on_success(self, in_flight: int, latency: timedelta) -> None:
-        """Move the limit by the gradient and a margin of its square root."""
+        """Adjust the limit by the gradient, plus its square root as a margin."""
         seconds = latency.total_seconds()
         self._short += (seconds - (self._short or seconds)) / SHORT
         self._short = self._short or seconds
@@ -48,15 +48,15 @@
         gradient = min(max(ratio, 0.5), 1.0)
         target = self._value * gradient + sqrt(self._value)
         self._value += (target - self._value) * GRADIENT_SMOOTHING
-        most = self._share * self._settings.borrow
-        self._value = min(max(self._value, self._settings.smallest), most)
+        max_value = self._share * self._settings.borrow
+        self._value = min(max(self._value, self._settings.smallest), max_value)
 
 
 class PriorityFirst(FairQueue):
-    """Takes the most urgent request of all customers, then turns."""
+    """Takes the request of highest priority of all customers, then by fair order."""
 
     def take(self, allowed: Callable[[str], bool]) -> Ticket | None:
-        """Remove and return the next request of the customers that are allowed."""
+        """Remove and return the next request of an allowed customer."""
         ready = [name for name in self._queues if allowed(name)]
         if not ready:
             return None
--- a/bench/admission/baselines.py
+++ b/bench/admission/baselines.py
@@ -7,11 +7,11 @@
 from sassafrasdale.decisions.admission import Admit, Shed, ShedReason, Ticket, Wait
 
 RETRY_AFTER = timedelta(seconds=1)
-"""Time to come back that the baselines give."""
+"""Retry-after time that the baselines return."""
 
 
 class NoAdmission:
-    """Sends everything on at once; the endpoints queue without a bound."""
+    """Forwards everything immediately; the endpoints' queues are unbounded."""
 
     has_spare_room = True
 
@@ -27,17 +27,17 @@
         return Admit(Ticket(number, customer, priority, now, now + remaining))
 
     def next_admitted(self, now):
-        """Return None: nothing waits."""
+        """Return None: no request waits."""
 
     def refuse(self, ticket, now):
         """Return None: the entry retries as after a failure."""
 
     def retry_after(self, now):
-        """Return the time to come back."""
+        """Return the retry-after time."""
         return RETRY_AFTER
 
     def finish(self, ticket, now, ok, latency):
-        """Ignore an end."""
+        """Ignore the end of a request."""
 
     def cancel(self, ticket):
         """Ignore a cancellation."""
@@ -48,36 +48,37 @@
 
 
 class FixedLimit(NoAdmission):
-    """The even share of the capacity and a bounded queue, first in, first out.
+    """An even share of the capacity, and a bounded FIFO queue.
 
-    :param limit: requests in flight.
-    :param queue: requests that wait.
-    :param customers: customers among which the limit is cut, 1 for no cut.
+    :param limit: maximum requests in flight.
+    :param queue: maximum waiting requests.
+    :param customers: number of customers among which the limit is divided, 1 for no
+        division.
     """
 
     def __init__(self, limit: float, queue: float, customers: int = 1) -> None:
         super().__init__()
         self._limit = max(round(limit / customers), 1)
-        self._longest = queue / customers
-        self._cut = customers > 1
+        self._max_waiting = queue / customers
+        self._per_customer = customers > 1
         self._queues: dict[str, deque] = {}
         self._running: dict[str, int] = {}
 
     def offer(self, customer, priority, now, remaining):
-        """Admit, keep waiting, or turn away when the queue is full."""
+        """Admit, queue, or shed when the queue is full."""
         ticket = super().offer(customer, priority, now, remaining).ticket
         key = self._key(ticket)
         queue = self._queues.setdefault(key, deque())
         if self._running.get(key, 0) + 1 <= self._limit:
             self._running[key] = self._running.get(key, 0) + 1
             return Admit(ticket)
-        if len(queue) >= self._longest:
+        if len(queue) >= self._max_waiting:
             return Shed(ticket, RETRY_AFTER, ShedReason.QUEUE_FULL)
         queue.append(ticket)
         return Wait(ticket, len(queue) - 1)
 
     def next_admitted(self, now):
-        """Return the first in the queue if there is room."""
+        """Return the first queued request if a slot is free."""
         for key, queue in self._queues.items():
             if queue and self._running.get(key, 0) + 1 <= self._limit:
                 self._running[key] = self._running.get(key, 0) + 1
@@ -85,11 +86,11 @@
         return None
 
     def finish(self, ticket, now, ok, latency):
-        """Free the room."""
+        """Free the slot."""
         self._running[self._key(ticket)] -= 1
 
     def cancel(self, ticket):
-        """Forget a request that waits or runs."""
+        """Remove a waiting or running request."""
         queue = self._queues[self._key(ticket)]
         if ticket in queue:
             queue.remove(ticket)
@@ -97,4 +98,4 @@
             self._running[self._key(ticket)] -= 1
 
     def _key(self, ticket) -> str:
-        return ticket.customer if self._cut else ""
+        return ticket.customer if self._per_customer else ""
--- a/bench/admission/catalogue.py
+++ b/bench/admission/catalogue.py
@@ -1,4 +1,4 @@
-"""Names of the situations and of the figures taken from them."""
+"""The situations and the figures of their results, by name."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import replace
@@ -15,12 +15,12 @@
 )
 from bench.admission.replay import Result
 from bench.admission.scenarios import (
-    answers_fail,
-    comeback,
+    failing_responses,
     launch_day,
     long_work,
     one_customer_bursts,
     overload,
+    retrying_callers,
     silent_queue,
     skewed,
     slow_endpoint,
@@ -60,8 +60,8 @@
         "zone fails at 0.6x": lambda p: zone_fails(p, 0.6),
         "zone fails at 0.9x": lambda p: zone_fails(p, 0.9),
         "two zones fail at 0.6x": lambda p: zone_fails(p, 0.6, zones="ab"),
-        "half of the answers fail": lambda p: answers_fail(p, 0.9, 0.5),
-        "callers come back": comeback,
+        "half of the answers fail": lambda p: failing_responses(p, 0.9, 0.5),
+        "callers come back": retrying_callers,
         "slow endpoint": slow_endpoint,
         "slow endpoint, hedged": lambda p: slow_endpoint(_hedged(p)),
         "lookups at 0.8x, hedged": lambda p: overload(_hedged(p), LOOKUP, 0.8),
--- a/bench/admission/fleets.py
+++ b/bench/admission/fleets.py
@@ -24,10 +24,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointShape:
-    """How the endpoints of a service are built.
+    """Number and capacity of a service's endpoints.
 
     :param slots: requests that one endpoint runs at once.
-    :param queue: requests that one endpoint keeps waiting.
+    :param queue: requests that one endpoint queues.
     """
 
     count: int
@@ -46,10 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """How the entries of one replay decide.
+    """The decisions that the entries of one replay use.
 
     :param name: name in the tables.
-    :param kind: ours, shared (the limit), none, fixed or cut.
+    :param kind: ours, shared (one exact counter for all entries), none, fixed, or
+        cut (a fixed limit per customer).
     """
 
     name: str
@@ -67,12 +68,12 @@
 LIMIT = Policy("shared counter", kind="shared")
 NONE = Policy("no admission", kind="none", health=None, budget=None)
 FIXED = Policy("fixed limit", kind="fixed")
-CUT = Policy("cap per customer", kind="cut")
-POLICIES = (NONE, FIXED, CUT, OURS, LIMIT)
+PER_CUSTOMER = Policy("cap per customer", kind="cut")
+POLICIES = (NONE, FIXED, PER_CUSTOMER, OURS, LIMIT)
 
 
 def make_endpoints(shape: EndpointShape, policy: Policy) -> list[FakeEndpoint]:
-    """Return the endpoints, spread over the zones."""
+    """Return the endpoints, distributed over the zones."""
     queue = float("inf") if policy.kind == "none" else shape.queue
     return [
         FakeEndpoint(f"{index}", ZONES[index % len(ZONES)], shape.slots, queue)
@@ -86,12 +87,13 @@
     names: frozenset[str],
     customers: Mapping[str, CustomerShare],
 ) -> list[Entry]:
-    """Return the entries with decisions of their own.
+    """Return the entries, each with its own decisions.
 
-    :param capacity: requests in flight that the text says the endpoints take.
+    :param capacity: concurrent requests that the endpoints can take, as the
+        configuration states.
     """
     if policy.kind == "shared":
-        # One entry's decisions serve all: the counter is exact and at once.
+        # All entries use one entry's decisions: the counter is exact, without delay.
         return [_make_entry(policy, 0, capacity, names, customers)] * ENTRIES
     return [
         _make_entry(policy, index, capacity, names, customers)
@@ -123,15 +125,15 @@
         case "cut":
             return FixedLimit(capacity / ENTRIES, queue, len(customers))
         case "shared":
-            exact = LimitSettings(borrow=1.0, decrease=1.0)
-            limit = ConcurrencyLimit(capacity, 1, exact)
+            exact_settings = LimitSettings(borrow=1.0, decrease=1.0)
+            limit = ConcurrencyLimit(capacity, 1, exact_settings)
             return _SharedAdmission(limit, rng, customers, policy.admission)
     limit = policy.limit(capacity, ENTRIES, policy.limits)
     return Admission(limit, rng, customers, policy.admission, policy.queue)
 
 
 class _SharedAdmission(Admission):
-    """Admission that all entries use at once, for the limit of what is possible."""
+    """Admission that all entries share, as the upper bound of what is achievable."""
 
     def set_share(self, capacity: int, live_entries: int) -> None:
         super().set_share(capacity, 1)
--- a/bench/admission/measures.py
+++ b/bench/admission/measures.py
@@ -6,10 +6,10 @@
 
 
 def useful_share(result: Result, start: float = 0.0, end: float = 0.0) -> float:
-    """Return the work answered in time as a share of what the slots could do.
+    """Return the work completed in time, as a share of the slots' capacity.
 
-    :param start: second from which answers count.
-    :param end: second to which answers count, 0 for the end of the trace.
+    :param start: second from which responses count.
+    :param end: second up to which responses count, 0 for the end of the trace.
     """
     end = end or result.duration
     work = sum(
@@ -21,7 +21,7 @@
 
 
 def in_time_share(result: Result, keep=lambda request: True) -> float:
-    """Return the share of the requests that were answered in time."""
+    """Return the share of the requests with a response in time."""
     kept = [out for out in result.outcomes if keep(out.request)]
     good = sum(out.ending is Ending.IN_TIME for out in kept)
     return good / len(kept) if kept else 0.0
@@ -55,11 +55,11 @@
 def max_min(offered: dict[str, float], capacity: float) -> dict[str, float]:
     """Return the max-min fair division of ``capacity`` among the offers."""
     fair: dict[str, float] = {}
-    left = capacity
+    remaining = capacity
     for index, name in enumerate(sorted(offered, key=offered.get)):
-        even = left / (len(offered) - index)
-        fair[name] = min(offered[name], even)
-        left -= fair[name]
+        even_share = remaining / (len(offered) - index)
+        fair[name] = min(offered[name], even_share)
+        remaining -= fair[name]
     return fair
 
 
@@ -77,26 +77,26 @@
     return quantile(held, share)
 
 
-HELD = 0.05
-"""Share of its time after which a request that is then shed counts as held."""
+HELD_THRESHOLD = 0.05
+"""Share of its timeout after which a shed request counts as held before."""
 
 
 def held_share(result: Result) -> float:
-    """Return the share of the shed requests that were held before."""
+    """Return the share of the shed requests that were held before they were shed."""
     shed = [out for out in result.outcomes if out.ending is Ending.SHED]
-    held = sum(out.seconds > out.request.timeout * HELD for out in shed)
+    held = sum(out.seconds > out.request.timeout * HELD_THRESHOLD for out in shed)
     return held / len(shed) if shed else 0.0
 
 
 def latency(result: Result, share: float, start: float = 0.0) -> float:
-    """Return the quantile of the seconds of the answers, late ones included."""
+    """Return the quantile of the response times in seconds, with late responses."""
     ends = (Ending.IN_TIME, Ending.LATE)
     kept = [out for out in result.outcomes if out.ending in ends and out.at >= start]
     return quantile([out.seconds for out in kept], share)
 
 
 def peak_per_second(times: list[float], start: float, width: float) -> float:
-    """Return the largest rate per second in windows of ``width`` from ``start``."""
+    """Return the maximum rate per second in windows of ``width`` from ``start``."""
     counts: dict[int, int] = defaultdict(int)
     for when in times:
         if when >= start:
--- a/bench/admission/outcomes.py
+++ b/bench/admission/outcomes.py
@@ -1,4 +1,4 @@
-"""Stated outcomes of the replays, and whether they are met."""
+"""Expected outcomes of the replays, and checks of them."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What one figure of one situation must be.
+    """The requirement on one figure of one situation.
 
-    :param at_least: smallest figure, None for none.
-    :param better_than: policies that must have a smaller figure.
-    :param within: part by which the figure may stay below the shared counter's.
+    :param at_least: minimum of the figure, None for none.
+    :param better_than: policies whose figure must be smaller.
+    :param within: fraction by which the figure may be below the shared counter's.
     """
 
     situation: str
@@ -31,7 +31,7 @@
 
 
 def load_outcomes() -> list[Outcome]:
-    """Return the outcomes of the file."""
+    """Return the outcomes in the file."""
     entries = YAML(typ="safe").load(OUTCOMES)
     return [
         Outcome(**{**entry, "better_than": tuple(entry.get("better_than", ()))})
@@ -48,7 +48,7 @@
 def find_faults(
     outcome: Outcome, play: Callable[[str, str], Result] = _play
 ) -> Iterator[str]:
-    """Yield what is not met of an outcome.
+    """Yield the requirements of an outcome that are not met.
 
     :param play: returns the result of a situation under the policy of a name.
     """
--- a/bench/admission/rates.py
+++ b/bench/admission/rates.py
@@ -1,4 +1,4 @@
-"""Rate limit of one customer, divided among entries without a shared counter."""
+"""One customer's rate limit, divided among entries without a shared counter."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -23,7 +23,7 @@
     "two entries": (0.5, 0.5, 0, 0, 0, 0, 0),
     "one entry": (1, 0, 0, 0, 0, 0, 0),
 }
-"""Part of the customer's requests that reaches each entry."""
+"""Share of the customer's requests that reaches each entry."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,10 +42,10 @@
 class RatePolicy:
     """How a rate limit is divided.
 
-    :param borrow: multiple of the even share that each entry may use, without
-        reports; None divides by reports.
+    :param borrow: multiple of the even share that each entry may use without reports;
+        None divides the limit by the entries' reports.
     :param interval: seconds between two reports of an entry.
-    :param lag: seconds until the peers have a report.
+    :param lag: delay of a report to the peers, in seconds.
     """
 
     borrow: float | None = None
@@ -69,13 +69,13 @@
     """
     rng = Random(seed)
     entries = [_RateEntry(policy, rate) for _ in range(ENTRIES)]
-    at, offered, allowed, due = 0.0, 0, 0, 0.0
+    at, offered, allowed, report_at = 0.0, 0, 0, 0.0
     reports: deque = deque()
     while at < DURATION:
         at += rng.expovariate(rate * load)
-        while due <= at:
-            _collect(entries, reports, due, policy)
-            due += policy.interval
+        while report_at <= at:
+            _collect(entries, reports, report_at, policy)
+            report_at += policy.interval
         _deliver(entries, reports, at)
         offered += 1
         allowed += rng.choices(entries, spread)[0].offer(at)
@@ -83,7 +83,7 @@
 
 
 class _RateEntry:
-    """Bucket and shares of one entry."""
+    """Token bucket and demand shares of one entry."""
 
     def __init__(self, policy: RatePolicy, rate: float) -> None:
         self.shares = DemandShares(policy.window, policy.even_weight)
@@ -94,10 +94,10 @@
     def offer(self, at: float) -> bool:
         now = timedelta(seconds=at)
         self.shares.add("customer", now)
-        self._bucket.set_rate(self._limit * self._part(now))
+        self._bucket.set_rate(self._limit * self._limit_share(now))
         return self._bucket.try_take(now)
 
-    def _part(self, now: timedelta) -> float:
+    def _limit_share(self, now: timedelta) -> float:
         if self._policy.borrow is not None:
             return min(self._policy.borrow / ENTRIES, 1.0)
         return self.shares.share("customer", ENTRIES, now)
--- a/bench/admission/servers.py
+++ b/bench/admission/servers.py
@@ -1,4 +1,4 @@
-"""Small fake of an endpoint: slots, a bounded queue, and a time when it is down."""
+"""A fake endpoint: slots, a bounded queue, and a downtime."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,8 +8,8 @@
 FOREVER = float("inf")
 
 
-class Answer(Enum):
-    """What an endpoint does with a request at once."""
+class OfferResult(Enum):
+    """An endpoint's immediate decision about a request."""
 
     STARTED = "started"
     QUEUED = "queued"
@@ -19,73 +19,74 @@
 
 @dataclass(slots=True)
 class FakeEndpoint:
-    """Endpoint that runs ``slots`` requests at once and keeps ``queue`` more.
+    """Endpoint that runs ``slots`` requests at once and queues ``queue`` more.
 
-    :param slow: factor on the work of every request.
-    :param down_from: second at which it stops answering.
-    :param up_from: second from which it answers again.
+    :param slow_factor: factor on the work of every request.
+    :param down_from: second at which it goes down.
+    :param up_from: second at which it is up again.
     :param warm_up: seconds after ``up_from`` in which its caches are cold.
-    :param cold: factor on the work at ``up_from``, falling to 1.
-    :param errors: share of the requests that fail once their work is done, from
-        ``down_from`` to ``up_from``; then it is not down in that time.
+    :param cold_factor: factor on the work at ``up_from``, which falls to 1 during
+        ``warm_up``.
+    :param error_share: share of the requests that fail after their work is done,
+        from ``down_from`` to ``up_from``; if set, it is not down in that time.
     """
 
     name: str
     zone: str
     slots: int
     queue: float
-    slow: float = 1.0
+    slow_factor: float = 1.0
     down_from: float = FOREVER
     up_from: float = FOREVER
     warm_up: float = 0.0
-    cold: float = 1.0
-    errors: float = 0.0
+    cold_factor: float = 1.0
+    error_share: float = 0.0
     rng: Random = field(default_factory=lambda: Random(0))
     running: list = field(default_factory=list)
     waiting: deque = field(default_factory=deque)
 
     def is_up(self, now: float) -> bool:
-        """Return whether it answers at ``now``."""
-        return bool(self.errors) or not self.down_from <= now < self.up_from
+        """Return whether it accepts connections at ``now``."""
+        return bool(self.error_share) or not self.down_from <= now < self.up_from
 
     def fails(self, now: float) -> bool:
-        """Return whether the work that is done at ``now`` ends in an error."""
-        if not self.errors or not self.down_from <= now < self.up_from:
+        """Return whether a request whose work ends at ``now`` fails."""
+        if not self.error_share or not self.down_from <= now < self.up_from:
             return False
-        return self.rng.random() < self.errors
+        return self.rng.random() < self.error_share
 
-    def offer(self, attempt, now: float) -> Answer:
-        """Take a request, or refuse it before it starts."""
+    def offer(self, attempt, now: float) -> OfferResult:
+        """Start or queue a request, or refuse it."""
         if not self.is_up(now):
-            return Answer.DOWN
+            return OfferResult.DOWN
         if len(self.running) < self.slots:
             self.running.append(attempt)
-            return Answer.STARTED
+            return OfferResult.STARTED
         if len(self.waiting) < self.queue:
             self.waiting.append(attempt)
-            return Answer.QUEUED
-        return Answer.REFUSED
+            return OfferResult.QUEUED
+        return OfferResult.REFUSED
 
     def release(self, attempt):
-        """Free a slot; return the attempt that takes it, if one waits."""
+        """Free a slot; return the queued attempt that takes it, if any."""
         self.running.remove(attempt)
         if not self.waiting:
             return None
-        following = self.waiting.popleft()
-        self.running.append(following)
-        return following
+        next_attempt = self.waiting.popleft()
+        self.running.append(next_attempt)
+        return next_attempt
 
     def crash(self) -> list:
-        """Lose and return all that runs or waits."""
-        lost = [*self.running, *self.waiting]
+        """Discard and return all running and queued attempts."""
+        interrupted = [*self.running, *self.waiting]
         self.running.clear()
         self.waiting.clear()
-        return lost
+        return interrupted
 
     def service_time(self, work: float, now: float) -> float:
         """Return the seconds that ``work`` takes from ``now``."""
         since = now - self.up_from
-        factor = self.slow
+        factor = self.slow_factor
         if 0 <= since < self.warm_up:
-            factor *= self.cold - (self.cold - 1) * since / self.warm_up
+            factor *= self.cold_factor - (self.cold_factor - 1) * since / self.warm_up
         return work * factor
--- a/bench/admission/storms.py
+++ b/bench/admission/storms.py
@@ -1,4 +1,4 @@
-"""Figures of the failure of zones: load on endpoints, and what callers get."""
+"""Figures of zone failures: load on endpoints, and results for callers."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -17,7 +17,7 @@
 from bench.admission.traces import GENERATION
 
 PEAK_WIDTH = 0.5
-"""Seconds of the windows in which a peak is counted."""
+"""Length of the windows in which a peak is counted, in seconds."""
 
 NO_SLOW_START = timedelta(microseconds=1)
 
@@ -38,17 +38,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Storm:
-    """What the failure and the return of zones brings.
+    """The figures of the failure and recovery of zones.
 
-    :param sends: sends to endpoints while the zones are down, as a multiple of
+    :param sends: attempts at endpoints while the zones are down, as a multiple of
         the requests offered.
-    :param peak: largest sends in half a second after the failure, likewise.
-    :param return_peak: the same after the return.
-    :param in_time_down: share in time of the requests that come while down.
-    :param in_time_up: of those that come within 20 s of the return.
+    :param peak: maximum attempts within half a second after the failure, likewise.
+    :param return_peak: the same after the recovery.
+    :param in_time_down: share in time of the requests that arrive during the failure.
+    :param in_time_up: of those that arrive within 20 s after the recovery.
     :param in_time: of all.
     :param failed: requests that ended with an error.
-    :param late_p99: p99 of the seconds to answers after the return.
+    :param late_p99: p99 of the response times after the recovery, in seconds.
     """
 
     sends: float
--- a/bench/admission/sweeps.py
+++ b/bench/admission/sweeps.py
@@ -28,14 +28,14 @@
 from sassafrasdale.decisions.shares import DEMAND_WINDOW, EVEN_WEIGHT
 
 WORKERS = 4
-"""Processes that replay at once."""
+"""Number of processes that replay in parallel."""
 
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """Values of one constant and the situations on which it shows.
+    """Values of one constant, and the situations that it affects.
 
-    :param chosen: value that the product has.
+    :param chosen: value in use.
     :param apply: returns the policy with a value in place of the chosen one.
     """
 
@@ -71,7 +71,7 @@
     window: int = HEDGE_WINDOW,
     minimum: int = HEDGE_MINIMUM_SAMPLES,
 ) -> Hedging:
-    """Return hedging with the chosen constants but for those given."""
+    """Return hedging with the values in use, except for those given."""
     return Hedging(RetryBudget(share, floor), quantile, window, minimum)
 
 
@@ -212,8 +212,8 @@
 class RateRow:
     """Figures of one value of a constant of the rate limits.
 
-    :param figures: share let through at 0.8 of the limit, and multiple of the
-        limit let through at three times the limit, for each spread.
+    :param figures: share of requests allowed at 0.8 of the limit, and allowed rate as a
+        multiple of the limit at three times the limit, for each spread.
     """
 
     name: str
--- a/bench/admission/traces.py
+++ b/bench/admission/traces.py
@@ -1,4 +1,4 @@
-"""Traces: requests with arrival times, made from a seed, the same every time."""
+"""Traces: requests with arrival times, generated reproducibly from a seed."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from random import Random
 
 ENTRIES = 7
-"""Entries among which the callers' requests are spread."""
+"""Number of entries among which requests are balanced."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -14,9 +14,9 @@
     """One logical request of a caller.
 
     :param arrival: seconds since the start of the trace.
-    :param work: seconds of one slot that the answer takes.
-    :param timeout: seconds in which the caller wants the answer.
-    :param entry: index of the entry that the balancer picks.
+    :param work: seconds for which the request occupies a slot.
+    :param timeout: seconds within which the caller needs the response.
+    :param entry: index of the entry that the load balancer picks.
     """
 
     arrival: float
@@ -29,12 +29,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """Sort of work of a service.
+class WorkKind:
+    """Kind of work of a service.
 
-    :param work: mean seconds of one slot.
-    :param sigma: spread of the logarithm of the work.
-    :param timeout: seconds in which callers want the answer.
+    :param work: mean seconds for which a request occupies a slot.
+    :param sigma: standard deviation of the logarithm of the work.
+    :param timeout: seconds within which callers need the response.
     """
 
     work: float
@@ -42,20 +42,20 @@
     timeout: float
 
 
-GENERATION = Kind(work=2.0, sigma=0.8, timeout=15.0)
-LOOKUP = Kind(work=0.02, sigma=0.5, timeout=0.25)
+GENERATION = WorkKind(work=2.0, sigma=0.8, timeout=15.0)
+LOOKUP = WorkKind(work=0.02, sigma=0.5, timeout=0.25)
 
 PRIORITIES = ((1, 0.2), (3, 0.5), (6, 0.3))
-"""Priorities and the part of the requests that has each."""
+"""Priorities and the share of requests with each."""
 
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Requests of one customer.
+    """One customer's source of requests.
 
     :param rate: requests per second as a function of the time in seconds.
     :param peak: upper bound of the rate.
-    :param priorities: priorities and the part of the requests that has each.
+    :param priorities: priorities and the share of requests with each.
     :param work: factor on the work of the kind.
     """
 
@@ -73,7 +73,7 @@
 
 def make_trace(
     sources: Sequence[Source],
-    kind: Kind,
+    kind: WorkKind,
     duration: float,
     seed: int,
     entry_weights: Sequence[float] = (1.0,) * ENTRIES,
@@ -81,7 +81,7 @@
     """Return the requests of all sources in the order of arrival.
 
     :param duration: seconds.
-    :param entry_weights: part of the requests that the balancer gives each entry.
+    :param entry_weights: share of the requests that the load balancer gives each entry.
     """
     rng = Random(seed)
     requests = []
@@ -95,7 +95,7 @@
     median_log = log(kind.work * source.work) - kind.sigma**2 / 2
     entries = range(len(entry_weights))
     values = [value for value, _ in source.priorities]
-    parts = [part for _, part in source.priorities]
+    shares = [share for _, share in source.priorities]
     while True:
         at += rng.expovariate(source.peak)
         if at >= duration:
@@ -105,7 +105,7 @@
         yield Request(
             arrival=at,
             customer=source.customer,
-            priority=rng.choices(values, parts)[0],
+            priority=rng.choices(values, shares)[0],
             work=rng.lognormvariate(median_log, kind.sigma),
             timeout=kind.timeout,
             entry=rng.choices(entries, entry_weights)[0],
