--- a/bench/leases/__init__.py
+++ b/bench/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Measures how long a duty is without a holder."""
+"""Measures how long a duty is without a leader."""
--- a/bench/leases/__main__.py
+++ b/bench/leases/__main__.py
@@ -17,11 +17,12 @@
 
 ENTRIES = 3
 EXAMPLE = "examples/authority.yaml"
-TAKEOVER_LIMIT = timedelta(seconds=60)
-POLL = timedelta(milliseconds=20)
+TAKEOVER_TIMEOUT = timedelta(seconds=60)
+POLL_INTERVAL = timedelta(milliseconds=20)
+# States in which the leader sends orders to engines that check fencing, and to all.
 ACTS_ON_CHECKING = ("settling", "holding")
 ACTS_ON_ALL = ("holding",)
-ENDS: dict[str, Callable[[EntryProcess], None]] = {
+SHUTDOWNS: dict[str, Callable[[EntryProcess], None]] = {
     "killed": EntryProcess.kill,
     "stopped (SIGSTOP)": EntryProcess.freeze,
     "planned stop (SIGTERM)": lambda entry: entry.terminate(),
@@ -40,40 +41,42 @@
     print("| end of the holder | orders to checking engines | all orders |")
     print("| --- | --- | --- |")
     with Fleet(text, entries=ENTRIES) as fleet:
-        for name, end in ENDS.items():
-            times = [_take_over(fleet, end) for _ in range(rounds)]
-            checking = _span([each[0] for each in times])
-            print(f"| {name} | {checking} | {_span([each[1] for each in times])} |")
-
-
-def _take_over(fleet: Fleet, end: Callable[[EntryProcess], None]) -> tuple[float, ...]:
-    """End the holder; return the times until another acts, in part and in full."""
-    holder, _ = _wait_for(fleet.entries, ACTS_ON_ALL)
-    others = [entry for entry in fleet.entries if entry is not holder]
+        for name, shut_down in SHUTDOWNS.items():
+            times = [_take_over(fleet, shut_down) for _ in range(rounds)]
+            checking = _range([each[0] for each in times])
+            print(f"| {name} | {checking} | {_range([each[1] for each in times])} |")
+
+
+def _take_over(
+    fleet: Fleet, shut_down: Callable[[EntryProcess], None]
+) -> tuple[float, ...]:
+    """Shut the leader down; return the times until another acts, partly and fully."""
+    leader, _ = _wait_for(fleet.entries, ACTS_ON_ALL)
+    others = [entry for entry in fleet.entries if entry is not leader]
     began = time.monotonic()
-    end(holder)
+    shut_down(leader)
     _, partly = _wait_for(others, ACTS_ON_CHECKING)
     _, fully = _wait_for(others, ACTS_ON_ALL)
-    holder.close()
-    fleet.platform.remove(holder.name)
-    fleet.entries.remove(holder)
-    fleet.add_entry(holder.name, holder.zone).wait_until_ready()
+    leader.close()
+    fleet.platform.remove(leader.name)
+    fleet.entries.remove(leader)
+    fleet.add_entry(leader.name, leader.zone).wait_until_ready()
     return partly - began, fully - began
 
 
 def _wait_for(
     entries: Iterable[EntryProcess], states: Iterable[str]
 ) -> tuple[EntryProcess, float]:
-    deadline = time.monotonic() + TAKEOVER_LIMIT.total_seconds()
+    deadline = time.monotonic() + TAKEOVER_TIMEOUT.total_seconds()
     while time.monotonic() < deadline:
         for entry in entries:
-            if _duty(entry) in states:
+            if _duty_state(entry) in states:
                 return entry, time.monotonic()
-        time.sleep(POLL.total_seconds())
-    raise ProcessError("nobody took the duty over")
+        time.sleep(POLL_INTERVAL.total_seconds())
+    raise ProcessError("no entry took over the duty")
 
 
-def _duty(entry: EntryProcess) -> str:
+def _duty_state(entry: EntryProcess) -> str:
     try:
         status = entry.client.call("GET", "/admin/v1/status").json()
     except urllib3.exceptions.HTTPError:
@@ -81,7 +84,7 @@
     return status["duties"]["capacity"]
 
 
-def _span(seconds: list[float]) -> str:
+def _range(seconds: list[float]) -> str:
     return f"{min(seconds):.1f} to {max(seconds):.1f} s"
 
 
--- a/bench/load/__init__.py
+++ b/bench/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load on real processes: what is lost or mixed up, and what an entry adds."""
+"""Load on real processes: lost or wrong responses, and the overhead of an entry."""
--- a/bench/load/__main__.py
+++ b/bench/load/__main__.py
@@ -36,14 +36,14 @@
         tally = run_callers(fleet, callers, timedelta(seconds=seconds))
         executions = fleet.executions("records")
     keys = [item["idempotency_key"] for item in executions if item["idempotency_key"]]
-    doubled = len(keys) - len(set(keys))
-    _print(tally, doubled)
+    repeated = len(keys) - len(set(keys))
+    _print(tally, repeated)
     lost = sum(
         count
         for (_, outcome), count in tally.outcomes.items()
         if not outcome.startswith(("answered", "not-run"))
     )
-    return 1 if lost or tally.wrong or doubled else 0
+    return 1 if lost or tally.mismatches or repeated else 0
 
 
 @app.command
@@ -73,15 +73,15 @@
     return 0
 
 
-def _print(tally: Tally, doubled: int) -> None:
+def _print(tally: Tally, repeated: int) -> None:
     for (kind, outcome), count in sorted(tally.outcomes.items()):
         print(f"{kind:12} {outcome:80} {count:8}")
     for kind, times in sorted(tally.latency.items()):
-        middle, late = (times.get_value_at_percentile(p) / 1000 for p in (50, 95))
-        print(f"{kind:12} p50 {middle:8.1f} ms   p95 {late:8.1f} ms")
-    print(f"mixed up {len(tally.wrong)}, executions beyond one a key {doubled}")
-    for wrong in tally.wrong[:5]:
-        print(f"  {wrong}")
+        p50, p95 = (times.get_value_at_percentile(p) / 1000 for p in (50, 95))
+        print(f"{kind:12} p50 {p50:8.1f} ms   p95 {p95:8.1f} ms")
+    print(f"mixed up {len(tally.mismatches)}, executions beyond one a key {repeated}")
+    for mismatch in tally.mismatches[:5]:
+        print(f"  {mismatch}")
 
 
 if __name__ == "__main__":
--- a/bench/load/callers.py
+++ b/bench/load/callers.py
@@ -1,4 +1,4 @@
-"""Callers of three entries that check every answer against what it must be."""
+"""Callers of several entries that check every response against the expected one."""
 
 import json
 import random
@@ -21,43 +21,43 @@
 MODEL = "reports"
 MAX_TOKENS = 16
 MICROSECOND = timedelta(microseconds=1)
-LONGEST = timedelta(minutes=2)
-READ_LIMIT = timedelta(seconds=60)
-# Of each hundred requests: lookups, certificates; the rest are generations.
+MAX_LATENCY = timedelta(minutes=2)
+READ_TIMEOUT = timedelta(seconds=60)
+# Lookups and certificates among each hundred requests; the rest are generations.
 LOOKUPS = 60
 CERTIFICATES = 10
 
 
 def histogram() -> HdrHistogram:
     """Return a histogram of microseconds, up to two minutes."""
-    return HdrHistogram(1, LONGEST // MICROSECOND, 3)
+    return HdrHistogram(1, MAX_LATENCY // MICROSECOND, 3)
 
 
 @dataclass(slots=True)
 class Tally:
-    """What the callers saw.
+    """The callers' results.
 
-    :param outcomes: answers by kind of request and outcome.
-    :param wrong: answers that were not what they must be.
-    :param latency: time to a whole answer, by kind, in microseconds.
+    :param outcomes: responses by kind of request and outcome.
+    :param mismatches: responses that differ from the expected ones.
+    :param latency: time to a complete response, by kind, in microseconds.
     """
 
     outcomes: Counter = field(default_factory=Counter)
-    wrong: list[str] = field(default_factory=list)
+    mismatches: list[str] = field(default_factory=list)
     latency: dict[str, HdrHistogram] = field(default_factory=dict)
 
-    def record(self, kind: str, outcome: str, taken: timedelta) -> None:
-        """Count one answer."""
+    def record(self, kind: str, outcome: str, duration: timedelta) -> None:
+        """Count one response."""
         self.outcomes[kind, outcome] += 1
-        self.latency.setdefault(kind, histogram()).record_value(taken // MICROSECOND)
+        self.latency.setdefault(kind, histogram()).record_value(duration // MICROSECOND)
 
 
 class Caller:
-    """One caller: asks one thing after the other, of any entry.
+    """A caller that sends one request after another, each to a random entry.
 
-    :param number: number of the caller, part of all that it asks.
-    :param pools: connections to the entries.
-    :param tally: where its answers are counted.
+    :param number: number of the caller, which is part of each of its requests.
+    :param pools: connection pools of the entries.
+    :param tally: where its responses are counted.
     :param clock: source of time.
     """
 
@@ -69,19 +69,19 @@
         self._tally = tally
         self._clock = clock
         self._rng = random.Random(number)
-        self._asked = 0
+        self._request_count = 0
 
-    def run(self, until: timedelta) -> None:
-        """Ask until ``until``, elapsed time of the clock."""
-        while self._clock.elapsed() < until:
-            self._asked += 1
+    def run(self, deadline: timedelta) -> None:
+        """Send requests until ``deadline``, an elapsed time of the clock."""
+        while self._clock.elapsed() < deadline:
+            self._request_count += 1
             draw = self._rng.randrange(100)
             if draw < LOOKUPS:
                 self._timed("lookup", self._look_up)
             elif draw < LOOKUPS + CERTIFICATES:
                 self._timed("certificate", self._issue)
             elif draw % 2:
-                self._timed("whole", self._ask_whole)
+                self._timed("whole", self._ask_complete)
             else:
                 self._timed("streamed", self._ask_streamed)
 
@@ -94,54 +94,56 @@
         self._tally.record(kind, outcome, self._clock.elapsed() - began)
 
     def _look_up(self) -> str:
-        wanted = f"{self._number}-{self._asked}"
-        answer = self._call("GET", f"/v1/services/records/lookups/{wanted}")
-        if answer.status == 200 and json.loads(answer.data)["id"] != wanted:
-            self._tally.wrong.append(f"lookup {wanted}: {answer.data!r}")
-        return self._outcome(answer)
+        lookup_id = f"{self._number}-{self._request_count}"
+        response = self._call("GET", f"/v1/services/records/lookups/{lookup_id}")
+        if response.status == 200 and json.loads(response.data)["id"] != lookup_id:
+            self._tally.mismatches.append(f"lookup {lookup_id}: {response.data!r}")
+        return self._outcome(response)
 
     def _issue(self) -> str:
-        """Issue a certificate and ask for the same again through another entry."""
-        key = f"{self._number}-{self._asked}"
+        """Issue a certificate and repeat the request, through any entry."""
+        key = f"{self._number}-{self._request_count}"
         headers = {"Idempotency-Key": key}
         path = "/v1/services/records/certificates"
         first = self._call("POST", path, {"cube": key}, headers)
-        again = self._call("POST", path, {"cube": key}, headers)
-        both = first.status == again.status == 201
-        if both and first.data != again.data:
-            self._tally.wrong.append(f"two certificates for {key}")
+        repeated = self._call("POST", path, {"cube": key}, headers)
+        both_issued = first.status == repeated.status == 201
+        if both_issued and first.data != repeated.data:
+            self._tally.mismatches.append(f"two certificates for {key}")
         return self._outcome(first)
 
-    def _ask_whole(self) -> str:
+    def _ask_complete(self) -> str:
         body = self._chat()
-        answer = self._call("POST", "/v1/chat/completions", body)
-        if answer.status == 200:
-            content = json.loads(answer.data)["choices"][0]["message"]["content"]
+        response = self._call("POST", "/v1/chat/completions", body)
+        if response.status == 200:
+            content = json.loads(response.data)["choices"][0]["message"]["content"]
             self._check(body, content)
-        return self._outcome(answer)
+        return self._outcome(response)
 
     def _ask_streamed(self) -> str:
         body = {**self._chat(), "stream": True}
-        answer = self._call("POST", "/v1/chat/completions", body)
-        if answer.status != 200:
-            return self._outcome(answer)
+        response = self._call("POST", "/v1/chat/completions", body)
+        if response.status != 200:
+            return self._outcome(response)
         events = [
             line.removeprefix(b"data: ")
-            for line in answer.data.split(b"\n")
+            for line in response.data.split(b"\n")
             if line.startswith(b"data: ")
         ]
         if events[-1] != b"[DONE]":
             return "cut"
         chunks = [json.loads(event)["choices"][0]["delta"] for event in events[:-1]]
         self._check(body, "".join(chunk.get("content", "") for chunk in chunks))
-        return self._outcome(answer)
+        return self._outcome(response)
 
     def _check(self, body: dict, content: str) -> None:
         if content != reference_text(MODEL, body["messages"], MAX_TOKENS):
-            self._tally.wrong.append(f"{body['messages'][0]['content']}: {content}")
+            self._tally.mismatches.append(
+                f"{body['messages'][0]['content']}: {content}"
+            )
 
     def _chat(self) -> dict:
-        question = f"Caller {self._number} asks about batch {self._asked}."
+        question = f"Caller {self._number} asks about batch {self._request_count}."
         return {
             "model": MODEL,
             "messages": [{"role": "user", "content": question}],
@@ -161,24 +163,26 @@
             },
         )
 
-    def _outcome(self, answer) -> str:
-        outcome = answer.headers.get("X-Outcome", f"status {answer.status}")
-        if answer.status < 400:
+    def _outcome(self, response) -> str:
+        outcome = response.headers.get("X-Outcome", f"status {response.status}")
+        if response.status < 400:
             return outcome
-        return f"{outcome} ({answer.status}: {json.loads(answer.data)['detail'][:60]})"
+        return (
+            f"{outcome} ({response.status}: {json.loads(response.data)['detail'][:60]})"
+        )
 
 
 def run_callers(fleet: Fleet, callers: int, duration: timedelta) -> Tally:
-    """Let ``callers`` ask for ``duration`` and return what they saw."""
+    """Run ``callers`` for ``duration`` and return their results."""
     clock = SystemClock()
     tally = Tally()
     pools = [
-        http_pool(Address.parse(entry.address), size=callers, read_timeout=READ_LIMIT)
+        http_pool(Address.parse(entry.address), size=callers, read_timeout=READ_TIMEOUT)
         for entry in fleet.entries
     ]
-    until = clock.elapsed() + duration
+    deadline = clock.elapsed() + duration
     tasks = [
-        spawn(Caller(number, pools, tally, clock).run, until)
+        spawn(Caller(number, pools, tally, clock).run, deadline)
         for number in range(callers)
     ]
     for task in tasks:
--- a/bench/load/overhead.py
+++ b/bench/load/overhead.py
@@ -1,4 +1,4 @@
-"""What an entry adds to a request against a direct call, in one run."""
+"""The latency and processor time that an entry adds, against direct calls."""
 
 import json
 from collections.abc import Callable
@@ -19,29 +19,29 @@
 JSON_TYPE = {"Content-Type": "application/json"}
 PROC_TICKS_PER_SECOND = 100
 USER_TICKS_FIELD = 13
-# Pause of a caller between two lookups.
-THINK = timedelta(milliseconds=50)
+# Time of a caller between two lookups.
+THINK_TIME = timedelta(milliseconds=50)
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
     """Times of one kind of request, direct and through the entry.
 
-    :param kind: what was asked.
+    :param kind: kind of the requests.
     :param direct: times of direct calls, in microseconds.
-    :param through: times through the entry, in microseconds.
+    :param through_entry: times through the entry, in microseconds.
     """
 
     kind: str
     direct: HdrHistogram
-    through: HdrHistogram
+    through_entry: HdrHistogram
 
     def row(self) -> dict:
         """Return the figures, times in milliseconds."""
         row: dict = {"kind": self.kind}
         for percentile in (50, 95):
             direct = self.direct.get_value_at_percentile(percentile) / 1000
-            through = self.through.get_value_at_percentile(percentile) / 1000
+            through = self.through_entry.get_value_at_percentile(percentile) / 1000
             row[f"p{percentile}_direct_ms"] = round(direct, 2)
             row[f"p{percentile}_entry_ms"] = round(through, 2)
             row[f"p{percentile}_ratio"] = round(through / direct, 2)
@@ -49,12 +49,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rate:
+class Throughput:
     """Work of one entry at full load, per second of its processor time.
 
-    :param kind: what was counted.
-    :param count: how many.
-    :param cpu: processor time that the entry spent.
+    :param kind: kind of the counted work.
+    :param count: number of units of work.
+    :param cpu: processor time that the entry used.
     """
 
     kind: str
@@ -72,35 +72,35 @@
         }
 
 
-Ask = Callable[[GreenHttpPool, int, bool], int]
+AskFunction = Callable[[GreenHttpPool, int, bool], int]
 
 
 def ask_lookup(pool: GreenHttpPool, number: int, direct: bool) -> int:
     """Ask for a lookup; return 1."""
     path = f"/lookups/{number}"
     target = path if direct else f"/v1/services/records{path}"
-    answer = pool.request("GET", target, headers=CUSTOMER)
-    _expect(answer.status == 200, answer.data)
+    response = pool.request("GET", target, headers=CUSTOMER)
+    _expect(response.status == 200, response.data)
     return 1
 
 
-def ask_whole(pool: GreenHttpPool, number: int, direct: bool) -> int:
-    """Ask for a whole answer of one token; return 1."""
-    answer = _chat(pool, number, tokens=1, stream=False)
-    _expect(answer.status == 200, answer.data)
+def ask_complete(pool: GreenHttpPool, number: int, direct: bool) -> int:
+    """Ask for a complete response of one token; return 1."""
+    response = _chat(pool, number, tokens=1, stream=False)
+    _expect(response.status == 200, response.data)
     return 1
 
 
 def ask_streamed(pool: GreenHttpPool, number: int, direct: bool) -> int:
     """Ask for a stream of 20 tokens; return its number of events."""
-    answer = _chat(pool, number, tokens=20, stream=True)
-    _expect(answer.data.endswith(b"data: [DONE]\n\n"), answer.data)
-    return answer.data.count(b"data: ")
+    response = _chat(pool, number, tokens=20, stream=True)
+    _expect(response.data.endswith(b"data: [DONE]\n\n"), response.data)
+    return response.data.count(b"data: ")
 
 
-KINDS: dict[str, Ask] = {
+KINDS: dict[str, AskFunction] = {
     "lookup": ask_lookup,
-    "whole": ask_whole,
+    "whole": ask_complete,
     "streamed": ask_streamed,
 }
 
@@ -126,7 +126,7 @@
 
 
 def compare(fleet: Fleet, kind: str, repeats: int) -> Comparison:
-    """Ask the same of an endpoint and of the entry in turn, one at a time."""
+    """Send the same requests alternately to an endpoint and to the entry."""
     clock = SystemClock()
     service = "records" if kind == "lookup" else "reports"
     direct_pool = _pool(fleet.of_service(service)[0].address)
@@ -134,28 +134,28 @@
     comparison = Comparison(kind, histogram(), histogram())
     for number in range(repeats):
         _time(clock, comparison.direct, KINDS[kind], direct_pool, number, True)
-        _time(clock, comparison.through, KINDS[kind], entry_pool, number, False)
+        _time(clock, comparison.through_entry, KINDS[kind], entry_pool, number, False)
     return comparison
 
 
-def saturate(fleet: Fleet, kind: str, callers: int, duration: timedelta) -> Rate:
-    """Load one entry with ``callers`` at once and count its work."""
+def saturate(fleet: Fleet, kind: str, callers: int, duration: timedelta) -> Throughput:
+    """Load one entry with concurrent ``callers`` and count its work."""
     clock = SystemClock()
     pool = _pool(fleet.entries[0].address)
     pid = fleet.entries[0].pid
-    until = clock.elapsed() + duration
+    deadline = clock.elapsed() + duration
     before = cpu_time(pid)
 
     def run(caller: int) -> int:
         count = number = 0
-        while clock.elapsed() < until:
+        while clock.elapsed() < deadline:
             number += 1
             count += KINDS[kind](pool, caller * 1_000_000 + number, False)
         return count
 
     tasks = [spawn(run, caller) for caller in range(callers)]
     count = sum(task.wait() for task in tasks)
-    return Rate(kind, count, cpu_time(pid) - before)
+    return Throughput(kind, count, cpu_time(pid) - before)
 
 
 def time_lookups(fleet: Fleet, callers: int, duration: timedelta) -> HdrHistogram:
@@ -163,15 +163,15 @@
     clock = SystemClock()
     pool = _pool(fleet.entries[0].address)
     times = histogram()
-    until = clock.elapsed() + duration
+    deadline = clock.elapsed() + duration
 
     def run(caller: int) -> None:
         number = 0
-        while clock.elapsed() < until:
+        while clock.elapsed() < deadline:
             number += 1
-            asked = caller * 1_000_000 + number
-            _time(clock, times, ask_lookup, pool, asked, False)
-            sleep(THINK)
+            lookup = caller * 1_000_000 + number
+            _time(clock, times, ask_lookup, pool, lookup, False)
+            sleep(THINK_TIME)
 
     for task in [spawn(run, caller) for caller in range(callers)]:
         task.wait()
@@ -179,7 +179,7 @@
 
 
 def cpu_time(pid: int) -> timedelta:
-    """Return the processor time that a process has spent."""
+    """Return the processor time that a process has used."""
     stat = Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
     fields = stat.rpartition(")")[2].split()
     ticks = int(fields[USER_TICKS_FIELD - 2]) + int(fields[USER_TICKS_FIELD - 1])
@@ -195,7 +195,7 @@
 def _time(
     clock: Clock,
     times: HdrHistogram,
-    ask: Ask,
+    ask: AskFunction,
     pool: GreenHttpPool,
     number: int,
     direct: bool,
