--- a/bench/configuration/__init__.py
+++ b/bench/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Measures how fast an accepted text is in force on every entry."""
+"""Measures how fast every entry applies an accepted configuration."""
--- a/bench/configuration/__main__.py
+++ b/bench/configuration/__main__.py
@@ -20,18 +20,18 @@
 from standins.processes import EntryProcess, ProcessError
 
 ENTRIES = 9
-LIMIT = timedelta(seconds=30)
-RETRY_PAUSE = timedelta(milliseconds=100)
+REVISION_TIMEOUT = timedelta(seconds=30)
+RETRY_DELAY = timedelta(milliseconds=100)
 CUSTOMER = "press-technicians: {weight: "
 EXAMPLE = "examples/authority.yaml"
-DEAF = {"deaf_watches": True}
+STALLED_WATCHES = {"deaf_watches": True}
 CONDITIONS: Mapping[str, tuple[Mapping[str, Any], Mapping[str, Any]]] = {
     "normal": ({}, {}),
-    "store refuses just after the acceptance": (DEAF, {"outage": "refuse"}),
-    "store silent just after the acceptance": (DEAF, {"outage": "silent"}),
-    "all watches deaf": (DEAF, {}),
+    "store refuses just after the acceptance": (STALLED_WATCHES, {"outage": "refuse"}),
+    "store silent just after the acceptance": (STALLED_WATCHES, {"outage": "silent"}),
+    "all watches deaf": (STALLED_WATCHES, {}),
 }
-"""Faults of the store before an edit, and from its acceptance on."""
+"""Faults of the store before an edit, and after its acceptance."""
 NO_FAULTS = {"outage": None, "deaf_watches": False}
 
 
@@ -40,28 +40,28 @@
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--edits", type=int, default=30)
     edits = parser.parse_args().edits
-    text = _example()
+    text = _example_text()
     print(f"{edits} edits, {ENTRIES} entries; time from the author's answer")
     print()
     print("| condition | p50 | p99 | longest | steps back |")
     print("| --- | --- | --- | --- | --- |")
-    with _watched_fleet(text) as (fleet, observer):
+    with _observed_fleet(text) as (fleet, observer):
         for condition in CONDITIONS:
             print(_measure(fleet, observer, text, condition, edits).row(), flush=True)
 
 
-def _example() -> str:
+def _example_text() -> str:
     with open(EXAMPLE, encoding="utf-8") as file:
         return file.read()
 
 
 @contextmanager
-def _watched_fleet(text: str) -> Iterator[tuple[Fleet, RevisionObserver]]:
+def _observed_fleet(text: str) -> Iterator[tuple[Fleet, RevisionObserver]]:
     with (
         Fleet(text, entries=ENTRIES) as fleet,
         RevisionObserver(fleet.entries) as observer,
     ):
-        observer.wait_for(1, LIMIT)
+        observer.wait_for(1, REVISION_TIMEOUT)
         yield fleet, observer
 
 
@@ -69,31 +69,32 @@
     fleet: Fleet, observer: RevisionObserver, text: str, condition: str, edits: int
 ) -> Measure:
     before, after = CONDITIONS[condition]
-    steps_back = len(observer.regressions)
+    regressions_before = len(observer.regressions)
     seconds: list[float] = []
     entries = cycle(fleet.entries)
     for _ in range(edits):
         fleet.platform.set_faults(store=before)
-        revision, accepted_at = _edit(next(entries), text)
+        revision, accepted_at = _submit_edit(next(entries), text)
         fleet.platform.set_faults(store=after)
-        seen = observer.wait_for(revision, LIMIT)
+        seen = observer.wait_for(revision, REVISION_TIMEOUT)
         seconds.extend(max(0.0, at - accepted_at) for at in seen.values())
         fleet.platform.set_faults(store=NO_FAULTS)
-    return Measure(condition, tuple(seconds), len(observer.regressions) - steps_back)
+    return Measure(
+        condition, tuple(seconds), len(observer.regressions) - regressions_before
+    )
 
 
-def _edit(entry: EntryProcess, text: str) -> tuple[int, float]:
-    """Have one edit accepted; return its revision and when the author knew.
+def _submit_edit(entry: EntryProcess, text: str) -> tuple[int, float]:
+    """Submit one edit; return its revision and the time of the accepting response.
 
-    An entry that has just seen an outage refuses until it has reached the store
-    again.
+    After an outage, an entry refuses edits until it has reached the store again.
     """
-    deadline = time.monotonic() + LIMIT.total_seconds()
+    deadline = time.monotonic() + REVISION_TIMEOUT.total_seconds()
     while time.monotonic() < deadline:
         response = _put(entry, text)
         if response.status == 200:
             return response.json()["revision"], time.monotonic()
-        time.sleep(RETRY_PAUSE.total_seconds())
+        time.sleep(RETRY_DELAY.total_seconds())
     raise ProcessError(f"{entry.name}: {response.status} {response.data!r}")
 
 
--- a/bench/configuration/observers.py
+++ b/bench/configuration/observers.py
@@ -1,4 +1,4 @@
-"""Watches from outside which revision is in force on each entry.
+"""Observes through the API which revision each entry has applied.
 
 Usage::
 
@@ -21,8 +21,8 @@
 from standins.processes import EntryProcess
 
 LONG_POLL = timedelta(milliseconds=250)
-ERROR_PAUSE = timedelta(milliseconds=20)
-CALL_LIMIT = timedelta(seconds=2)
+ERROR_DELAY = timedelta(milliseconds=20)
+CALL_TIMEOUT = timedelta(seconds=2)
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,12 +35,12 @@
 
 
 class RevisionObserver:
-    """Asks every entry all the time which revision is in force on it.
+    """Polls every entry for the revision that it has applied.
 
-    Each entry has a thread with a long poll of its own, so a new revision is
-    seen within milliseconds and every answer in between is checked.
+    Each entry has its own thread with long polls, so a new revision is seen within
+    milliseconds and every response in between is checked.
 
-    :param entries: entries to ask.
+    :param entries: entries to poll.
     """
 
     def __init__(self, entries: Iterable[EntryProcess] = ()) -> None:
@@ -49,35 +49,35 @@
         self._newest: dict[str, int] = {}
         self._regressions: list[Regression] = []
         self._changed = threading.Condition()
-        self._ended = threading.Event()
+        self._stopped = threading.Event()
         self._threads: list[threading.Thread] = []
 
     def __enter__(self) -> Self:
-        """Begin to ask."""
+        """Start polling."""
         for entry in self._entries:
             self.add(entry)
         return self
 
     def __exit__(self, *_exception: object) -> None:
-        """Stop asking."""
-        self._ended.set()
+        """Stop polling."""
+        self._stopped.set()
         for thread in self._threads:
             thread.join()
 
     @property
     def regressions(self) -> list[Regression]:
-        """Every step back that was seen."""
+        """All regressions seen so far."""
         return list(self._regressions)
 
     def add(self, entry: EntryProcess) -> None:
-        """Ask ``entry`` too."""
+        """Poll ``entry`` too."""
         self._seen.setdefault(entry.name, {})
-        thread = threading.Thread(target=self._ask_on, args=[entry], daemon=True)
+        thread = threading.Thread(target=self._poll, args=[entry], daemon=True)
         self._threads.append(thread)
         thread.start()
 
     def forget(self, name: str) -> None:
-        """Wait no more for the entry ``name``; its thread ends with the others."""
+        """Stop waiting for the entry ``name``; its thread ends with the others."""
         with self._changed:
             self._seen.pop(name, None)
 
@@ -93,41 +93,41 @@
     def wait_for(
         self, revision: int, limit: timedelta, names: Iterable[str] | None = None
     ) -> dict[str, float]:
-        """Wait until ``revision`` or a newer one is in force on all entries.
+        """Wait until ``revision`` or a newer one is applied on all entries.
 
         :param names: entries to wait for; all by default.
         :returns: the time at which each entry first served it.
-        :raises TimeoutError: if some lack it after ``limit``.
+        :raises TimeoutError: if some entries have not applied it within ``limit``.
         """
         wanted = list(names if names is not None else self._seen)
         with self._changed:
-            done = self._changed.wait_for(
+            is_applied = self._changed.wait_for(
                 lambda: all(self.newest(name) >= revision for name in wanted),
                 limit.total_seconds(),
             )
-        if not done:
+        if not is_applied:
             behind = {
                 name: self.newest(name)
                 for name in wanted
                 if self.newest(name) < revision
             }
-            raise TimeoutError(f"revision {revision} is not in force on {behind}")
+            raise TimeoutError(f"revision {revision} is not applied on {behind}")
         return {name: self.seen_at(name, revision) for name in wanted}
 
-    def _ask_on(self, entry: EntryProcess) -> None:
-        client = Client(entry.address, CALL_LIMIT)
-        while not self._ended.is_set():
+    def _poll(self, entry: EntryProcess) -> None:
+        client = Client(entry.address, CALL_TIMEOUT)
+        while not self._stopped.is_set():
             try:
-                revision = _ask(client, self.newest(entry.name))
+                revision = _fetch_revision(client, self.newest(entry.name))
             except (urllib3.exceptions.HTTPError, OSError):
-                time.sleep(ERROR_PAUSE.total_seconds())
+                time.sleep(ERROR_DELAY.total_seconds())
                 continue
             if revision is None:
-                time.sleep(ERROR_PAUSE.total_seconds())
+                time.sleep(ERROR_DELAY.total_seconds())
                 continue
-            self._note(entry.name, revision)
+            self._record(entry.name, revision)
 
-    def _note(self, name: str, revision: int) -> None:
+    def _record(self, name: str, revision: int) -> None:
         with self._changed:
             known = self.newest(name)
             if revision < known:
@@ -139,8 +139,8 @@
                 self._changed.notify_all()
 
 
-def _ask(client: Client, known: int) -> int | None:
-    """Return the revision in force, None if there is none yet."""
+def _fetch_revision(client: Client, known: int) -> int | None:
+    """Return the applied revision, None if there is none yet."""
     wait = LONG_POLL // timedelta(milliseconds=1)
     response = client.call(
         "GET", f"/admin/v1/text?wait_ms={wait}", headers={"If-None-Match": f'"{known}"'}
--- a/bench/reclaims/notices.py
+++ b/bench/reclaims/notices.py
@@ -11,7 +11,7 @@
 CALLERS = 4 * ENTRIES
 ROUNDS = 5
 NOTICE_SECONDS = 60.0
-BETWEEN_SECONDS = 1.5
+NOTICE_INTERVAL_SECONDS = 1.5
 LIST_LAG_MS = 10_000
 
 
@@ -26,42 +26,44 @@
     last: dict[str, timedelta] = {}
     for item in endpoint.executions():
         entry = item["request_id"].partition(".")[0]
-        late = datetime.fromisoformat(item["at"]) - noticed
-        last[entry] = max(last.get(entry, timedelta()), late)
+        after_notice = datetime.fromisoformat(item["at"]) - noticed
+        last[entry] = max(last.get(entry, timedelta()), after_notice)
     return last
 
 
-def ask(entry: EntryProcess, state: dict[str, bool], caller: int) -> list[str]:
-    """Ask for records, or for short answers, until told to stop.
+def send_requests(
+    entry: EntryProcess, state: dict[str, bool], caller: int
+) -> list[str]:
+    """Send lookups, or prompts with short responses, until ``state`` is not running.
 
-    :returns: what failed.
+    :returns: the failures.
     """
     failed = []
     for number in itertools.count():
         request_id = f"{entry.name}.{caller}.{number}"
         if caller % 2:
             path = f"/v1/services/records/lookups/{caller}-{number}"
-            answer = call(entry, "GET", path, X_Request_Id=request_id)
+            response = call(entry, "GET", path, X_Request_Id=request_id)
         else:
             messages = [{"role": "user", "content": f"{caller} {number}"}]
             body = {"model": MODEL, "messages": messages, "max_tokens": 3}
             path = "/v1/chat/completions"
-            answer = call(entry, "POST", path, body, X_Request_Id=request_id)
-        if answer.status != 200:
-            failed.append(f"{answer.status} {answer.data!r}")
+            response = call(entry, "POST", path, body, X_Request_Id=request_id)
+        if response.status != 200:
+            failed.append(f"{response.status} {response.data!r}")
         if not state["running"]:
             break
     return failed
 
 
 def run_round(
-    between_seconds: float = BETWEEN_SECONDS,
+    between_seconds: float = NOTICE_INTERVAL_SECONDS,
 ) -> tuple[list[timedelta], list[str]]:
     """Give notice to two engines and two services in turn.
 
-    :param between_seconds: pause before each notice and after the last.
+    :param between_seconds: time before each notice and after the last.
     :returns: the time to the last new request of each entry to each of them, and
-        what failed.
+        the failures.
     """
     with start_fleet(step_ms=5, entries=ENTRIES) as fleet:
         fleet.platform.set_faults(
@@ -72,9 +74,11 @@
         leaving = [services[0], engines[0], services[1], engines[1]]
         state = {"running": True}
         noticed = {}
-        with Crowd(Balancer(fleet.entries)) as crowd:
-            asked = [
-                crowd.submit(ask, fleet.entries[number % ENTRIES], state, number)
+        with Crowd(Balancer(fleet.entries)) as callers:
+            futures = [
+                callers.submit(
+                    send_requests, fleet.entries[number % ENTRIES], state, number
+                )
                 for number in range(CALLERS)
             ]
             time.sleep(between_seconds)
@@ -84,7 +88,7 @@
                 time.sleep(between_seconds)
             time.sleep(between_seconds)
             state["running"] = False
-            failed = [fault for future in asked for fault in future.result()]
+            failed = [fault for future in futures for fault in future.result()]
         times = [
             last
             for endpoint in leaving
@@ -98,17 +102,17 @@
     times: list[timedelta] = []
     failed: list[str] = []
     for _ in range(ROUNDS):
-        more, faults = run_round()
-        times.extend(more)
-        failed.extend(faults)
+        round_times, round_failures = run_round()
+        times.extend(round_times)
+        failed.extend(round_failures)
     milliseconds = sorted(each / timedelta(milliseconds=1) for each in times)
     print(
         "| entries | notices | pairs | median (ms) | p99 (ms) | worst (ms) | failed |"
     )
     print("| ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
-    middle = milliseconds[len(milliseconds) // 2]
-    late = milliseconds[int(len(milliseconds) * 0.99)]
+    median = milliseconds[len(milliseconds) // 2]
+    p99 = milliseconds[int(len(milliseconds) * 0.99)]
     print(
-        f"| {ENTRIES} | {4 * ROUNDS} | {len(times)} | {middle:.0f} | {late:.0f} | "
+        f"| {ENTRIES} | {4 * ROUNDS} | {len(times)} | {median:.0f} | {p99:.0f} | "
         f"{milliseconds[-1]:.0f} | {len(failed)} |"
     )
--- a/bench/reclaims/streams.py
+++ b/bench/reclaims/streams.py
@@ -1,4 +1,4 @@
-"""What becomes of streams in each kind of reclaim."""
+"""The outcome of streams in each kind of reclaim."""
 
 import time
 from collections.abc import Callable
@@ -11,67 +11,70 @@
 STEP_MS = 60.0
 TOKENS = 150
 NOTICE_SECONDS = 5.0
-HALF_WAY_SECONDS = 2.0
-"""Streams need 9 s, so that those of a fresh notice of 5 s don't fit."""
+DURING_NOTICE_SECONDS = 2.0
+"""Streams need 9 s, so that a new one can't finish within a notice of 5 s."""
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
     """One kind of reclaim.
 
-    :param name: what the table calls it.
-    :param strike: brings it about.
-    :param tokens: length of each answer.
+    :param name: its name in the table.
+    :param trigger: causes it.
+    :param tokens: length of each response.
     """
 
     name: str
-    strike: Callable[[Fleet], None]
+    trigger: Callable[[Fleet], None]
     tokens: int = TOKENS
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What became of the streams of a case."""
+    """The outcome of a case's streams."""
 
     name: str
-    whole: int
-    lost: int
+    complete: int
+    restarted: int
     resumed: int
     generated: int
     recomputed: int
-    pauses: tuple[float, ...]
+    max_gaps: tuple[float, ...]
 
     def row(self) -> str:
         """Return the table's row."""
-        median = self.pauses[len(self.pauses) // 2]
+        median = self.max_gaps[len(self.max_gaps) // 2]
         return (
-            f"| {self.name} | {self.whole} of {STREAMS} | {self.lost} | "
+            f"| {self.name} | {self.complete} of {STREAMS} | {self.restarted} | "
             f"{self.resumed} | {self.generated} | {self.recomputed} | "
-            f"{median:.2f} | {self.pauses[-1]:.2f} |"
+            f"{median:.2f} | {self.max_gaps[-1]:.2f} |"
         )
 
 
 def run(case: Case) -> Result:
-    """Run one case and return what became of its streams."""
-    with start_fleet(step_ms=STEP_MS) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
-        crowd.stream(STREAMS, case.tokens)
-        crowd.wait_until_running(events=10)
-        case.strike(fleet)
-        crowd.faults(may_restart=True)
+    """Run one case and return the outcome of its streams."""
+    with (
+        start_fleet(step_ms=STEP_MS) as fleet,
+        Crowd(Balancer(fleet.entries)) as callers,
+    ):
+        callers.stream(STREAMS, case.tokens)
+        callers.wait_until_running(events=10)
+        case.trigger(fleet)
+        callers.faults(may_restart=True)
         counts = [
             engine.counts()
             for engine in fleet.of_service(MODEL)
             if engine.return_code is None
         ]
-    streams = crowd.streams
+    streams = callers.streams
     return Result(
         case.name,
-        whole=sum(not stream.faults() for stream in streams),
-        lost=sum(stream.restarted for stream in streams),
+        complete=sum(not stream.faults() for stream in streams),
+        restarted=sum(stream.restarted for stream in streams),
         resumed=sum(stream.resumed for stream in streams),
         generated=sum(each["generated_tokens"] for each in counts),
         recomputed=sum(each["recomputed_tokens"] for each in counts),
-        pauses=tuple(sorted(stream.longest_pause for stream in streams)),
+        max_gaps=tuple(sorted(stream.longest_pause for stream in streams)),
     )
 
 
@@ -81,43 +84,43 @@
     fleet.reclaim(engine.name, NOTICE_SECONDS)
 
 
-def _two_zones(fleet: Fleet) -> None:
+def _reclaim_two_zones(fleet: Fleet) -> None:
     fleet.reclaim_zone("zone-a", NOTICE_SECONDS)
-    time.sleep(HALF_WAY_SECONDS)
+    time.sleep(DURING_NOTICE_SECONDS)
     fleet.reclaim_zone("zone-b", NOTICE_SECONDS)
 
 
-def _silence(fleet: Fleet) -> None:
+def _silence_connections(fleet: Fleet) -> None:
     for engine in fleet.of_service(MODEL):
         engine.set_faults(silence_connections=True)
 
 
-def _kill_half_way(fleet: Fleet) -> None:
+def _kill_during_notice(fleet: Fleet) -> None:
     entry = fleet.entries[0]
     fleet.platform.give_notice(entry.name, NOTICE_SECONDS)
-    time.sleep(HALF_WAY_SECONDS)
+    time.sleep(DURING_NOTICE_SECONDS)
     entry.kill()
 
 
-def _one(fleet: Fleet) -> None:
+def _reclaim_engine(fleet: Fleet) -> None:
     fleet.reclaim(busiest(fleet).name, NOTICE_SECONDS)
 
 
 CASES = (
     Case("no reclaim", lambda fleet: None),
-    Case("engine, 5 s, streams fit", _one, tokens=50),
-    Case("engine, 5 s, streams don't fit", _one),
+    Case("engine, 5 s, streams fit", _reclaim_engine, tokens=50),
+    Case("engine, 5 s, streams don't fit", _reclaim_engine),
     Case("engine, 5 s, export refused", _refuse_export),
     Case("engine, killed", lambda fleet: fleet.take(busiest(fleet).name)),
     Case("zone, 5 s", lambda fleet: fleet.reclaim_zone("zone-a", NOTICE_SECONDS)),
-    Case("two zones, 2 s apart, 5 s each", _two_zones),
+    Case("two zones, 2 s apart, 5 s each", _reclaim_two_zones),
     Case(
         "entry, 5 s",
         lambda fleet: fleet.reclaim(fleet.entries[0].name, NOTICE_SECONDS),
     ),
-    Case("entry, killed 2 s into its notice", _kill_half_way),
+    Case("entry, killed 2 s into its notice", _kill_during_notice),
     Case("entry, killed", lambda fleet: fleet.entries[0].kill()),
-    Case("connections to engines silent", _silence),
+    Case("connections to engines silent", _silence_connections),
 )
 
 
