--- a/bench/claim_fleet.py
+++ b/bench/claim_fleet.py
@@ -4,8 +4,8 @@
 
     python -m bench.claim_fleet --processes 9 --rate 50 --seconds 6
 
-Each process claims at its own rate, as an entry would; the stand-in store takes
-300 writes a second of all together.
+Each process claims at its own rate, as an entry would; the stand-in store accepts
+300 writes per second in total.
 """
 
 import argparse
@@ -22,26 +22,26 @@
 from standins.processes import PlatformProcess
 
 
-def entry(arguments: argparse.Namespace) -> None:
-    """Claim as one entry and print what came of it as JSON."""
+def run_entry(arguments: argparse.Namespace) -> None:
+    """Claim as one entry and print the results as JSON."""
     store = EtcdStore(Address.parse(arguments.store), SystemClock())
-    form = GatheringStore(store) if arguments.form == "gathered" else store
-    claims = Claims(form, SystemClock())
+    store_form = GatheringStore(store) if arguments.form == "gathered" else store
+    claims = Claims(store_form, SystemClock())
     one_request(claims, Result())
     result = run(NoCounts(), claims, arguments.rate, arguments.seconds)
     print(json.dumps([result.waits_ms, result.refused, result.settled]))
 
 
 class NoCounts:
-    """Stands for the platform in a child process: the parent counts for all."""
+    """Replaces the platform in a child process, as the parent counts all writes."""
 
     def counts(self) -> dict[str, dict[str, int]]:
         """Return no counts."""
         return {"store": {}}
 
 
-def fleet(arguments: argparse.Namespace, form: str) -> str:
-    """Run all processes with ``form`` and return a row of the table."""
+def run_fleet(arguments: argparse.Namespace, form: str) -> str:
+    """Run all processes with ``form`` of the store and return a row of the table."""
     with PlatformProcess() as platform:
         command = [sys.executable, "-m", "bench.claim_fleet", "--store", platform.store]
         command += ["--form", form, "--rate", str(arguments.rate)]
@@ -72,10 +72,10 @@
     parser.add_argument("--form", default="gathered")
     arguments = parser.parse_args()
     if arguments.store:
-        entry(arguments)
+        run_entry(arguments)
         return
     for form in ("plain", "gathered"):
-        print(fleet(arguments, form), flush=True)
+        print(run_fleet(arguments, form), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/claim_outages.py
+++ b/bench/claim_outages.py
@@ -4,8 +4,8 @@
 
     python -m bench.claim_outages --seconds 6
 
-Two entries, one service. Requests with new keys come at an even rate through one
-entry while the store is out; then it comes back.
+Two entries, one service. Requests with new keys arrive at an even rate at one entry
+during an outage of the store; then the store recovers.
 """
 
 import argparse
@@ -20,14 +20,14 @@
 OUTAGES = ("refuse", "close", "silent")
 RATE = 20
 DEADLINE = timedelta(seconds=10)
-POLL = timedelta(milliseconds=20)
+POLL_INTERVAL = timedelta(milliseconds=20)
 
 
 def timed_issue(system: Deployment) -> tuple[Told, float]:
-    """Ask for a certificate; return what was told and after how many ms."""
+    """Ask for a certificate; return the reported outcome and the time in ms."""
     began = time.monotonic()
-    told = system.issue(system.entries[0], uuid4().hex, DEADLINE)
-    return told, (time.monotonic() - began) * 1000
+    reply = system.issue(system.entries[0], uuid4().hex, DEADLINE)
+    return reply, (time.monotonic() - began) * 1000
 
 
 def measure(system: Deployment, outage: str, seconds: float) -> str:
@@ -39,16 +39,16 @@
         time.sleep(1 / RATE)
     results = [call.result() for call in calls]
     system.platform.set_faults(store={"outage": None})
-    back = time.monotonic()
+    recovered_from = time.monotonic()
     while timed_issue(system)[0].outcome != "answered":
-        time.sleep(POLL.total_seconds())
-    recovery = time.monotonic() - back
-    outcomes = Counter(told.outcome for told, _wait in results)
-    cuts = quantiles([wait for _told, wait in results], n=100)
-    longest = max(wait for _told, wait in results)
+        time.sleep(POLL_INTERVAL.total_seconds())
+    recovery = time.monotonic() - recovered_from
+    outcomes = Counter(reply.outcome for reply, _wait in results)
+    percentiles = quantiles([wait for _reply, wait in results], n=100)
+    max_wait = max(wait for _reply, wait in results)
     return (
-        f"| {outage} | {dict(outcomes)} | {cuts[49]:.0f} | {cuts[94]:.0f} "
-        f"| {longest:.0f} | {recovery:.2f} |"
+        f"| {outage} | {dict(outcomes)} | {percentiles[49]:.0f} "
+        f"| {percentiles[94]:.0f} | {max_wait:.0f} | {recovery:.2f} |"
     )
 
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -4,8 +4,8 @@
 
     python -m bench.claims --seconds 4
 
-It starts the stand-in platform with its limit of 300 writes a second. Requests
-come at an even rate; each claims, and then keeps an answer of 200 bytes.
+It starts the stand-in platform with its limit of 300 writes per second. Requests
+arrive at an even rate; each claims, and then stores a response of 200 bytes.
 """
 
 import argparse
@@ -28,20 +28,20 @@
 from standins.processes import PlatformProcess
 
 RATES = (1, 10, 100, 500)
-ANSWER = StoredAnswer(201, (("Content-Type", "application/json"),), b"x" * 200)
-SETTLE = timedelta(seconds=2)
+RESPONSE = StoredAnswer(201, (("Content-Type", "application/json"),), b"x" * 200)
+SETTLE_TIME = timedelta(seconds=2)
 
 
-class Counts(Protocol):
-    """What a run needs of the platform."""
+class CallCounter(Protocol):
+    """The part of the platform's interface that a run uses."""
 
     def counts(self) -> dict[str, dict[str, int]]:
-        """Return the calls of the store by kind."""
+        """Return the store's calls by kind."""
 
 
 @dataclass
 class Result:
-    """What one run measured."""
+    """The measurements of one run."""
 
     waits_ms: list[float] = field(default_factory=list)
     refused: int = 0
@@ -50,34 +50,37 @@
 
     def row(self, form: str, rate: int, sent: int) -> str:
         """Return the run as a row of a table."""
-        cuts = quantiles(self.waits_ms, n=100) if len(self.waits_ms) > 1 else [0] * 99
+        percentiles = (
+            quantiles(self.waits_ms, n=100) if len(self.waits_ms) > 1 else [0] * 99
+        )
         granted = len(self.waits_ms)
-        each = self.writes / granted if granted else 0
+        writes_per_claim = self.writes / granted if granted else 0
         return (
             f"| {form} | {rate} | {sent} | {granted} | {self.refused} "
-            f"| {self.settled} | {each:.2f} | {cuts[49]:.1f} | {cuts[94]:.1f} |"
+            f"| {self.settled} | {writes_per_claim:.2f} "
+            f"| {percentiles[49]:.1f} | {percentiles[94]:.1f} |"
         )
 
 
-def run(platform: Counts, claims: Claims, rate: int, seconds: float) -> Result:
-    """Send claims at an even rate and return what came of them."""
+def run(platform: CallCounter, claims: Claims, rate: int, seconds: float) -> Result:
+    """Send claims at an even rate and return the results."""
     result = Result()
     before = platform.counts()["store"].get("writes", 0)
     began = time.monotonic()
     tasks = []
     for number in range(int(rate * seconds)):
-        due = began + number / rate
-        sleep(timedelta(seconds=max(0.0, due - time.monotonic())))
+        send_at = began + number / rate
+        sleep(timedelta(seconds=max(0.0, send_at - time.monotonic())))
         tasks.append(spawn(one_request, claims, result))
     for task in tasks:
         task.wait()
-    sleep(SETTLE)
+    sleep(SETTLE_TIME)
     result.writes = platform.counts()["store"].get("writes", 0) - before
     return result
 
 
 def one_request(claims: Claims, result: Result) -> None:
-    """Claim a new key and keep its answer."""
+    """Claim a new key and store its response."""
     began = time.monotonic()
     key = ClaimKey("bench", "bench", uuid4().hex)
     try:
@@ -86,8 +89,8 @@
         result.refused += 1
         return
     result.waits_ms.append((time.monotonic() - began) * 1000)
-    # Other tasks count while this one waits, so the sum is read after it.
-    settled = claims.settle(granted.claim, ANSWER)
+    # Other tasks change the sum while this one waits, so it is read only afterwards.
+    settled = claims.settle(granted.claim, RESPONSE)
     result.settled += settled
 
 
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -5,8 +5,8 @@
     python -m bench.demo
 
 For each deployment the platform, engines, services and three entries start as
-processes; lookups, a non-idempotent call with a retry through another entry, a
-whole and a streamed answer are asked for. The exit code is 0 if all went well.
+processes. It sends a lookup, a non-idempotent call with a retry through another entry,
+and asks for a complete and a streamed response. The exit code is 0 if all succeed.
 """
 
 import json
@@ -26,22 +26,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What to ask of one deployment.
+    """The requests to one deployment.
 
-    :param name: name of the example text.
-    :param customer: who calls.
+    :param name: name of the example configuration.
+    :param customer: the customer that calls.
     :param plain: name of the plain service.
     :param lookup: path of a lookup there.
-    :param effect: path of a non-idempotent call there.
+    :param call: path of a non-idempotent call there.
     :param model: name of the model service.
-    :param question: what the model is asked.
+    :param question: prompt for the model.
     """
 
     name: str
     customer: str
     plain: str
     lookup: str
-    effect: str
+    call: str
     model: str
     question: str
 
@@ -69,13 +69,13 @@
 
 
 class CheckError(Exception):
-    """An answer was not what it should be."""
+    """A response is not as expected."""
 
 
 def serve(deployment: Deployment) -> list[str]:
-    """Ask for everything once; return the lines of the summary.
+    """Send each request once; return the lines of the summary.
 
-    :raises CheckError: an answer is wrong.
+    :raises CheckError: if a response is not as expected.
     """
     text = (EXAMPLES / f"{deployment.name}.yaml").read_text(encoding="utf-8")
     with Fleet(text, entries=3) as fleet:
@@ -83,57 +83,59 @@
         lines = [
             f"{deployment.name}: {len(fleet.endpoints)} endpoints, 3 entries",
             _lookup(first, deployment),
-            _effect(first, second, deployment),
-            _whole(second, deployment),
+            _call(first, second, deployment),
+            _complete(second, deployment),
             _streamed(third, deployment),
         ]
         executions = fleet.executions(deployment.plain)
-        runs = sum(item["path"] == deployment.effect for item in executions)
-        _check(runs == 1, f"{deployment.effect} ran {runs} times")
-        return [*lines, f"  {deployment.effect} ran {runs} time"]
+        runs = sum(item["path"] == deployment.call for item in executions)
+        _check(runs == 1, f"{deployment.call} ran {runs} times")
+        return [*lines, f"  {deployment.call} ran {runs} time"]
 
 
 def _lookup(entry: EntryProcess, deployment: Deployment) -> str:
     path = f"/v1/services/{deployment.plain}{deployment.lookup}"
-    answer = entry.client.call("GET", path, headers=_headers(deployment))
-    _check(answer.status == 200, f"lookup: {answer.status} {answer.data!r}")
-    return f"  lookup through {entry.name}: {answer.status}"
+    response = entry.client.call("GET", path, headers=_headers(deployment))
+    _check(response.status == 200, f"lookup: {response.status} {response.data!r}")
+    return f"  lookup through {entry.name}: {response.status}"
 
 
-def _effect(one: EntryProcess, other: EntryProcess, deployment: Deployment) -> str:
-    path = f"/v1/services/{deployment.plain}{deployment.effect}"
+def _call(one: EntryProcess, other: EntryProcess, deployment: Deployment) -> str:
+    path = f"/v1/services/{deployment.plain}{deployment.call}"
     headers = {**_headers(deployment), "Idempotency-Key": "demo-1"}
-    answers = [
+    responses = [
         entry.client.call("POST", path, {"for": "demo"}, headers)
         for entry in (one, other)
     ]
-    _check(answers[0].status == 201, f"call: {answers[0].status} {answers[0].data!r}")
-    _check(answers[0].data == answers[1].data, "the retry got another answer")
-    return f"  {deployment.effect} through {one.name}, retried through {other.name}"
+    _check(
+        responses[0].status == 201, f"call: {responses[0].status} {responses[0].data!r}"
+    )
+    _check(responses[0].data == responses[1].data, "the retry got a different response")
+    return f"  {deployment.call} through {one.name}, retried through {other.name}"
 
 
-def _whole(entry: EntryProcess, deployment: Deployment) -> str:
-    answer = entry.client.call(
+def _complete(entry: EntryProcess, deployment: Deployment) -> str:
+    response = entry.client.call(
         "POST", "/v1/chat/completions", _chat(deployment), _headers(deployment)
     )
-    _check(answer.status == 200, f"whole: {answer.status} {answer.data!r}")
-    content = answer.json()["choices"][0]["message"]["content"]
+    _check(response.status == 200, f"whole: {response.status} {response.data!r}")
+    content = response.json()["choices"][0]["message"]["content"]
     _check(content == _expected(deployment), "the whole answer is not the engine's")
     return f"  whole answer through {entry.name}: {len(content.split())} tokens"
 
 
 def _streamed(entry: EntryProcess, deployment: Deployment) -> str:
     body = {**_chat(deployment), "stream": True}
-    answer = entry.client.call(
+    response = entry.client.call(
         "POST", "/v1/chat/completions", body, _headers(deployment)
     )
-    _check(answer.status == 200, f"stream: {answer.status} {answer.data!r}")
+    _check(response.status == 200, f"stream: {response.status} {response.data!r}")
     data = [
         line.removeprefix(b"data: ")
-        for line in answer.data.split(b"\n")
+        for line in response.data.split(b"\n")
         if line.startswith(b"data: ")
     ]
-    _check(data[-1] == b"[DONE]", "the stream did not come to its end")
+    _check(data[-1] == b"[DONE]", "the stream is incomplete")
     tokens = [
         json.loads(event)["choices"][0]["delta"].get("content", "")
         for event in data[:-1]
@@ -167,7 +169,7 @@
 def run_demo(
     serve: Callable[[Any], list[str]], deployments: Iterable[Any], summary: str
 ) -> int:
-    """Serve each deployment, print what was asked, and return the exit code."""
+    """Serve each deployment, print its summary, and return the exit code."""
     try:
         for deployment in deployments:
             print("\n".join(serve(deployment)), flush=True)
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,11 +1,11 @@
-"""Write changed copies of a deployment's site file, to play days on other shapes.
+"""Write changed copies of a deployment's site file, to run days on other deployments.
 
 Usage::
 
     python -m bench.deployments SITE DIRECTORY
 
-Each copy differs from SITE in one way that the program must not depend on: numbers
-of zones and instances, cores, memory, links, bounds, customers, load.
+Each copy changes one property of SITE that the program must not depend on: number of
+zones or instances, cores, memory, links, bounds, customers, load.
 """
 
 import sys
@@ -21,9 +21,9 @@
 
 
 def two_zones(site: Site) -> None:
-    """Leave the last availability zone out."""
-    gone = site["zones"].pop()["name"]
-    _drop_zone(site, gone)
+    """Remove the last availability zone."""
+    removed = site["zones"].pop()["name"]
+    _remove_zone(site, removed)
 
 
 def one_instance_a_zone(site: Site) -> None:
@@ -51,7 +51,7 @@
 
 
 def slow_links(site: Site) -> None:
-    """Make links narrow and zones far apart."""
+    """Reduce the links' bandwidth and increase the delays."""
     for machine in site["machines"]:
         machine["link_mbps"] = 100.0
     site["net"]["in_zone_ms"] = 1.0
@@ -59,7 +59,7 @@
 
 
 def short_bounds(site: Site) -> None:
-    """Allow less time and slack than usual."""
+    """Reduce the allowed times and slack."""
     site["bounds"]["drain_ms"] = 1200
     site["bounds"]["grace_s"] = 6.0
     site["bounds"]["budget_slack"] = 30.0
@@ -67,18 +67,18 @@
 
 
 def many_customers(site: Site) -> None:
-    """Divide the load among many customers that are close to their limits."""
+    """Divide the load among many customers, each close to its limit."""
     site["tenants"]["count"] = 14
     site["tenants"]["quota_x"] = 1.3
 
 
 def heavy_load(site: Site) -> None:
-    """Send twice as much."""
+    """Double the load."""
     _scale_traffic(site, 2.0)
 
 
 def light_load(site: Site) -> None:
-    """Send a third."""
+    """Reduce the load to a third."""
     _scale_traffic(site, 0.33)
 
 
@@ -96,15 +96,15 @@
 )
 
 
-def _drop_zone(part: Any, zone: str) -> None:
-    """Drop all entries of lists, however deep, that are in the zone."""
-    if isinstance(part, dict):
-        for value in part.values():
-            _drop_zone(value, zone)
-    elif isinstance(part, list):
-        part[:] = [item for item in part if not _is_in(item, zone)]
-        for item in part:
-            _drop_zone(item, zone)
+def _remove_zone(node: Any, zone: str) -> None:
+    """Remove all list items that are in the zone, at any depth."""
+    if isinstance(node, dict):
+        for value in node.values():
+            _remove_zone(value, zone)
+    elif isinstance(node, list):
+        node[:] = [item for item in node if not _is_in(item, zone)]
+        for item in node:
+            _remove_zone(item, zone)
 
 
 def _is_in(item: Any, zone: str) -> bool:
@@ -112,8 +112,8 @@
 
 
 def _scale_traffic(site: Site, factor: float) -> None:
-    for part in (site, *site["day"]):
-        for source in part.get("traffic", ()):
+    for node in (site, *site["day"]):
+        for source in node.get("traffic", ()):
             source["per_s"] = round(source["per_s"] * factor, 2)
 
 
--- a/bench/gateway_demo.py
+++ b/bench/gateway_demo.py
@@ -5,7 +5,7 @@
     python -m bench.gateway_demo
 
 For each deployment two gateways start as processes, with a store, duty calls,
-engines and a plain service; each kind of request is asked for through each gateway.
+engines and a plain service; each kind of request is sent through each gateway.
 """
 
 import sys
@@ -24,11 +24,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What one of the users serves.
+    """The request paths of one user.
 
-    :param streams: paths that an engine answers with a stream.
-    :param calls: paths of calls that may run once only.
-    :param lookups: paths of calls that may be repeated.
+    :param streams: paths that an engine serves with a stream.
+    :param calls: paths of non-idempotent calls.
+    :param lookups: paths of idempotent calls.
     """
 
     name: str
@@ -54,9 +54,9 @@
 
 
 def serve(deployment: Deployment) -> list[str]:
-    """Ask for each kind through each gateway; return the lines of the summary.
+    """Send each kind of request through each gateway; return the summary's lines.
 
-    :raises CheckError: an answer is wrong.
+    :raises CheckError: if a response is not as expected.
     """
     fleet = GatewayFleet(SETTINGS, configuration(deployment))
     try:
@@ -68,7 +68,7 @@
             gateway.wait_until_ready()
         lines = [f"{deployment.name}: 4 endpoints, {len(fleet.gateways)} gateways"]
         for gateway in fleet.gateways:
-            lines += _ask_all(gateway, deployment)
+            lines += _send_all(gateway, deployment)
         return lines
     finally:
         fleet.close()
@@ -109,21 +109,21 @@
     }
 
 
-def _ask_all(gateway: GatewayProcess, deployment: Deployment) -> list[str]:
+def _send_all(gateway: GatewayProcess, deployment: Deployment) -> list[str]:
     lines = []
     paths = (*deployment.streams, *deployment.calls, *deployment.lookups)
     for number, path in enumerate(paths):
         method = "GET" if path in deployment.lookups else "POST"
-        answer = ask(gateway.address, _request(deployment, method, path, number))
-        if not answer.startswith(b"HTTP/1.1 200"):
-            raise CheckError(f"{path}: {answer[:100]!r}")
-        events = answer.count(b"data: ")
+        response = ask(gateway.address, _request(deployment, method, path, number))
+        if not response.startswith(b"HTTP/1.1 200"):
+            raise CheckError(f"{path}: {response[:100]!r}")
+        events = response.count(b"data: ")
         if path in deployment.streams and not (
-            events and answer.endswith(b"0\r\n\r\n")
+            events and response.endswith(b"0\r\n\r\n")
         ):
-            raise CheckError(f"{path}: the stream did not come to its end")
-        told = f"{events} events" if events else "whole"
-        lines.append(f"  {method} {path} through {gateway.name}: 200, {told}")
+            raise CheckError(f"{path}: the stream is incomplete")
+        summary = f"{events} events" if events else "whole"
+        lines.append(f"  {method} {path} through {gateway.name}: 200, {summary}")
     return lines
 
 
--- a/bench/texts.py
+++ b/bench/texts.py
@@ -1,4 +1,4 @@
-"""Measure how long the operators' text takes to read and check, by its size.
+"""Measure the time to read and check the operators' configuration, by its size.
 
 Usage::
 
@@ -19,7 +19,7 @@
 
 
 def make_text(services: int, customers: int) -> str:
-    """Return a text with 16 zones, four pools a service and every field written."""
+    """Return a configuration with 16 zones, four pools a service and all fields set."""
     lines = ["deployment: measured", "instance_classes: [gpu-large]"]
     lines.append("availability_zones:")
     for zone in ZONES:
@@ -60,26 +60,27 @@
     return lines
 
 
-def _best(work) -> float:
+def _min_ms(function) -> float:
     times = []
     for _ in range(ROUNDS):
-        begun = time.process_time()
-        work()
-        times.append(time.process_time() - begun)
+        start = time.process_time()
+        function()
+        times.append(time.process_time() - start)
     return min(times) * 1000
 
 
 def main() -> None:
-    """Print processor milliseconds, the best of five rounds."""
-    kind = "C" if "clib" in YAML(typ="safe").Parser.__module__ else "Python"
-    print(f"scanner in {kind}")
+    """Print processor milliseconds, the minimum of five rounds."""
+    language = "C" if "clib" in YAML(typ="safe").Parser.__module__ else "Python"
+    print(f"scanner in {language}")
     print("services  customers   bytes  read ms  read and check ms")
     for services, customers in SIZES:
         source = make_text(services, customers)
-        read = _best(lambda source=source: read_document(source))
-        whole = _best(lambda source=source: parse_text.__wrapped__(source))
+        read = _min_ms(lambda source=source: read_document(source))
+        checked = _min_ms(lambda source=source: parse_text.__wrapped__(source))
         print(
-            f"{services:8}  {customers:9}  {len(source):6}  {read:7.1f}  {whole:17.1f}"
+            f"{services:8}  {customers:9}  {len(source):6}  {read:7.1f}  "
+            f"{checked:17.1f}"
         )
 
 
--- a/tests/bench/test_replay.py
+++ b/tests/bench/test_replay.py
@@ -1,4 +1,4 @@
-"""The routing decisions against the stated outcomes of the recorded traces."""
+"""The routing decisions on the recorded traces, against the expected outcomes."""
 
 import json
 
@@ -15,14 +15,14 @@
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda scenario: scenario.name)
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
 def test_meets_the_stated_outcome(user, scenario):
-    stated = OUTCOMES[user.name][scenario.name]
+    expected = OUTCOMES[user.name][scenario.name]
     found = measure(Case(user, scenario, OURS))
     assert found.unfinished == 0
-    assert found.recomputed_tokens <= 1000 * stated["recomputed_k"]
-    assert found.first_token_95 <= stated["first_token_95"]
-    assert found.lookup_99 <= stated["lookup_99"]
-    assert found.share_in_time >= stated["in_time"]
-    assert min(found.by_customer.values()) >= stated["worst_customer"]
+    assert found.recomputed_tokens <= 1000 * expected["recomputed_k"]
+    assert found.first_token_95 <= expected["first_token_95"]
+    assert found.lookup_99 <= expected["lookup_99"]
+    assert found.share_in_time >= expected["in_time"]
+    assert min(found.by_customer.values()) >= expected["worst_customer"]
 
 
 def test_the_same_replay_gives_the_same_figures():
@@ -31,10 +31,10 @@
 
 
 def test_a_slow_replica_does_not_hold_the_authority_up():
-    """One pour in ten waits half a minute for its report; the others wait for none.
+    """Guards against long waits for one request in ten.
 
-    One replica runs at a quarter of its speed. Taken in turn, or by a hash, it
-    keeps its part of the load and its queue grows.
+    One replica runs at a quarter of its speed. With round robin, or by a hash, it
+    keeps its share of the load and its queue grows.
     """
     slow = SCENARIOS[2]
     assert measure(Case(AUTHORITY, slow, ROUND_ROBIN)).first_token_95 > 10
--- a/tests/bench/test_replay_capacity.py
+++ b/tests/bench/test_replay_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity plan against its stated outcome on the launch day."""
+"""The capacity plan on the launch day, against the expected outcome."""
 
 from bench.replay.capacity import fixed, ours, replay, spread
 from sassafrasdale.decisions.structures import CapacityPolicy
@@ -7,8 +7,8 @@
 def test_carries_the_whole_launch_day_for_half_the_price_of_a_fixed_fleet():
     """A zone is reclaimed as the launch peaks, and another refuses all starts.
 
-    A planner that follows the load with no room for a loss leaves callers
-    without an answer for minutes; a fleet that lasts costs twice as much.
+    A planner that follows the load without spare capacity leaves callers without a
+    response for minutes; a fleet of on-demand instances costs twice as much.
     """
     planned = replay(ours(CapacityPolicy()))
     assert planned.served > 0.9999
