--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak of gateways: random disruptions, while what callers see is checked."""
+"""A soak test of gateways: random disruptions while responses are checked."""
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,8 +1,8 @@
 """Soaks a fleet of gateways: ``python -m bench.soak --first 1 --count 50``.
 
-Each seed draws a plan of disruptions, which is printed before it is played. What
-callers may count on is checked on what callers and endpoints have seen; a broken
-promise ends the command with 1, and its seed plays the same plan again.
+Each seed draws a plan of disruptions, which is printed before it is played. The
+guarantees to callers are checked on what callers and endpoints have recorded; if one is
+broken, the exit code is 1. The same seed always plays the same plan.
 """
 
 import signal
@@ -40,7 +40,7 @@
     :param endpoints: stand-ins of endpoints.
     :param logs: folder that gets the gateways' logs of seeds with a broken promise.
     """
-    # So that the processes that were started are ended, too.
+    # So that SIGTERM also ends the processes that were started.
     main = current_task()
     signal.signal(signal.SIGTERM, lambda *_: interrupt(main, SystemExit(1)))
     broken = 0
@@ -52,7 +52,7 @@
         verdict = Soak(plan, logs=logs).play()
         print("\n".join(verdict.lines()), flush=True)
         broken += bool(verdict.violations)
-    print(f"{count} seeds played, {broken} with a promise broken")
+    print(f"{count} seeds played, {broken} with a broken guarantee")
     return 1 if broken else 0
 
 
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -1,4 +1,4 @@
-"""What callers may count on, checked on what callers and endpoints have seen."""
+"""Checks the guarantees to callers on the records of callers and endpoints."""
 
 import json
 from collections import Counter, defaultdict
@@ -6,45 +6,47 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from bench.soak.callers import Attempt
+from bench.soak.callers import SentRequest
 from bench.soak.deployment import (
     APPLY_TIME,
     BUSY,
-    CONTACT,
     CRASHING,
     DRAIN_TIME,
     KINDS,
     QUOTA_SLACK,
     QUOTA_WINDOW,
+    RESYNC_TIME,
     STREAM_EVENTS,
 )
 from bench.soak.records import ENDPOINT_SPANS, STORE_SPANS, Record
 from standins.gateway_endpoints import CRASH_TIME
 
-# Statuses that promise: not run, and never will be.
+# Statuses that guarantee that the request has not run and never will.
 NOT_RUN = frozenset({408, 421, 429, 503})
 DENIED = frozenset({401, 403, 404})
-# Time after a route's limit within which a final answer is owed.
+# Time after a route's timeout within which the response must be complete.
 ANSWER_SLACK = timedelta(milliseconds=500)
-# Answers later than that, for want of anything else that explains them, in one soak.
-MOST_LATE = 3
-# A gateway that has shown a version shows no older one so long afterwards; longer for
-# one that stood still.
+# Responses of one soak that may be later than that without a disruption as cause.
+MAX_LATE = 3
+# A gateway that has applied a version must not apply an older one later than this after
+# it; a disturbed gateway, such as one that was paused, gets DISTURBED_FACTOR times as
+# long.
 DOWNGRADE_SLACK = timedelta(milliseconds=250)
-SLOWED = 8
-# Endpoints that may end under a request, and sends by gateways that must know then.
-MOST_ENDS = 3
-MOST_SENT_ON = 3
-# Part by which a limit may be overrun, besides its slack.
-QUOTA_OVER = 0.1
+DISTURBED_FACTOR = 8
+# Endpoints that one request may crash, and attempts tolerated after that by gateways
+# that must know it by then.
+MAX_CRASHES = 3
+MAX_LATE_ATTEMPTS = 3
+# Fraction by which a limit may be exceeded, besides its slack.
+QUOTA_OVERRUN = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was broken.
+    """A guarantee that was broken.
 
-    :param promise: in a word.
-    :param seen: what was seen, with the request's id where there is one.
+    :param promise: short name of the guarantee.
+    :param seen: what was observed, with the request's id where there is one.
     """
 
     promise: str
@@ -52,29 +54,31 @@
 
 
 def violations(record: Record) -> list[Violation]:
-    """Return all promises that were broken."""
+    """Return all guarantees that were broken."""
     checks = (
-        _run_twice,
-        _refused_and_run,
-        _mixed,
-        _unasked,
-        _lost,
-        _late,
-        _denied,
-        _gone_back,
-        _revoked_key_used,
-        _sent_to_leaving,
+        _repeated_runs,
+        _refused_but_run,
+        _wrong_responses,
+        _unrequested_runs,
+        _lost_responses,
+        _late_responses,
+        _denied_requests,
+        _configuration_rollbacks,
+        _revoked_key_runs,
+        _runs_on_draining,
         _refused_within_limit,
         _limit_overrun,
-        _crashing_sent_on,
-        _usage_contradicted,
+        _crashing_requests_retried,
+        _conflicting_usage_reports,
     )
     return [found for check in checks for found in check(record)]
 
 
-def unserved(attempts: Iterable[Attempt], gateways: int) -> list[Violation]:
-    """Return what is not served once everything is mended."""
-    served = {(each.door.gateway, each.wish.kind) for each in attempts if each.served}
+def unserved(requests: Iterable[SentRequest], gateways: int) -> list[Violation]:
+    """Return the kinds that a gateway does not serve after all disruptions ended."""
+    served = {
+        (each.listener.gateway, each.spec.kind) for each in requests if each.served
+    }
     return [
         Violation("recovery", f"front-{number} serves no {kind.name}")
         for number in range(gateways)
@@ -83,148 +87,157 @@
     ]
 
 
-def _run_twice(record: Record) -> Iterator[Violation]:
-    once = {each.request_id for each in record.attempts if each.wish.kind.once}
+def _repeated_runs(record: Record) -> Iterator[Violation]:
+    at_most_once = {
+        each.request_id for each in record.requests if each.spec.kind.at_most_once
+    }
     runs = Counter(arrival.run.request_id for arrival in record.arrivals)
-    for request_id in sorted(once):
+    for request_id in sorted(at_most_once):
         if runs[request_id] > 1:
             yield Violation(
                 "at most once", f"{request_id} ran {runs[request_id]} times"
             )
 
 
-def _refused_and_run(record: Record) -> Iterator[Violation]:
-    for each in record.attempts:
-        said = each.wish.kind.once and each.status in NOT_RUN
-        if said and each.request_id in record.ran:
+def _refused_but_run(record: Record) -> Iterator[Violation]:
+    for each in record.requests:
+        refused = each.spec.kind.at_most_once and each.status in NOT_RUN
+        if refused and each.request_id in record.ran:
             yield Violation("not run is true", f"{each.request_id}: {each.status}")
 
 
-def _mixed(record: Record) -> Iterator[Violation]:
-    for each in record.attempts:
-        if each.served and not _is_own(each):
+def _wrong_responses(record: Record) -> Iterator[Violation]:
+    for each in record.requests:
+        if each.served and not _is_correct_response(each):
             yield Violation("own answer, whole", f"{each.request_id}: {each.body!r}")
 
 
-def _is_own(attempt: Attempt) -> bool:
-    if "replica-stamp" not in attempt.headers:
+def _is_correct_response(request: SentRequest) -> bool:
+    if "replica-stamp" not in request.headers:
         return False
-    if attempt.wish.kind.stream:
-        return attempt.body == _stream_of(attempt.target)
+    if request.spec.kind.stream:
+        return request.body == _expected_stream(request.target)
     try:
-        return json.loads(attempt.body)["target"] == attempt.target
+        return json.loads(request.body)["target"] == request.target
     except (ValueError, KeyError):
         return False
 
 
-def _stream_of(target: str) -> bytes:
+def _expected_stream(target: str) -> bytes:
     return b"".join(
         f"id: {number}\ndata: token {number} of {target}\n\n".encode()
         for number in range(1, STREAM_EVENTS + 1)
     )
 
 
-def _unasked(record: Record) -> Iterator[Violation]:
+def _unrequested_runs(record: Record) -> Iterator[Violation]:
     for arrival in record.arrivals:
         run = arrival.run
-        attempt = record.by_id.get(run.request_id)
-        if attempt is None or attempt.target != run.target:
+        request = record.by_id.get(run.request_id)
+        if request is None or request.target != run.target:
             yield Violation("nothing unasked", f"{run.request_id}: {run.target}")
-        elif run.shows_key or run.customer != attempt.wish.customer.name:
+        elif run.shows_key or run.customer != request.spec.customer.name:
             yield Violation("own customer", f"{run.request_id}: {run.customer}")
 
 
-def _lost(record: Record) -> Iterator[Violation]:
-    for each in record.attempts:
-        ended_early = each.ended_at - each.sent_at < each.wish.kind.timeout
-        if each.whole or not ended_early:
+def _lost_responses(record: Record) -> Iterator[Violation]:
+    for each in record.requests:
+        ended_early = each.ended_at - each.sent_at < each.spec.kind.timeout
+        if each.complete or not ended_early:
             continue
-        if record.in_touch(
-            each.door.gateway, each.sent_at, each.ended_at, but_for=STORE_SPANS
+        if record.undisturbed(
+            each.listener.gateway, each.sent_at, each.ended_at, ignoring=STORE_SPANS
         ):
-            yield Violation("none lost", _told(each))
+            yield Violation("none lost", _describe(each))
 
 
-def _late(record: Record) -> Iterator[Violation]:
+def _late_responses(record: Record) -> Iterator[Violation]:
     late = [
         each
-        for each in record.attempts
-        if each.ended_at - each.sent_at > each.wish.kind.timeout + ANSWER_SLACK
-        and record.in_touch(
-            each.door.gateway, each.sent_at, each.ended_at, but_for=STORE_SPANS
+        for each in record.requests
+        if each.ended_at - each.sent_at > each.spec.kind.timeout + ANSWER_SLACK
+        and record.undisturbed(
+            each.listener.gateway, each.sent_at, each.ended_at, ignoring=STORE_SPANS
         )
     ]
-    if len(late) > MOST_LATE:
-        yield Violation("answered in time", ", ".join(_told(each) for each in late[:3]))
+    if len(late) > MAX_LATE:
+        yield Violation(
+            "answered in time", ", ".join(_describe(each) for each in late[:3])
+        )
 
 
-def _denied(record: Record) -> Iterator[Violation]:
-    added = {change.added: change.at for change in record.changes if change.added}
-    revoked = {change.revoked for change in record.changes if change.revoked}
-    for each in record.attempts:
-        if each.status not in DENIED or each.wish.key in revoked:
+def _denied_requests(record: Record) -> Iterator[Violation]:
+    added = {
+        change.added_route: change.at for change in record.changes if change.added_route
+    }
+    revoked = {change.revoked_key for change in record.changes if change.revoked_key}
+    for each in record.requests:
+        if each.status not in DENIED or each.spec.key in revoked:
             continue
-        since = added.get(each.wish.kind.added, timedelta())
+        since = added.get(each.spec.kind.added_route, timedelta())
         due = since + APPLY_TIME
-        if each.sent_at > due and record.in_touch(
-            each.door.gateway, min(each.sent_at, due), each.ended_at
+        if each.sent_at > due and record.undisturbed(
+            each.listener.gateway, min(each.sent_at, due), each.ended_at
         ):
-            yield Violation("in force in time", _told(each))
+            yield Violation("in force in time", _describe(each))
 
 
-def _gone_back(record: Record) -> Iterator[Violation]:
-    """Find a gateway that has shown a route and denies it later."""
-    shown: dict[tuple, timedelta] = {}
-    for each in sorted(record.attempts, key=lambda each: each.sent_at):
-        if not each.wish.kind.added:
+def _configuration_rollbacks(record: Record) -> Iterator[Violation]:
+    """Find gateways that served a route and later deny it."""
+    first_served: dict[tuple, timedelta] = {}
+    for each in sorted(record.requests, key=lambda each: each.sent_at):
+        if not each.spec.kind.added_route:
             continue
-        subject = (each.door.gateway, each.door.incarnation, each.wish.kind)
+        subject = (each.listener.gateway, each.listener.incarnation, each.spec.kind)
         if each.served:
-            shown.setdefault(subject, each.ended_at)
-        elif each.status in DENIED and subject in shown:
-            calm = record.in_touch(each.door.gateway, each.sent_at, each.ended_at)
-            slack = DOWNGRADE_SLACK * (1 if calm else SLOWED)
-            if each.sent_at > shown[subject] + slack:
-                yield Violation("never older", _told(each))
-
-
-def _revoked_key_used(record: Record) -> Iterator[Violation]:
-    revoked = {change.revoked: change.at for change in record.changes}
-    for each in record.attempts:
-        at = revoked.get(each.wish.key)
+            first_served.setdefault(subject, each.ended_at)
+        elif each.status in DENIED and subject in first_served:
+            undisturbed = record.undisturbed(
+                each.listener.gateway, each.sent_at, each.ended_at
+            )
+            slack = DOWNGRADE_SLACK * (1 if undisturbed else DISTURBED_FACTOR)
+            if each.sent_at > first_served[subject] + slack:
+                yield Violation("never older", _describe(each))
+
+
+def _revoked_key_runs(record: Record) -> Iterator[Violation]:
+    revoked = {change.revoked_key: change.at for change in record.changes}
+    for each in record.requests:
+        at = revoked.get(each.spec.key)
         if at is None or each.request_id not in record.ran:
             continue
-        if each.sent_at > at + APPLY_TIME and record.in_touch(
-            each.door.gateway, at, each.sent_at
+        if each.sent_at > at + APPLY_TIME and record.undisturbed(
+            each.listener.gateway, at, each.sent_at
         ):
-            yield Violation("revoked keys", _told(each))
+            yield Violation("revoked keys", _describe(each))
 
 
-def _sent_to_leaving(record: Record) -> Iterator[Violation]:
-    for leave in record.leaves:
-        due = leave.began + DRAIN_TIME
+def _runs_on_draining(record: Record) -> Iterator[Violation]:
+    for drain in record.drains:
+        due = drain.began + DRAIN_TIME
         for arrival in record.arrivals:
             run = arrival.run
-            attempt = record.by_id.get(run.request_id)
-            if attempt is None or arrival.endpoint != leave.endpoint:
+            request = record.by_id.get(run.request_id)
+            if request is None or arrival.endpoint != drain.endpoint:
                 continue
-            if not due < run.at <= leave.ended or attempt.sent_at < due:
+            if not due < run.at <= drain.ended or request.sent_at < due:
                 continue
-            if record.in_touch(attempt.door.gateway, leave.began, run.at):
-                yield Violation("leaving endpoints", f"{leave.endpoint}: {run}")
+            if record.undisturbed(request.listener.gateway, drain.began, run.at):
+                yield Violation("leaving endpoints", f"{drain.endpoint}: {run}")
 
 
 def _refused_within_limit(record: Record) -> Iterator[Violation]:
     """Find refusals of customers far within their limit.
 
-    A gateway that starts while the others are silent has no part of it yet: these may
-    be cut off, and spend what they said they had.
+    Gateways that are not in touch are left out: one that starts while the others are
+    unreachable has no share of the limit yet, as these may be partitioned and still
+    use the shares that they reported.
     """
-    for each in record.attempts:
-        if each.status != 429 or each.wish.customer is BUSY:
+    for each in record.requests:
+        if each.status != 429 or each.spec.customer is BUSY:
             continue
-        if record.in_touch(each.door.gateway, each.sent_at, each.ended_at):
-            yield Violation("within the limit", _told(each))
+        if record.undisturbed(each.listener.gateway, each.sent_at, each.ended_at):
+            yield Violation("within the limit", _describe(each))
 
 
 def _limit_overrun(record: Record) -> Iterator[Violation]:
@@ -234,7 +247,7 @@
         if arrival.run.customer == BUSY.name
     )
     seconds = QUOTA_WINDOW.total_seconds()
-    allowed = (BUSY.rate * seconds + BUSY.burst) * (1 + QUOTA_OVER) + QUOTA_SLACK
+    allowed = (BUSY.rate * seconds + BUSY.burst) * (1 + QUOTA_OVERRUN) + QUOTA_SLACK
     for index, began in enumerate(times):
         within = sum(at <= began + QUOTA_WINDOW for at in times[index:])
         if within * BUSY.plain_tokens > allowed:
@@ -243,36 +256,36 @@
             return
 
 
-def _crashing_sent_on(record: Record) -> Iterator[Violation]:
-    """Find requests sent on by gateways that must know that they crash endpoints."""
+def _crashing_requests_retried(record: Record) -> Iterator[Violation]:
+    """Find attempts by gateways that must know that the request crashes endpoints."""
     runs = defaultdict(list)
     for arrival in record.arrivals:
-        attempt = record.by_id.get(arrival.run.request_id)
-        if attempt is not None and attempt.wish.kind is CRASHING:
-            runs[attempt.target].append((arrival.run.at, attempt))
-    for target, met in runs.items():
-        met.sort(key=lambda run: run[0])
-        if len(met) < MOST_ENDS:
+        request = record.by_id.get(arrival.run.request_id)
+        if request is not None and request.spec.kind is CRASHING:
+            runs[request.target].append((arrival.run.at, request))
+    for target, attempts in runs.items():
+        attempts.sort(key=lambda run: run[0])
+        if len(attempts) < MAX_CRASHES:
             continue
-        known_at = met[MOST_ENDS - 1][0] + CRASH_TIME + CONTACT
+        known_at = attempts[MAX_CRASHES - 1][0] + CRASH_TIME + RESYNC_TIME
         late = [
             at
-            for at, attempt in met
-            if attempt.sent_at > known_at
-            and record.in_touch(
-                attempt.door.gateway, known_at, at, but_for=ENDPOINT_SPANS
+            for at, request in attempts
+            if request.sent_at > known_at
+            and record.undisturbed(
+                request.listener.gateway, known_at, at, ignoring=ENDPOINT_SPANS
             )
         ]
-        if len(late) > MOST_SENT_ON:
-            seen = f"{target}: {len(met)} ends, {len(late)} too late"
+        if len(late) > MAX_LATE_ATTEMPTS:
+            seen = f"{target}: {len(attempts)} crashes, {len(late)} attempts too late"
             yield Violation("crashing requests", seen)
 
 
-def _usage_contradicted(record: Record) -> Iterator[Violation]:
+def _conflicting_usage_reports(record: Record) -> Iterator[Violation]:
     counts = defaultdict(set)
-    holders = defaultdict(set)
+    leaders = defaultdict(set)
     for call in record.duty_calls:
-        holders[call.target, call.fencing_number].add(call.holder)
+        leaders[call.target, call.fencing_number].add(call.holder)
         if call.taken and call.target == "/usage":
             document = call.document
             counts[document["window"]].add(
@@ -281,14 +294,14 @@
     for window, reports in counts.items():
         if len(reports) > 1:
             yield Violation("one report a window", f"{window}: {sorted(reports)}")
-    for (target, number), names in holders.items():
+    for (target, number), names in leaders.items():
         if len(names) > 1:
             yield Violation("one holder", f"{target} {number}: {sorted(names)}")
 
 
-def _told(attempt: Attempt) -> str:
-    took = (attempt.ended_at - attempt.sent_at).total_seconds()
+def _describe(request: SentRequest) -> str:
+    took = (request.ended_at - request.sent_at).total_seconds()
     return (
-        f"{attempt.request_id} at front-{attempt.door.gateway}: status"
-        f" {attempt.status} after {took:.2f} s"
+        f"{request.request_id} at front-{request.listener.gateway}: status"
+        f" {request.status} after {took:.2f} s"
     )
--- a/bench/soak/deployment.py
+++ b/bench/soak/deployment.py
@@ -1,4 +1,4 @@
-"""What a soak deploys: settings, customers, a configuration that grows."""
+"""The deployment of a soak: settings, customers and a configuration that grows."""
 
 from dataclasses import dataclass, field, replace
 from datetime import timedelta
@@ -7,13 +7,13 @@
 from sassafrasdale.clock import milliseconds
 
 HOST = "soak.example"
-# What a caller may count on, as the settings tell the gateways.
+# Guarantees to callers, as the settings give them to the gateways.
 APPLY_TIME = timedelta(seconds=2)
 DRAIN_TIME = timedelta(seconds=2)
 QUOTA_WINDOW = timedelta(seconds=5)
 QUOTA_SLACK = 2_000
-# Time that a gateway needs to be in touch after a disruption.
-CONTACT = timedelta(seconds=3)
+# Time that a gateway needs after a disruption to be in sync with the others again.
+RESYNC_TIME = timedelta(seconds=3)
 ZONES = ("a", "b")
 # Events of each stream.
 STREAM_EVENTS = 8
@@ -42,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer and its limit; a plain request counts as so many tokens.
+    """A customer and its limit; a plain request counts as ``plain_tokens`` tokens.
 
-    :param rate: tokens a second.
+    :param rate: tokens per second.
     """
 
     name: str
@@ -56,19 +56,20 @@
 
 STEADY = Customer("steady", ("key-steady",))
 BUSY = Customer("busy", ("key-busy",), rate=2_000, burst=1_000)
-# A customer whose keys are taken away one after the other.
+# A customer whose keys are revoked one after another.
 LEAVING = Customer("leaving", tuple(f"key-leaving-{number}" for number in range(40)))
 CUSTOMERS = (STEADY, BUSY, LEAVING)
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """A kind of request.
 
-    :param stream: whether an engine answers it, with a stream.
-    :param once: whether it may run once only.
-    :param body: of each request.
-    :param added: which of the routes that are added later it goes by; 0 for none.
+    :param stream: whether an engine serves it, with a stream.
+    :param at_most_once: whether it may run only once.
+    :param body: body of each request.
+    :param added_route: number of the route added during the soak that it uses; 0 for
+        the initial routes.
     """
 
     name: str
@@ -76,14 +77,16 @@
     method: str
     timeout: timedelta
     stream: bool = False
-    once: bool = False
+    at_most_once: bool = False
     body: bytes = b""
-    added: int = 0
+    added_route: int = 0
 
 
-CALL = Kind("call", "/calls/", "POST", timedelta(seconds=2), once=True, body=b"call")
-PAGE = Kind("page", "/pages/", "GET", timedelta(seconds=2))
-STREAM = Kind(
+CALL = RequestKind(
+    "call", "/calls/", "POST", timedelta(seconds=2), at_most_once=True, body=b"call"
+)
+PAGE = RequestKind("page", "/pages/", "GET", timedelta(seconds=2))
+STREAM = RequestKind(
     "stream", "/streams/", "POST", timedelta(seconds=6), stream=True, body=b"prompt"
 )
 KINDS = (CALL, PAGE, STREAM)
@@ -92,18 +95,20 @@
 CRASHING = replace(STREAM, name="crashing", body=CRASH_MARKER)
 
 
-def added(number: int) -> Kind:
-    """Return the kind of request of a route that was added later."""
-    limit = timedelta(seconds=2)
-    return Kind(f"added-{number}", f"/added-{number}/", "GET", limit, added=number)
+def added_route_kind(number: int) -> RequestKind:
+    """Return the kind of request of a route that is added during the soak."""
+    timeout = timedelta(seconds=2)
+    return RequestKind(
+        f"added-{number}", f"/added-{number}/", "GET", timeout, added_route=number
+    )
 
 
 @dataclass(slots=True)
 class Configuration:
     """The operators' configuration as it grows.
 
-    :param routes: routes that were added so far.
-    :param revoked: keys that were taken away so far.
+    :param routes: number of routes added so far.
+    :param revoked: keys revoked so far.
     """
 
     version: int = 1
@@ -111,8 +116,11 @@
     revoked: list[str] = field(default_factory=list)
 
     def document(self) -> dict[str, Any]:
-        """Return it as the platform holds it."""
-        kinds = [*KINDS, *(added(number + 1) for number in range(self.routes))]
+        """Return it as the platform stores it."""
+        kinds = [
+            *KINDS,
+            *(added_route_kind(number + 1) for number in range(self.routes)),
+        ]
         return {
             "version": self.version,
             "routes": [_route(kind) for kind in kinds],
@@ -138,8 +146,8 @@
         }
 
 
-def _route(kind: Kind) -> dict[str, Any]:
-    plain = "non_idempotent" if kind.once else "idempotent"
+def _route(kind: RequestKind) -> dict[str, Any]:
+    plain = "non_idempotent" if kind.at_most_once else "idempotent"
     return {
         "name": kind.name,
         "host": HOST,
--- a/bench/soak/fleets.py
+++ b/bench/soak/fleets.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak: gateways as processes, stand-ins, and what is done to them."""
+"""The fleet of a soak: gateway processes, stand-ins, and their disruptions."""
 
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
@@ -8,7 +8,7 @@
 
 from logbook import Logger
 
-from bench.soak.callers import Door
+from bench.soak.callers import Listener
 from bench.soak.deployment import (
     CRASH_MARKER,
     LEAVING,
@@ -24,7 +24,7 @@
     ClockStep,
     Disruption,
     EndpointCrash,
-    EndpointLeaves,
+    EndpointDrain,
     EndpointLink,
     Kill,
     KillAll,
@@ -33,12 +33,12 @@
     Restart,
     Revocation,
     SoakPlan,
-    StoreForgets,
-    StoreLink,
-    StoreOut,
+    StoreCompaction,
+    StoreLinkFault,
+    StoreOutage,
 )
-from bench.soak.records import Change, Leave, Span
-from bench.soak.stepping import AHEAD, BACK, PROGRAM
+from bench.soak.records import ConfigurationChange, DrainPeriod, Span
+from bench.soak.stepping import PROGRAM, STEP_BACK, STEP_FORWARD
 from sassafrasdale.clock import Clock
 from sassafrasdale.green import GreenThread, sleep, spawn
 from sassafrasdale.structures import Address
@@ -49,25 +49,25 @@
 
 log = Logger("soak")
 
-# Gateways whose time of day can be made to jump.
-SOAKED = ("-m", PROGRAM)
-STOP_LIMIT = timedelta(seconds=20)
-MENDED_LIMIT = timedelta(seconds=10)
-# Pause between two looks at a gateway.
-LOOK = timedelta(milliseconds=50)
-# Each third endpoint is a plain service, the others are engines.
-RECORDS_EACH = 3
+# Gateways whose time of day can be stepped by signals.
+GATEWAY_PROGRAM = ("-m", PROGRAM)
+STOP_TIMEOUT = timedelta(seconds=20)
+READY_TIMEOUT = timedelta(seconds=10)
+# Time between two checks of a gateway's state.
+POLL_INTERVAL = timedelta(milliseconds=50)
+# Every third endpoint is a plain service, the others are engines.
+RECORDS_INTERVAL = 3
 
 
 class SoakFleet:
-    """All that a soak runs.
+    """The processes and stand-ins of a soak.
 
-    :param plan: what is done to it.
+    :param plan: its disruptions.
     :param program: arguments of the interpreter that name the gateways' program.
     """
 
     def __init__(
-        self, plan: SoakPlan, clock: Clock, program: Sequence[str] = SOAKED
+        self, plan: SoakPlan, clock: Clock, program: Sequence[str] = GATEWAY_PROGRAM
     ) -> None:
         self._clock = clock
         self._rng = Random(plan.seed)
@@ -75,21 +75,21 @@
         self.configuration = Configuration()
         self._fleet = GatewayFleet(SETTINGS, self.configuration.document())
         self.spans: list[Span] = []
-        self.changes: list[Change] = []
-        self.leaves: list[Leave] = []
+        self.changes: list[ConfigurationChange] = []
+        self.drains: list[DrainPeriod] = []
         self._links: list[Link] = []
-        self._leaving: set[StandInEndpoint] = set()
+        self._draining: set[StandInEndpoint] = set()
         self.endpoints = [self._endpoint(n) for n in range(plan.endpoints)]
         self.gateways = [self._gateway(n) for n in range(plan.gateways)]
         self._tasks: list[GreenThread] = []
 
     @property
     def duty_calls(self) -> list[DutyCall]:
-        """Calls of the duties' holders."""
+        """Calls that leaders have made."""
         return self._fleet.duties.calls
 
     def start(self) -> None:
-        """Start all gateways and wait until they take callers."""
+        """Start all gateways and wait until they accept callers."""
         for gateway in self.gateways:
             gateway.launch()
         for gateway in self.gateways:
@@ -99,29 +99,29 @@
         """End all processes."""
         self._fleet.close()
 
-    def door(self) -> Door:
-        """Return a gateway that takes callers, as the balancer would."""
+    def pick_listener(self) -> Listener:
+        """Return a running gateway's listener, as a load balancer would."""
         up = [gateway for gateway in self.gateways if not gateway.is_down]
-        return self._rng.choice(up or self.gateways).door
+        return self._rng.choice(up or self.gateways).listener
 
     def disrupt(self, disruption: Disruption) -> None:
-        """Begin a disruption, and let it go on beside others."""
+        """Begin a disruption, and let it run concurrently with others."""
         log.info("disruption", what=str(disruption))
         self._tasks.append(spawn(self._carry_out, disruption))
 
-    def wait_until_mended(self) -> None:
-        """Wait until all disruptions are over, and all gateways take callers again.
+    def wait_until_recovered(self) -> None:
+        """Wait until all disruptions are over, and all gateways accept callers again.
 
-        Those that don't for long are found by the last check.
+        Gateways that are not ready in time are found by the final check.
         """
         for task in self._tasks:
             task.wait()
-        until = self._clock.elapsed() + MENDED_LIMIT
-        while self._clock.elapsed() < until and not self._all_are_ready():
-            sleep(LOOK)
+        deadline = self._clock.elapsed() + READY_TIMEOUT
+        while self._clock.elapsed() < deadline and not self._all_are_ready():
+            sleep(POLL_INTERVAL)
 
     def keep_logs(self, folder: Path) -> None:
-        """Write what each gateway has logged, and whether it runs, to a folder."""
+        """Write each gateway's log and exit code to a folder."""
         folder.mkdir(parents=True, exist_ok=True)
         for gateway in self.gateways:
             code = gateway.process.exit_code()
@@ -133,14 +133,14 @@
         return all(gateway.process.is_ready() for gateway in self.gateways)
 
     def _endpoint(self, number: int) -> StandInEndpoint:
-        is_plain = number % RECORDS_EACH == 0
+        is_plain = number % RECORDS_INTERVAL == 0
         return self._fleet.add_endpoint(
             f"{'r' if is_plain else 'm'}-{number}",
             RECORDS if is_plain else MODELS,
             ZONES[number % len(ZONES)],
             streams=not is_plain,
             crash_marker=CRASH_MARKER,
-            through=lambda address: _linked(address, self._links),
+            through=lambda address: _link_to(address, self._links),
         )
 
     def _gateway(self, number: int) -> Gateway:
@@ -149,39 +149,39 @@
             f"front-{number}",
             ZONES[number % len(ZONES)],
             program=self._program,
-            through=lambda address: _linked(address, links),
+            through=lambda address: _link_to(address, links),
         )
         return Gateway(number, process, links[0])
 
     def _carry_out(self, disruption: Disruption) -> None:
         match disruption:
-            case Kill(number, lasts):
-                self._kill([self.gateways[number]], lasts)
-            case KillAll(lasts):
-                self._kill(self.gateways, lasts)
-            case Pause(number, lasts):
-                self._pause(self.gateways[number], lasts)
+            case Kill(number, duration):
+                self._kill([self.gateways[number]], duration)
+            case KillAll(duration):
+                self._kill(self.gateways, duration)
+            case Pause(number, duration):
+                self._pause(self.gateways[number], duration)
             case Restart(number):
                 self._restart(self.gateways[number])
-            case StoreOut(fault, lasts):
-                self._store_out(fault, lasts)
-            case StoreForgets():
+            case StoreOutage(fault, duration):
+                self._break_store(fault, duration)
+            case StoreCompaction():
                 self._fleet.store.forget_history()
-            case StoreLink(number, harm, lasts):
+            case StoreLinkFault(number, link_fault, duration):
                 with self._span("store link", number):
-                    self.gateways[number].link.harm_for(harm, lasts)
-            case EndpointLink(number, harm, lasts):
+                    self.gateways[number].link.inject(link_fault, duration)
+            case EndpointLink(number, link_fault, duration):
                 with self._span("endpoint link"):
-                    self._links[number].harm_for(harm, lasts)
+                    self._links[number].inject(link_fault, duration)
             case EndpointCrash(number):
                 self.endpoints[number].crash()
-            case EndpointLeaves(number, lasts):
-                self._leave(self.endpoints[number], lasts)
+            case EndpointDrain(number, duration):
+                self._drain(self.endpoints[number], duration)
             case ClockStep(number, ahead):
                 self._step_clock(self.gateways[number], ahead=ahead)
             case NewRoute():
                 self.configuration.routes += 1
-                self._change(added=self.configuration.routes)
+                self._change(added_route=self.configuration.routes)
             case Revocation():
                 self._revoke()
 
@@ -198,85 +198,87 @@
         self.spans.append(span)
         return span
 
-    def _kill(self, gateways: list[Gateway], lasts: timedelta) -> None:
+    def _kill(self, gateways: list[Gateway], duration: timedelta) -> None:
         killed = [gateway for gateway in gateways if not gateway.is_down]
         for gateway in killed:
-            self._take_down(gateway, "kill")
+            self._mark_down(gateway, "kill")
             gateway.process.signal(KILL)
-        sleep(lasts)
+        sleep(duration)
         for gateway in killed:
             gateway.launch()
 
     def _restart(self, gateway: Gateway) -> None:
         if gateway.is_down:
             return
-        self._take_down(gateway, "restart")
+        self._mark_down(gateway, "restart")
         gateway.process.signal(TERM)
         wait_for(
-            lambda: gateway.process.exit_code() is not None, "not stopped", STOP_LIMIT
+            lambda: gateway.process.exit_code() is not None, "not stopped", STOP_TIMEOUT
         )
         gateway.launch()
 
-    def _take_down(self, gateway: Gateway, what: str) -> None:
-        """Note that a gateway is disrupted until its next start takes callers."""
+    def _mark_down(self, gateway: Gateway, what: str) -> None:
+        """Record a disruption that ends when the restarted gateway accepts callers."""
         gateway.is_down = True
         span = self._begin_span(what, gateway.number)
-        spawn(self._note_start, gateway, gateway.incarnation, span)
+        spawn(self._end_when_restarted, gateway, gateway.incarnation, span)
 
-    def _note_start(self, gateway: Gateway, before: int, span: Span) -> None:
+    def _end_when_restarted(self, gateway: Gateway, before: int, span: Span) -> None:
         while gateway.incarnation == before or not gateway.process.is_ready():
-            sleep(LOOK)
+            sleep(POLL_INTERVAL)
         span.ended = self._clock.elapsed()
 
-    def _pause(self, gateway: Gateway, lasts: timedelta) -> None:
+    def _pause(self, gateway: Gateway, duration: timedelta) -> None:
         if gateway.is_down:
             return
         with self._span("pause", gateway.number):
             gateway.process.signal(STOP)
-            sleep(lasts)
+            sleep(duration)
             gateway.process.signal(CONT)
 
     def _step_clock(self, gateway: Gateway, *, ahead: bool) -> None:
-        # Until it serves, its process may not yet heed the signal.
+        # Before it is ready, its process may not handle the signal yet.
         if gateway.is_down or not gateway.process.is_ready():
             return
         with self._span("clock step", gateway.number):
-            gateway.process.signal(AHEAD if ahead else BACK)
+            gateway.process.signal(STEP_FORWARD if ahead else STEP_BACK)
 
-    def _store_out(self, fault: Fault, lasts: timedelta) -> None:
+    def _break_store(self, fault: Fault, duration: timedelta) -> None:
         with self._span("store out"):
             self._fleet.store.fault = fault
-            sleep(lasts)
+            sleep(duration)
             self._fleet.store.fault = Fault.NONE
 
-    def _leave(self, endpoint: StandInEndpoint, lasts: timedelta) -> None:
-        if endpoint in self._leaving:
+    def _drain(self, endpoint: StandInEndpoint, duration: timedelta) -> None:
+        if endpoint in self._draining:
             return
-        self._leaving.add(endpoint)
+        self._draining.add(endpoint)
         crashes = len(endpoint.crashed_at)
         endpoint.list_as("draining")
         began = self._clock.elapsed()
-        sleep(lasts)
-        # One that crashes meanwhile lists itself as ready when it is back.
+        sleep(duration)
+        # An endpoint that crashes meanwhile registers as ready when it restarts.
         if len(endpoint.crashed_at) == crashes:
-            self.leaves.append(Leave(endpoint.name, began, self._clock.elapsed()))
+            self.drains.append(DrainPeriod(endpoint.name, began, self._clock.elapsed()))
         endpoint.list_as("ready")
-        self._leaving.discard(endpoint)
+        self._draining.discard(endpoint)
 
     def _revoke(self) -> None:
-        left = [k for k in LEAVING.keys if k not in self.configuration.revoked]
-        if len(left) > 1:
-            self.configuration.revoked.append(left[0])
-            self._change(revoked=left[0])
+        remaining = [k for k in LEAVING.keys if k not in self.configuration.revoked]
+        if len(remaining) > 1:
+            self.configuration.revoked.append(remaining[0])
+            self._change(revoked_key=remaining[0])
 
-    def _change(self, *, added: int = 0, revoked: str = "") -> None:
+    def _change(self, *, added_route: int = 0, revoked_key: str = "") -> None:
         self.configuration.version += 1
         self._fleet.store.put("op/config", self.configuration.document())
-        self.changes.append(Change(self._clock.elapsed(), added, revoked))
+        self.changes.append(
+            ConfigurationChange(self._clock.elapsed(), added_route, revoked_key)
+        )
 
 
-def _linked(address: Address, links: list[Link]) -> Address:
-    """Return the address of a new way to another one, and note the way."""
+def _link_to(address: Address, links: list[Link]) -> Address:
+    """Return the address of a new link to an address, and add it to the links."""
     link = Link(address)
     links.append(link)
     return link.address
--- a/bench/soak/gateways.py
+++ b/bench/soak/gateways.py
@@ -1,12 +1,12 @@
 """One gateway of a soak."""
 
-from bench.soak.callers import Door
+from bench.soak.callers import Listener
 from bench.soak.links import Link
 from standins.gateway_fleet import GatewayProcess
 
 
 class Gateway:
-    """A gateway's process, its way to the store and how often it was started."""
+    """A gateway's process, its link to the store and the number of its starts."""
 
     def __init__(self, number: int, process: GatewayProcess, link: Link) -> None:
         self.number = number
@@ -16,9 +16,9 @@
         self.is_down = False
 
     @property
-    def door(self) -> Door:
-        """Where callers reach it."""
-        return Door(self.number, self.incarnation, self.process.address)
+    def listener(self) -> Listener:
+        """The address at which it accepts callers."""
+        return Listener(self.number, self.incarnation, self.process.address)
 
     def launch(self) -> None:
         """Start the process."""
--- a/bench/soak/links.py
+++ b/bench/soak/links.py
@@ -1,4 +1,4 @@
-"""A way between two processes that can be harmed: a forwarder on the loopback."""
+"""A link between two processes that can fail: a proxy on the loopback interface."""
 
 import socket
 from datetime import timedelta
@@ -9,13 +9,13 @@
 
 CHUNK = 65_536
 DELAY = timedelta(milliseconds=120)
-CONNECT_LIMIT = timedelta(seconds=5)
-# Pause between two looks at whether a harm is over.
-LOOK = timedelta(milliseconds=20)
+CONNECT_TIMEOUT = timedelta(seconds=5)
+# Time between two checks whether a fault is over.
+POLL_INTERVAL = timedelta(milliseconds=20)
 
 
 class Harm(StrEnum):
-    """What is wrong with a way."""
+    """A fault of a link."""
 
     DELAYS = "delays"
     RESETS = "resets"
@@ -26,96 +26,99 @@
 class Link:
     """Forwards connections to an address.
 
-    Connections that were open when a way fell silent stay silent for good, as behind a
-    middlebox that has forgotten them; those opened since work once the harm is over.
+    Connections that were open when a link stopped forwarding never forward again, as
+    behind a middlebox that has dropped its state; those opened since work once the
+    fault is over.
     """
 
     def __init__(self, target: Address) -> None:
         self._target = target
-        self._harm: Harm | None = None
-        self._pairs: set[_Pair] = set()
+        self._fault: Harm | None = None
+        self._connections: set[_Connection] = set()
         self._listener = listen(Address("127.0.0.1", 0))
         host, port = self._listener.getsockname()
         self.address = Address(host, port)
         spawn(self._accept)
 
     @property
-    def harm(self) -> Harm | None:
-        """What is wrong with it now."""
-        return self._harm
-
-    def harm_for(self, harm: Harm, lasts: timedelta) -> None:
-        """Harm the way, and mend it after a while."""
-        self._harm = harm
-        for pair in list(self._pairs):
-            pair.suffer(harm)
-        sleep(lasts)
-        self._harm = None
+    def fault(self) -> Harm | None:
+        """Its current fault."""
+        return self._fault
+
+    def inject(self, fault: Harm, duration: timedelta) -> None:
+        """Apply a fault for a while."""
+        self._fault = fault
+        for connection in list(self._connections):
+            connection.apply(fault)
+        sleep(duration)
+        self._fault = None
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
-            spawn(self._serve, near)
+            client, _ = self._listener.accept()
+            spawn(self._serve, client)
 
-    def _serve(self, near: socket.socket) -> None:
-        if self._harm is Harm.RESETS:
-            near.close()
+    def _serve(self, client: socket.socket) -> None:
+        if self._fault is Harm.RESETS:
+            client.close()
             return
-        while self._harm is Harm.SILENT:
-            sleep(LOOK)
+        while self._fault is Harm.SILENT:
+            sleep(POLL_INTERVAL)
         try:
-            far = connect(self._target, CONNECT_LIMIT)
+            server = connect(self._target, CONNECT_TIMEOUT)
         except OSError:
-            near.close()
+            client.close()
             return
-        pair = _Pair(self, near, far)
-        self._pairs.add(pair)
-        pair.run()
-        self._pairs.discard(pair)
+        connection = _Connection(self, client, server)
+        self._connections.add(connection)
+        connection.run()
+        self._connections.discard(connection)
 
 
-class _Pair:
-    """Both halves of one connection."""
+class _Connection:
+    """The client's and the server's side of one forwarded connection."""
 
-    def __init__(self, link: Link, near: socket.socket, far: socket.socket) -> None:
+    def __init__(
+        self, link: Link, client: socket.socket, server: socket.socket
+    ) -> None:
         self._link = link
-        self._near = near
-        self._far = far
-        self._is_silent = False
+        self._client = client
+        self._server = server
+        self._is_unresponsive = False
 
     def run(self) -> None:
-        """Forward until either side ends."""
-        back = spawn(self._forward, self._far, self._near, answers=True)
-        self._forward(self._near, self._far, answers=False)
-        back.wait()
-
-    def suffer(self, harm: Harm) -> None:
-        """Do to an open connection what a harm does."""
-        match harm:
+        """Forward until either side closes."""
+        responses = spawn(self._forward, self._server, self._client, responses=True)
+        self._forward(self._client, self._server, responses=False)
+        responses.wait()
+
+    def apply(self, fault: Harm) -> None:
+        """Apply a fault to this open connection."""
+        match fault:
             case Harm.RESETS:
-                self._cut()
+                self._shut_down()
             case Harm.SILENT:
-                self._is_silent = True
+                self._is_unresponsive = True
 
     def _forward(
-        self, source: socket.socket, sink: socket.socket, *, answers: bool
+        self, source: socket.socket, sink: socket.socket, *, responses: bool
     ) -> None:
         try:
             while data := receive(source, CHUNK):
-                harm = self._link.harm
-                if harm is Harm.DELAYS:
+                fault = self._link.fault
+                if fault is Harm.DELAYS:
                     sleep(DELAY)
-                if self._is_silent or (answers and harm is Harm.ANSWERS_LOST):
-                    self._is_silent = True
+                if self._is_unresponsive or (responses and fault is Harm.ANSWERS_LOST):
+                    self._is_unresponsive = True
                     continue
                 sink.sendall(data)
         except OSError:
             pass
-        if not self._is_silent:
-            self._cut()
+        if not self._is_unresponsive:
+            self._shut_down()
 
-    def _cut(self) -> None:
-        for sock in (self._near, self._far):
+    def _shut_down(self) -> None:
+        for sock in (self._client, self._server):
             try:
                 sock.shutdown(socket.SHUT_RDWR)
             except OSError:
--- a/bench/soak/plans.py
+++ b/bench/soak/plans.py
@@ -1,4 +1,4 @@
-"""What is done to a fleet in a soak, drawn from a seed."""
+"""The disruptions of a soak, drawn from a seed."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,75 +11,76 @@
 SECOND = timedelta(seconds=1)
 # Traffic before the first disruption.
 QUIET_START = 2 * SECOND
-# Pause between the begins of two disruptions: less than most of them last.
-SHORTEST_PAUSE = SECOND / 10
-LONGEST_PAUSE = 1.2 * SECOND
+# Time between the starts of two disruptions: less than most of them last, so that they
+# overlap.
+MIN_PAUSE = SECOND / 10
+MAX_PAUSE = 1.2 * SECOND
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """A gateway is killed, and started again after a while."""
+    """A gateway is killed, and restarted after a while."""
 
     gateway: int
-    lasts: timedelta
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """A gateway stands still for a while."""
+    """A gateway's process is stopped by a signal for a while."""
 
     gateway: int
-    lasts: timedelta
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class Restart:
-    """A gateway is told to stop, and started again once it has."""
+    """A gateway is shut down in order, and restarted once it has ended."""
 
     gateway: int
 
 
 @dataclass(frozen=True, slots=True)
 class KillAll:
-    """All gateways are killed at once, and started again after a while."""
+    """All gateways are killed at once, and restarted after a while."""
 
-    lasts: timedelta
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class StoreOut:
-    """The store refuses calls, gives no answers or loses them, for a while."""
+class StoreOutage:
+    """The store refuses calls, does not respond or loses responses, for a while."""
 
     fault: Fault
-    lasts: timedelta
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class StoreForgets:
-    """The store drops its history, so that watches begin anew."""
+class StoreCompaction:
+    """The store compacts its history, so that watches must restart."""
 
 
 @dataclass(frozen=True, slots=True)
-class StoreLink:
-    """The way between a gateway and the store is harmed for a while."""
+class StoreLinkFault:
+    """The link between a gateway and the store has a fault for a while."""
 
     gateway: int
-    harm: Harm
-    lasts: timedelta
+    fault: Harm
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointLink:
-    """The way between all gateways and an endpoint is harmed for a while."""
+    """The link between all gateways and an endpoint has a fault for a while."""
 
     endpoint: int
-    harm: Harm
-    lasts: timedelta
+    fault: Harm
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointCrash:
-    """An endpoint ends with all that it runs, and comes back."""
+    """An endpoint crashes with all requests it runs, and restarts."""
 
     endpoint: int
 
@@ -88,24 +89,24 @@
 class CrashingRequest:
     """A caller repeats a request that crashes each endpoint which runs it.
 
-    :param number: tells it from other such requests.
+    :param number: distinguishes it from other such requests.
     """
 
     number: int
-    lasts: timedelta
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointLeaves:
-    """An endpoint says that it leaves, and is ready again after a while."""
+class EndpointDrain:
+    """An endpoint registers as draining, and as ready again after a while."""
 
     endpoint: int
-    lasts: timedelta
+    duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
 class ClockStep:
-    """A gateway's time of day jumps ahead, or back."""
+    """A gateway's time of day is stepped forward or back."""
 
     gateway: int
     ahead: bool
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Revocation:
-    """Operators take a key away."""
+    """Operators revoke a key."""
 
 
 Disruption = (
@@ -126,13 +127,13 @@
     | Pause
     | Restart
     | KillAll
-    | StoreOut
-    | StoreForgets
-    | StoreLink
+    | StoreOutage
+    | StoreCompaction
+    | StoreLinkFault
     | EndpointLink
     | EndpointCrash
     | CrashingRequest
-    | EndpointLeaves
+    | EndpointDrain
     | ClockStep
     | NewRoute
     | Revocation
@@ -141,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A disruption and when it begins, counted from the start of the traffic."""
+    """A disruption and when it begins, relative to the start of the traffic."""
 
     at: timedelta
     disruption: Disruption
@@ -149,22 +150,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """All that is done in one soak.
+    """The disruptions of one soak.
 
-    :param lasts: time from the start of the traffic to its end.
+    :param duration: time from the start of the traffic to its end.
     """
 
     seed: int
     gateways: int
     endpoints: int
-    lasts: timedelta
+    duration: timedelta
     steps: tuple[Step, ...]
 
     def lines(self) -> list[str]:
-        """Return the plan in words, a line a step."""
+        """Return the plan as text, one line per step."""
         head = (
             f"seed {self.seed}: {self.gateways} gateways, {self.endpoints} endpoints,"
-            f" {self.lasts.total_seconds():.0f} s"
+            f" {self.duration.total_seconds():.0f} s"
         )
         steps = (
             f"  {step.at.total_seconds():6.2f} s  {step.disruption}"
@@ -174,56 +175,67 @@
 
 
 def draw_plan(
-    seed: int, lasts: timedelta, *, gateways: int = 4, endpoints: int = 8
+    seed: int, duration: timedelta, *, gateways: int = 4, endpoints: int = 8
 ) -> SoakPlan:
-    """Return the plan of a seed: disruptions in series, most of which overlap."""
+    """Return the plan of a seed: a sequence of disruptions, most of which overlap."""
     rng = Random(seed)
     steps = []
     at = QUIET_START
-    while at < lasts:
+    while at < duration:
         drawn = rng.choices(DRAWS, [draw.weight for draw in DRAWS])[0]
         steps.append(Step(at, drawn.make(rng, gateways, endpoints)))
-        at += rng.uniform(0, 1) ** 2 * (LONGEST_PAUSE - SHORTEST_PAUSE) + SHORTEST_PAUSE
-    return SoakPlan(seed, gateways, endpoints, lasts, tuple(steps))
+        at += rng.uniform(0, 1) ** 2 * (MAX_PAUSE - MIN_PAUSE) + MIN_PAUSE
+    return SoakPlan(seed, gateways, endpoints, duration, tuple(steps))
 
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """A kind of disruption, and how often it is drawn."""
+    """A kind of disruption and its weight in the draw."""
 
     weight: float
     make: Callable[[Random, int, int], Disruption]
 
 
-def _lasting(rng: Random, longest: float) -> timedelta:
-    return rng.uniform(0.05, longest) * SECOND
+def _draw_duration(rng: Random, max_seconds: float) -> timedelta:
+    return rng.uniform(0.05, max_seconds) * SECOND
 
 
 DRAWS = (
-    Draw(3, lambda rng, gateways, _: Kill(rng.randrange(gateways), _lasting(rng, 2))),
-    Draw(2, lambda rng, gateways, _: Pause(rng.randrange(gateways), _lasting(rng, 4))),
+    Draw(
+        3,
+        lambda rng, gateways, _: Kill(rng.randrange(gateways), _draw_duration(rng, 2)),
+    ),
+    Draw(
+        2,
+        lambda rng, gateways, _: Pause(rng.randrange(gateways), _draw_duration(rng, 4)),
+    ),
     Draw(2, lambda rng, gateways, _: Restart(rng.randrange(gateways))),
-    Draw(0.5, lambda rng, _, __: KillAll(_lasting(rng, 1))),
-    Draw(2, lambda rng, _, __: StoreOut(_store_fault(rng), _lasting(rng, 5))),
-    Draw(1, lambda *_: StoreForgets()),
+    Draw(0.5, lambda rng, _, __: KillAll(_draw_duration(rng, 1))),
     Draw(
         2,
-        lambda rng, gateways, _: StoreLink(
-            rng.randrange(gateways), rng.choice(list(Harm)), _lasting(rng, 5)
+        lambda rng, _, __: StoreOutage(_draw_store_fault(rng), _draw_duration(rng, 5)),
+    ),
+    Draw(1, lambda *_: StoreCompaction()),
+    Draw(
+        2,
+        lambda rng, gateways, _: StoreLinkFault(
+            rng.randrange(gateways), rng.choice(list(Harm)), _draw_duration(rng, 5)
         ),
     ),
     Draw(
         3,
         lambda rng, _, endpoints: EndpointLink(
-            rng.randrange(endpoints), rng.choice(list(Harm)), _lasting(rng, 4)
+            rng.randrange(endpoints), rng.choice(list(Harm)), _draw_duration(rng, 4)
         ),
     ),
     Draw(2, lambda rng, _, endpoints: EndpointCrash(rng.randrange(endpoints))),
-    Draw(1, lambda rng, *_: CrashingRequest(rng.randrange(1000), _lasting(rng, 12))),
+    Draw(
+        1, lambda rng, *_: CrashingRequest(rng.randrange(1000), _draw_duration(rng, 12))
+    ),
     Draw(
         2,
-        lambda rng, _, endpoints: EndpointLeaves(
-            rng.randrange(endpoints), _lasting(rng, 4)
+        lambda rng, _, endpoints: EndpointDrain(
+            rng.randrange(endpoints), _draw_duration(rng, 4)
         ),
     ),
     Draw(
@@ -235,5 +247,5 @@
 )
 
 
-def _store_fault(rng: Random) -> Fault:
+def _draw_store_fault(rng: Random) -> Fault:
     return rng.choice([Fault.BUSY, Fault.SILENT, Fault.LOSES_ANSWERS])
--- a/bench/soak/soaks.py
+++ b/bench/soak/soaks.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from random import Random
 
-from bench.soak.callers import Attempt, Caller, Door, Wish
+from bench.soak.callers import Caller, Listener, RequestSpec, SentRequest
 from bench.soak.checks import Violation, unserved, violations
 from bench.soak.deployment import (
     BUSY,
@@ -17,9 +17,9 @@
     LEAVING,
     PAGE,
     STEADY,
-    added,
+    added_route_kind,
 )
-from bench.soak.fleets import SOAKED, SoakFleet
+from bench.soak.fleets import GATEWAY_PROGRAM, SoakFleet
 from bench.soak.gateways import Gateway
 from bench.soak.plans import CrashingRequest, SoakPlan
 from bench.soak.records import Arrival, Record, Span
@@ -28,21 +28,21 @@
 from standins.gateway_endpoints import DOWN_TIME
 
 CALLERS = 24
-PAUSE = timedelta(milliseconds=150)
-# One customer asks for several times its limit.
+MEAN_INTERVAL = timedelta(milliseconds=150)
+# One customer sends several times its limit.
 BUSY_CALLERS = 4
-BUSY_PAUSE = timedelta(milliseconds=20)
-CRASHING_PAUSE = timedelta(milliseconds=300)
-# Time in which a mended fleet serves again.
-RECOVERY = timedelta(seconds=5)
-# Time in which the last check asks each gateway for each kind.
-LAST_LOOK = timedelta(seconds=4)
-SETTLED = timedelta(seconds=1)
+BUSY_INTERVAL = timedelta(milliseconds=20)
+CRASHING_INTERVAL = timedelta(milliseconds=300)
+# Time in which a fleet serves again once all disruptions are over.
+RECOVERY_TIME = timedelta(seconds=5)
+# Time in which the final check sends each kind of request to each gateway.
+FINAL_CHECK_TIME = timedelta(seconds=4)
+SETTLE_TIME = timedelta(seconds=1)
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What came of a soak."""
+    """The result of a soak."""
 
     plan: SoakPlan
     attempts: int
@@ -50,10 +50,10 @@
     violations: tuple[Violation, ...]
 
     def lines(self) -> list[str]:
-        """Return it in words."""
+        """Return it as text, one line per violation after the first."""
         head = (
             f"seed {self.plan.seed}: {self.attempts} requests, {self.served} served,"
-            f" {len(self.violations)} promises broken"
+            f" {len(self.violations)} guarantees broken"
         )
         return [head, *(f"  {each.promise}: {each.seen}" for each in self.violations)]
 
@@ -61,15 +61,15 @@
 class Soak:
     """Plays a plan.
 
-    :param plan: what is done to the fleet.
+    :param plan: the disruptions.
     :param program: arguments of the interpreter that name the gateways' program.
-    :param logs: folder that gets the gateways' logs if a promise is broken.
+    :param logs: folder that gets the gateways' logs if a guarantee is broken.
     """
 
     def __init__(
         self,
         plan: SoakPlan,
-        program: Sequence[str] = SOAKED,
+        program: Sequence[str] = GATEWAY_PROGRAM,
         logs: Path | None = None,
     ) -> None:
         self._plan = plan
@@ -83,20 +83,20 @@
         """Play it and return the verdict."""
         try:
             self._fleet.start()
-            sleep(SETTLED)
+            sleep(SETTLE_TIME)
             callers = self._callers()
             tasks = [spawn(caller.run) for caller in callers]
             self._disrupt()
-            self._fleet.wait_until_mended()
-            sleep(RECOVERY)
-            last = [self._last_caller(gateway) for gateway in self._fleet.gateways]
-            tasks += [spawn(caller.run) for caller in last]
-            sleep(LAST_LOOK)
-            for caller in callers + last:
+            self._fleet.wait_until_recovered()
+            sleep(RECOVERY_TIME)
+            final = [self._final_caller(gateway) for gateway in self._fleet.gateways]
+            tasks += [spawn(caller.run) for caller in final]
+            sleep(FINAL_CHECK_TIME)
+            for caller in callers + final:
                 caller.is_stopped = True
             for task in tasks:
                 task.wait()
-            verdict = self._verdict(callers, last)
+            verdict = self._verdict(callers, final)
             if verdict.violations and self._logs is not None:
                 self._fleet.keep_logs(self._logs / f"seed-{self._plan.seed}")
             return verdict
@@ -104,66 +104,81 @@
             self._fleet.close()
 
     def _callers(self) -> list[Caller]:
-        steady = [self._caller(f"s{n}", self._wish, PAUSE) for n in range(CALLERS)]
+        steady = [
+            self._caller(f"s{n}", self._draw_spec, MEAN_INTERVAL)
+            for n in range(CALLERS)
+        ]
         busy = [
-            self._caller(f"b{n}", _busy_wish, BUSY_PAUSE) for n in range(BUSY_CALLERS)
+            self._caller(f"b{n}", _busy_spec, BUSY_INTERVAL)
+            for n in range(BUSY_CALLERS)
         ]
         return steady + busy
 
     def _caller(
         self,
         name: str,
-        wish: Callable[[], Wish],
-        pause: timedelta,
-        door: Callable[[], Door] | None = None,
+        draw_spec: Callable[[], RequestSpec],
+        interval: timedelta,
+        pick_listener: Callable[[], Listener] | None = None,
     ) -> Caller:
         rng = Random(f"{self._plan.seed} {name}")
-        return Caller(name, door or self._fleet.door, wish, pause, self._clock, rng)
+        return Caller(
+            name,
+            pick_listener or self._fleet.pick_listener,
+            draw_spec,
+            interval,
+            self._clock,
+            rng,
+        )
 
-    def _last_caller(self, gateway: Gateway) -> Caller:
-        """Return a caller that asks one gateway for each kind by turns."""
+    def _final_caller(self, gateway: Gateway) -> Caller:
+        """Return a caller that sends each kind of request in turn to one gateway."""
         kinds = cycle(KINDS)
         return self._caller(
             f"last-{gateway.number}",
-            lambda: Wish(next(kinds), STEADY, STEADY.keys[0]),
-            PAUSE,
-            lambda: gateway.door,
+            lambda: RequestSpec(next(kinds), STEADY, STEADY.keys[0]),
+            MEAN_INTERVAL,
+            lambda: gateway.listener,
         )
 
-    def _wish(self) -> Wish:
-        """Draw what a caller asks for, by the configuration as it is now."""
+    def _draw_spec(self) -> RequestSpec:
+        """Draw a request from those that the current configuration has routes for."""
         configuration = self._fleet.configuration
         drawn = self._rng.random()
         if drawn < 0.2 and configuration.routes:
-            kind = added(self._rng.randint(1, configuration.routes))
-            return Wish(kind, STEADY, STEADY.keys[0])
+            kind = added_route_kind(self._rng.randint(1, configuration.routes))
+            return RequestSpec(kind, STEADY, STEADY.keys[0])
         if drawn < 0.3:
-            return Wish(PAGE, LEAVING, self._rng.choice(LEAVING.keys[:8]))
-        return Wish(self._rng.choice(KINDS), STEADY, STEADY.keys[0])
+            return RequestSpec(PAGE, LEAVING, self._rng.choice(LEAVING.keys[:8]))
+        return RequestSpec(self._rng.choice(KINDS), STEADY, STEADY.keys[0])
 
     def _disrupt(self) -> None:
         began = self._clock.elapsed()
         for step in self._plan.steps:
             sleep(max(timedelta(), began + step.at - self._clock.elapsed()))
             match step.disruption:
-                case CrashingRequest(number, lasts):
-                    spawn(self._repeat_crashing, number, lasts)
+                case CrashingRequest(number, duration):
+                    spawn(self._send_crashing_requests, number, duration)
                 case disruption:
                     self._fleet.disrupt(disruption)
 
-    def _repeat_crashing(self, number: int, lasts: timedelta) -> None:
-        wish = Wish(CRASHING, STEADY, STEADY.keys[0], f"{CRASHING.prefix}x-{number}")
-        caller = self._caller(f"x{len(self._crashing)}", lambda: wish, CRASHING_PAUSE)
+    def _send_crashing_requests(self, number: int, duration: timedelta) -> None:
+        spec = RequestSpec(
+            CRASHING, STEADY, STEADY.keys[0], f"{CRASHING.prefix}x-{number}"
+        )
+        caller = self._caller(
+            f"x{len(self._crashing)}", lambda: spec, CRASHING_INTERVAL
+        )
         self._crashing.append(caller)
         task = spawn(caller.run)
-        sleep(lasts)
+        sleep(duration)
         caller.is_stopped = True
         task.wait()
 
-    def _verdict(self, callers: list[Caller], last: list[Caller]) -> Verdict:
-        attempts = _attempts(callers + last + self._crashing)
+    def _verdict(self, callers: list[Caller], final: list[Caller]) -> Verdict:
+        requests = _requests(callers + final + self._crashing)
         record = Record(
-            attempts,
+            requests,
             [
                 Arrival(endpoint.name, run)
                 for endpoint in self._fleet.endpoints
@@ -171,15 +186,15 @@
             ],
             [*self._fleet.spans, *self._crashes()],
             self._fleet.changes,
-            self._fleet.leaves,
+            self._fleet.drains,
             self._fleet.duty_calls,
         )
-        found = violations(record) + unserved(_attempts(last), self._plan.gateways)
-        served = sum(each.served for each in attempts)
-        return Verdict(self._plan, len(attempts), served, tuple(found))
+        found = violations(record) + unserved(_requests(final), self._plan.gateways)
+        served = sum(each.served for each in requests)
+        return Verdict(self._plan, len(requests), served, tuple(found))
 
     def _crashes(self) -> list[Span]:
-        """Return when endpoints crashed, for whatever reason."""
+        """Return the crashes of endpoints, whatever their cause."""
         return [
             Span("endpoint crash", at, ended=at + 2 * DOWN_TIME)
             for endpoint in self._fleet.endpoints
@@ -187,9 +202,9 @@
         ]
 
 
-def _busy_wish() -> Wish:
-    return Wish(CALL, BUSY, BUSY.keys[0])
+def _busy_spec() -> RequestSpec:
+    return RequestSpec(CALL, BUSY, BUSY.keys[0])
 
 
-def _attempts(callers: list[Caller]) -> list[Attempt]:
-    return [each for caller in callers for each in caller.attempts]
+def _requests(callers: list[Caller]) -> list[SentRequest]:
+    return [each for caller in callers for each in caller.requests]
--- a/bench/soak/stepping.py
+++ b/bench/soak/stepping.py
@@ -1,7 +1,7 @@
-"""A gateway whose time of day jumps at a signal, as a machine's that is set.
+"""A gateway whose time of day is stepped by signals, as when a machine's clock is set.
 
-Usage: ``python -m bench.soak.stepping gateway ...``, as the gateway's own. SIGUSR1 sets
-its time of day ahead, SIGUSR2 back; the elapsed time goes on.
+Usage: ``python -m bench.soak.stepping gateway ...``, with the gateway's own arguments.
+SIGUSR1 steps its time of day forward, SIGUSR2 back; the elapsed time is not affected.
 """
 
 import runpy
@@ -11,24 +11,24 @@
 from sassafrasdale.clock import SystemClock
 
 PROGRAM = "bench.soak.stepping"
-AHEAD = signal.SIGUSR1
-BACK = signal.SIGUSR2
+STEP_FORWARD = signal.SIGUSR1
+STEP_BACK = signal.SIGUSR2
 STEP = timedelta(seconds=3)
 
 
-def let_time_jump() -> None:
-    """Have the time of day of this process jump at signals."""
-    right = SystemClock.now
+def install_clock_steps() -> None:
+    """Install signal handlers that step this process's time of day."""
+    original = SystemClock.now
     offsets = [timedelta()]
 
     def stepped(self: SystemClock) -> datetime:
-        return right(self) + sum(offsets, timedelta())
+        return original(self) + sum(offsets, timedelta())
 
     SystemClock.now = stepped
-    signal.signal(AHEAD, lambda number, frame: offsets.append(STEP))
-    signal.signal(BACK, lambda number, frame: offsets.append(-STEP))
+    signal.signal(STEP_FORWARD, lambda number, frame: offsets.append(STEP))
+    signal.signal(STEP_BACK, lambda number, frame: offsets.append(-STEP))
 
 
 if __name__ == "__main__":
-    let_time_jump()
+    install_clock_steps()
     runpy.run_module("sassafrasdale", run_name="__main__", alter_sys=True)
--- a/bench/soak/unguarded.py
+++ b/bench/soak/unguarded.py
@@ -1,6 +1,7 @@
-"""A gateway with one of its guards off, to show that a soak would find it missing.
+"""A gateway with one guard disabled, to show that a soak detects that.
 
-Usage: ``python -m bench.soak.unguarded GUARD gateway ...``, as the gateway's own.
+Usage: ``python -m bench.soak.unguarded GUARD gateway ...``, with the gateway's
+own arguments.
 """
 
 import runpy
@@ -18,7 +19,7 @@
 
 
 class Guard(StrEnum):
-    """A guard that can be switched off."""
+    """A guard that can be disabled."""
 
     AT_MOST_ONCE = "at-most-once"
     NOT_RUN = "not-run"
@@ -27,62 +28,62 @@
     QUARANTINE = "quarantine"
 
 
-def switch_off(guard: Guard) -> None:
-    """Switch a guard off in this process."""
+def disable(guard: Guard) -> None:
+    """Disable a guard in this process."""
     match guard:
         case Guard.AT_MOST_ONCE:
-            _send_again_whatever_ran()
+            _retry_regardless_of_outcome()
         case Guard.NOT_RUN:
-            _say_not_run_of_all()
+            _report_all_as_not_run()
         case Guard.FENCING:
-            _give_all_holders_one_number()
+            _use_one_fencing_number()
         case Guard.REVOCATION:
-            _keep_keys()
+            _keep_revoked_keys()
         case Guard.QUARANTINE:
             StrikeLedger._judge = lambda self, changed: None
 
 
-def _send_again_whatever_ran() -> None:
-    guarded = RequestExchange._may_send_again
+def _retry_regardless_of_outcome() -> None:
+    original = RequestExchange._may_send_again
 
-    def unguarded(self: RequestExchange, failure: SendFailed) -> bool:
+    def patched(self: RequestExchange, failure: SendFailed) -> bool:
         failure.outcome = SendOutcome.NOT_RUN
-        return guarded(self, failure)
+        return original(self, failure)
 
-    RequestExchange._may_send_again = unguarded
+    RequestExchange._may_send_again = patched
 
 
-def _say_not_run_of_all() -> None:
-    guarded = RequestExchange._give_up
+def _report_all_as_not_run() -> None:
+    original = RequestExchange._give_up
 
-    def unguarded(self: RequestExchange, failure: SendFailed) -> None:
+    def patched(self: RequestExchange, failure: SendFailed) -> None:
         self._may_have_run = False
-        guarded(self, failure)
+        original(self, failure)
 
-    RequestExchange._give_up = unguarded
+    RequestExchange._give_up = patched
 
 
-def _give_all_holders_one_number() -> None:
-    guarded = leases._fencing_number
+def _use_one_fencing_number() -> None:
+    original = leases._fencing_number
 
-    def unguarded(*args: Any) -> int | None:
-        return None if guarded(*args) is None else 1
+    def patched(*args: Any) -> int | None:
+        return None if original(*args) is None else 1
 
-    leases._fencing_number = unguarded
+    leases._fencing_number = patched
 
 
-def _keep_keys() -> None:
-    guarded = RouteTable.__init__
-    kept: dict = {}
+def _keep_revoked_keys() -> None:
+    original = RouteTable.__init__
+    all_keys: dict = {}
 
-    def unguarded(self: RouteTable, *args: Any, **kwargs: Any) -> None:
-        guarded(self, *args, **kwargs)
-        kept.update(self._by_key)
-        self._by_key = dict(kept)
+    def patched(self: RouteTable, *args: Any, **kwargs: Any) -> None:
+        original(self, *args, **kwargs)
+        all_keys.update(self._by_key)
+        self._by_key = dict(all_keys)
 
-    RouteTable.__init__ = unguarded
+    RouteTable.__init__ = patched
 
 
 if __name__ == "__main__":
-    switch_off(Guard(sys.argv.pop(1)))
+    disable(Guard(sys.argv.pop(1)))
     runpy.run_module("sassafrasdale", run_name="__main__", alter_sys=True)
