--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Slopes of what each role costs, for docs/CAPACITY.md."""
+"""Measures what each role costs and fits slopes, for docs/CAPACITY.md."""
--- a/bench/capacity/claims.py
+++ b/bench/capacity/claims.py
@@ -1,11 +1,11 @@
-"""Non-idempotent requests a second against the store's writes.
+"""Non-idempotent requests per second, against the store's write limit.
 
 Usage::
 
     python -m bench.capacity claims
 
-Claims are made and settled at a steady rate against the platform's stand-in,
-which refuses above its rate as the platform does.
+Claims are made and settled at a constant rate against the platform's stand-in,
+which refuses writes above its limit as the platform does.
 """
 
 import time
@@ -25,9 +25,9 @@
 
 RATES = (25, 50, 100, 140, 200, 400)
 SECONDS = 10.0
-LINGER = timedelta(seconds=3)
+SETTLE_TIME = timedelta(seconds=3)
 WRITES_PER_SECOND = 300
-ANSWER = StoredAnswer(201, (("Content-Type", "application/json"),), b"{}" * 100)
+RESPONSE = StoredAnswer(201, (("Content-Type", "application/json"),), b"{}" * 100)
 MILLISECONDS = 1000
 
 
@@ -51,10 +51,10 @@
     plot("capacity-claims", rows, panels)
 
 
-class Load:
-    """Claims at a steady rate from one process.
+class ClaimLoad:
+    """Makes claims at a constant rate from one process.
 
-    :param claims: makes them.
+    :param claims: makes the claims.
     """
 
     def __init__(self, claims: Claims) -> None:
@@ -63,18 +63,18 @@
         self.refused = 0
 
     def run(self, rate: int) -> None:
-        """Offer ``rate`` claims a second, whether or not earlier ones ended."""
+        """Make ``rate`` claims per second, without waiting for earlier ones."""
         start = time.monotonic()
         tasks: list[GreenThread] = []
         for number in range(int(rate * SECONDS)):
-            ahead = start + number / rate - time.monotonic()
-            if ahead > 0:
-                sleep(timedelta(seconds=ahead))
-            tasks.append(spawn(self._one))
+            delay = start + number / rate - time.monotonic()
+            if delay > 0:
+                sleep(timedelta(seconds=delay))
+            tasks.append(spawn(self._claim_once))
         for task in tasks:
             task.wait()
 
-    def _one(self) -> None:
+    def _claim_once(self) -> None:
         key = ClaimKey("records", "press", uuid4().hex)
         start = time.monotonic()
         try:
@@ -84,7 +84,7 @@
             return
         self.times.append(time.monotonic() - start)
         if isinstance(result, Granted):
-            self._claims.settle(result.claim, ANSWER)
+            self._claims.settle(result.claim, RESPONSE)
 
 
 def _measure_rate(rate: int) -> Row:
@@ -94,12 +94,12 @@
         )
         clock = SystemClock()
         claims = Claims(EtcdStore(Address.parse(platform.store), clock), clock)
-        load = Load(claims)
+        load = ClaimLoad(claims)
         cpu, start = own_cpu(), time.monotonic()
         load.run(rate)
         seconds = time.monotonic() - start
         cpu = own_cpu() - cpu
-        sleep(LINGER)
+        sleep(SETTLE_TIME)
         counts = platform.counts()["store"]
     times = sorted(load.times)
     writes, calls = counts.get("writes", 0), counts.get("calls", 0)
--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -1,15 +1,15 @@
-"""Bytes and calls of an idle entry towards store, cloud API and engines.
+"""Bytes and calls of an idle entry to the store, the cloud API and the engines.
 
 Usage::
 
     python -m bench.capacity control
 
-All go through proxies that count. What peers cost is measured by ``peers``.
+All connections pass through counting proxies. ``peers`` measures the cost of peers.
 """
 
 import time
 
-from bench.capacity.endpoints import listed, put_text, wait_for_endpoints
+from bench.capacity.endpoints import instance_document, put_text, wait_for_endpoints
 from bench.capacity.proxies import CountingProxy
 from bench.capacity.results import Line, Panel, Row, fit_columns, plot, write
 from bench.capacity.texts_of_size import ZONES, make_text
@@ -46,7 +46,9 @@
             CountingProxy, (platform.store, platform.cloud, engine.address)
         )
         for number in range(size):
-            platform.control("POST", "instances", listed(number, engines.address))
+            platform.control(
+                "POST", "instances", instance_document(number, engines.address)
+            )
         entry = EntryProcess("entry-0", ZONES[0], store.address, cloud.address)
         platform.register(entry)
         entry.launch()
@@ -56,7 +58,7 @@
             entry.wait_until_ready()
             wait_for_endpoints(entry, size)
             time.sleep(SETTLE_SECONDS)
-            row = _window(platform, entry, (store, cloud, engines))
+            row = _measure_window(platform, entry, (store, cloud, engines))
         finally:
             entry.close()
     row = {"endpoints": size, "services": models + 1} | row
@@ -64,7 +66,7 @@
     return row
 
 
-def _window(
+def _measure_window(
     platform: PlatformProcess, entry: EntryProcess, proxies: tuple[CountingProxy, ...]
 ) -> Row:
     before, calls = [each.bytes for each in proxies], _calls(platform)
--- a/bench/capacity/duties.py
+++ b/bench/capacity/duties.py
@@ -1,10 +1,10 @@
-"""What a round of the capacity duty takes, at its holder and at the others.
+"""Processor time of a round of the capacity duty, at the leader and at the others.
 
 Usage::
 
     python -m bench.capacity duties
 
-Calls to engines are answered at once here; each costs what a load report does.
+Calls to engines return immediately here; a real one costs as much as a load report.
 """
 
 from random import Random
@@ -23,50 +23,50 @@
 from sassafrasdale.structures import Address, Instance, Role
 from sassafrasdale.text.current import CurrentText
 
-# Engines and model services.
+# Numbers of engines and of model services.
 SIZES = ((6, 2), (60, 6), (480, 48), (1900, 200))
 ROUNDS = 5
 MILLISECONDS = 1000
 PERCENT = 100
 
 
-class Holder:
-    """Stands for a lease holder that has the duty, or has it not.
+class FakeLease:
+    """Replaces the duty's lease.
 
-    :param holds: which of the two.
+    :param is_held: whether this entry holds it.
     """
 
     state = "holding"
 
-    def __init__(self, holds: bool) -> None:
-        self._holds = holds
+    def __init__(self, is_held: bool) -> None:
+        self._is_held = is_held
 
     def permit(self, checks_fencing: bool) -> Permit:
-        """Return leave, or raise that there is none."""
-        if not self._holds:
+        """Return a permit, or raise if the lease is not held."""
+        if not self._is_held:
             raise LeaseNotHeld("not the holder")
         return Permit(1, ROUND * 100)
 
 
-class Engine:
-    """Stands for the connections to an engine that is as wanted.
+class FakeEngine:
+    """Replaces the connections to an engine that is in the wanted state.
 
     :param service: the model that it has loaded.
     """
 
-    asked = 0
+    calls = 0
 
     def __init__(self, service: str) -> None:
         self._service = service
 
     def ask(self, method: str, path: str, **_options: object) -> dict:
         """Return the engine's state."""
-        Engine.asked += 1
+        FakeEngine.calls += 1
         return {"state": {"load_model": self._service}}
 
 
-class Store:
-    """Stands for a store that holds nothing and takes every write."""
+class EmptyStore:
+    """Replaces the store; it is empty and accepts every write."""
 
     def get(self, key: str) -> None:
         """Return that there is no such key."""
@@ -93,23 +93,25 @@
 
 def _measure_size(engines: int, services: int) -> Row:
     view = _view(engines, services)
-    other = _round_ms(Holder(False), view)
-    asked = Engine.asked
-    holder = _round_ms(Holder(True), view)
+    other = _round_ms(FakeLease(False), view)
+    calls_before = FakeEngine.calls
+    holder = _round_ms(FakeLease(True), view)
     row: Row = {
         "engines": engines,
         "services": services + 1,
         "other_round_ms": other,
         "other_cpu_percent": other / MILLISECONDS / ROUND.total_seconds() * PERCENT,
         "holder_round_ms": holder,
-        "engine_calls": (Engine.asked - asked) / ROUNDS,
+        "engine_calls": (FakeEngine.calls - calls_before) / ROUNDS,
     }
     print(row, flush=True)
     return row
 
 
-def _round_ms(holder: Holder, view: FleetView) -> float:
-    duty = CapacityDuty(holder, None, Store(), lambda: view, SystemClock(), Random(1))
+def _round_ms(lease: FakeLease, view: FleetView) -> float:
+    duty = CapacityDuty(
+        lease, None, EmptyStore(), lambda: view, SystemClock(), Random(1)
+    )
     cpu = own_cpu()
     for _ in range(ROUNDS):
         try:
@@ -126,7 +128,7 @@
     directory = Directory(SystemClock(), adapter_factory=lambda _: None)
     directory.replace(_instance(number, services) for number in range(engines))
     for endpoint in directory.endpoints:
-        endpoint._adapter = Engine(endpoint.instance.service)
+        endpoint._adapter = FakeEngine(endpoint.instance.service)
     return FleetView(current.text, directory.endpoints, (), entries=320)
 
 
--- a/bench/capacity/endpoints.py
+++ b/bench/capacity/endpoints.py
@@ -1,4 +1,4 @@
-"""What one entry pays for the endpoints that it knows.
+"""Processor time and memory of one entry, by the number of known endpoints.
 
 Usage::
 
@@ -64,7 +64,9 @@
 def _measure_size(size: int) -> Row:
     with PlatformProcess() as platform, EngineProcess("engine-0", ZONES[0]) as engine:
         for number in range(size):
-            platform.control("POST", "instances", listed(number, engine.address))
+            platform.control(
+                "POST", "instances", instance_document(number, engine.address)
+            )
         row: Row = {"endpoints": size}
         row |= _entry_row(platform, size)
         row |= _reports_row(engine, size)
@@ -74,7 +76,7 @@
 
 
 def _entry_row(platform: PlatformProcess, size: int) -> Row:
-    """Measure an entry that serves nothing and knows ``size`` endpoints."""
+    """Measure an idle entry that knows ``size`` endpoints."""
     entry = EntryProcess("entry-0", ZONES[0], platform.store, platform.cloud)
     entry.launch()
     try:
@@ -100,15 +102,15 @@
 
 
 def put_text(entry: EntryProcess, text: str, revision: int = 0) -> None:
-    """Put an operators' text in force."""
+    """Apply an operators' configuration."""
     headers = {"If-Match": f'"{revision}"', "Content-Type": "application/yaml"}
-    answer = entry.client.call("PUT", "/admin/v1/text", text.encode(), headers)
-    if answer.status != 200:
-        raise RuntimeError(f"the text was not accepted: {answer.data!r}")
+    response = entry.client.call("PUT", "/admin/v1/text", text.encode(), headers)
+    if response.status != 200:
+        raise RuntimeError(f"the configuration was not accepted: {response.data!r}")
 
 
-def listed(number: int, address: str) -> dict:
-    """Return an engine as the platform's list takes it."""
+def instance_document(number: int, address: str) -> dict:
+    """Return an engine's entry for the platform's instance list."""
     return {
         "name": f"engine-{number}",
         "role": "endpoint",
@@ -121,8 +123,8 @@
 
 def wait_for_endpoints(entry: EntryProcess, size: int) -> None:
     """Wait until the entry lists ``size`` endpoints."""
-    until = time.monotonic() + 60
-    while time.monotonic() < until:
+    deadline = time.monotonic() + 60
+    while time.monotonic() < deadline:
         status = entry.client.call("GET", "/admin/v1/status").json()
         if len(status["endpoints"]) == size:
             return
@@ -135,13 +137,13 @@
 
 
 class CountingAdapter(HttpAdapter):
-    """Adapter that counts what it is asked."""
+    """Adapter that counts its calls."""
 
-    asked = 0
+    calls = 0
 
     def ask(self, *args, **kwargs):
-        """Ask the endpoint and count it."""
-        CountingAdapter.asked += 1
+        """Call the endpoint and count the call."""
+        CountingAdapter.calls += 1
         return super().ask(*args, **kwargs)
 
 
@@ -151,15 +153,15 @@
     directory = Directory(clock, adapter_factory=CountingAdapter)
     directory.replace(_instances(size, Address.parse(engine.address)))
     reader = LoadReader(directory, lambda service: True, clock, Random(1))
-    asked, cpu, start = CountingAdapter.asked, own_cpu(), time.monotonic()
+    calls, cpu, start = CountingAdapter.calls, own_cpu(), time.monotonic()
     reading = spawn(reader.run)
     sleep(timedelta(seconds=WINDOW_SECONDS))
     reading.kill()
-    asked = CountingAdapter.asked - asked
+    calls = CountingAdapter.calls - calls
     return {
-        "reports_s": asked / (time.monotonic() - start),
-        "report_cpu_ms": (own_cpu() - cpu) / asked * MILLISECONDS,
-        "report_round_s": size / asked * (time.monotonic() - start),
+        "reports_s": calls / (time.monotonic() - start),
+        "report_cpu_ms": (own_cpu() - cpu) / calls * MILLISECONDS,
+        "report_round_s": size / calls * (time.monotonic() - start),
     }
 
 
@@ -178,7 +180,7 @@
 
 
 def _choice_ms(size: int) -> float:
-    """Return the processor time of one choice among ``size`` endpoints."""
+    """Return the processor time of choosing among ``size`` endpoints, in ms."""
     clock = SystemClock()
     directory = Directory(clock)
     directory.replace(_instances(size, Address("127.0.0.1", 1)))
--- a/bench/capacity/faults.py
+++ b/bench/capacity/faults.py
@@ -1,12 +1,12 @@
-"""What a fleet of peers goes through when much of it is lost at once.
+"""The reaction of a fleet of peers to the loss of many members at once.
 
 Usage::
 
     python -m bench.capacity faults
 
-Three faults at each size: one node hears of the reclaim of a whole availability
-zone of endpoints; a sixteenth of the entries is killed at once; a fifth, the
-size of a region, and the rest lose each other for a while and find each other.
+Three faults at each size: one node receives the reclaim notices of a whole
+availability zone of endpoints; a fifth of the entries, the size of a region, is
+partitioned from the rest for a while; a sixteenth is killed at once.
 """
 
 import time
@@ -18,7 +18,7 @@
 ENDPOINTS_OF_A_ZONE = 119
 ZONES = 16
 REGIONS = 5
-CUT_SECONDS = 30.0
+PARTITION_SECONDS = 30.0
 SETTLE_SECONDS = 10.0
 PERCENT = 100
 
@@ -44,7 +44,7 @@
         row |= _region_row(fleet, size)
         row |= _zone_row(fleet, size)
     finally:
-        fleet.end()
+        fleet.kill()
     print(row, flush=True)
     return row
 
@@ -57,28 +57,31 @@
         "wave_p50_s": times[len(times) // 2],
         "wave_p99_s": times[len(times) * 99 // 100],
         "wave_max_s": times[-1],
-    } | _cost("wave", before, fleet.usage(), size)
+    } | _usage_row("wave", before, fleet.usage(), size)
 
 
 def _region_row(fleet: Fleet, size: int) -> Row:
-    """Part a fifth from the rest, and join them again."""
+    """Partition a fifth from the rest, then heal the partition."""
     count = max(1, len(fleet.hosts) // REGIONS)
     region, rest = fleet.hosts[:count], fleet.hosts[count:]
     before = fleet.usage()
-    fleet.cut([region, rest])
+    fleet.partition([region, rest])
     start = time.monotonic()
     for part in (region, rest):
         fleet.wait_for_alive(part, _nodes(part) - 1)
-    dead = time.monotonic() - start
-    time.sleep(CUT_SECONDS)
-    cut_cost = _cost("region", before, fleet.usage(), size)
-    fleet.cut([fleet.hosts])
+    seconds_to_dead = time.monotonic() - start
+    time.sleep(PARTITION_SECONDS)
+    partition_cost = _usage_row("region", before, fleet.usage(), size)
+    fleet.partition([fleet.hosts])
     healed = fleet.wait_for_alive(fleet.hosts, size - 1)
-    return {"region_dead_s": dead, "region_healed_s": healed} | cut_cost
+    return {
+        "region_dead_s": seconds_to_dead,
+        "region_healed_s": healed,
+    } | partition_cost
 
 
 def _zone_row(fleet: Fleet, size: int) -> Row:
-    """Kill a sixteenth at once."""
+    """Kill a sixteenth of the nodes at once."""
     count = max(1, len(fleet.hosts) // ZONES)
     killed, rest = fleet.hosts[-count:], fleet.hosts[:-count]
     for host in killed:
@@ -91,7 +94,7 @@
     return sum(len(host.names) for host in hosts)
 
 
-def _cost(name: str, before: Usage, after: Usage, size: int) -> Row:
+def _usage_row(name: str, before: Usage, after: Usage, size: int) -> Row:
     node_seconds = (after.at - before.at) * size
     return {
         f"{name}_window_s": after.at - before.at,
--- a/bench/capacity/handovers.py
+++ b/bench/capacity/handovers.py
@@ -1,4 +1,4 @@
-"""What handing a request over costs its holder and the receiver, by its size.
+"""Processor time of handing over a request, at sender and receiver, by its size.
 
 Usage::
 
@@ -21,7 +21,7 @@
 
 SIZES_KIB = (1, 8, 32, 128)
 COUNT = 260
-AT_ONCE = 16
+CONCURRENCY = 16
 KIBIBYTE = 2**10
 MILLISECONDS = 1000
 
@@ -30,11 +30,11 @@
     """Measure every size and write the table and the plot."""
     fleet = Fleet(1)
     try:
-        node, inbox = _holder(fleet)
+        node, inbox = _sender(fleet)
         rows = [_measure_size(node, fleet, size) for size in SIZES_KIB]
         node.stop()
     finally:
-        fleet.end()
+        fleet.kill()
     slopes = {
         f"{y} by KiB": fit_columns(rows, "kib", y)
         for y in ("holder_cpu_ms", "receiver_cpu_ms")
@@ -49,8 +49,8 @@
     plot("capacity-handovers", rows, panels)
 
 
-def _holder(fleet: Fleet) -> tuple[PeerNode, Queue]:
-    """Return a node of this process that knows the one of the fleet."""
+def _sender(fleet: Fleet) -> tuple[PeerNode, Queue]:
+    """Return a node in this process that knows the fleet's node, and its inbox."""
     inbox: Queue = Queue()
     settings = Settings("leaving", "zone-b")
     node = PeerNode(settings, SystemClock(), Random(1), inbox)
@@ -66,19 +66,19 @@
 
 
 def _measure_size(node: PeerNode, fleet: Fleet, kib: int) -> Row:
-    """Hand ``COUNT`` requests over, several at once as a leaving entry does."""
+    """Hand over ``COUNT`` requests, several concurrently, as a leaving entry does."""
     body = bytes(kib * KIBIBYTE)
     refused = []
 
-    def give(first: int) -> None:
-        for number in range(first, COUNT, AT_ONCE):
+    def send(first: int) -> None:
+        for number in range(first, COUNT, CONCURRENCY):
             handover = HandOver(f"request-{number}", "leaving", body)
             if not node.hand_over(fleet.candidates[0][0], handover):
                 refused.append(number)
 
     before = fleet.usage()
     cpu, start = own_cpu(), time.monotonic()
-    tasks = [spawn(give, first) for first in range(AT_ONCE)]
+    tasks = [spawn(send, first) for first in range(CONCURRENCY)]
     for task in tasks:
         task.wait()
     seconds = time.monotonic() - start
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -1,4 +1,4 @@
-"""Where an entry's memory goes before it knows or serves anything.
+"""Resident memory of an idle entry, by the modules that are loaded.
 
 Usage::
 
--- a/bench/capacity/peer_fleet.py
+++ b/bench/capacity/peer_fleet.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a measured fleet of peers and reads what they hear."""
+"""Starts the processes of a measured fleet of peers and reads their reports."""
 
 import json
 import queue
@@ -11,20 +11,20 @@
 from datetime import timedelta
 
 ZONE_COUNT = 16
-START_LIMIT = timedelta(seconds=240)
+START_TIMEOUT = timedelta(seconds=240)
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What all processes of the fleet have used so far.
+    """The resource usage of all processes of the fleet so far.
 
     :param cpu: processor time in seconds.
     :param resident: resident memory in bytes.
     :param received: bytes of HTTP/2 received.
-    :param connections: connections made or taken.
+    :param connections: connections opened or accepted.
     :param open: connections that are open.
     :param segments: TCP segments sent.
-    :param doubts: how often a node ceased to take another for alive.
+    :param doubts: how often a node stopped considering another one alive.
     :param at: monotonic time in seconds.
     """
 
@@ -51,12 +51,12 @@
             text=True,
         )
 
-    def tell(self, **command: object) -> None:
+    def send(self, **command: object) -> None:
         """Send one command."""
         self.process.stdin.write(json.dumps(command) + "\n")
         self.process.stdin.flush()
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kill the process."""
         self.process.kill()
         self.process.wait()
@@ -64,10 +64,10 @@
 
 
 class Fleet:
-    """Peers in processes, each knowing the full list, as from the platform.
+    """Peers in processes, each with the full list of peers, as from the platform.
 
     :param size: number of nodes.
-    :param nodes_a_process: how many share a process.
+    :param nodes_a_process: number of nodes in each process.
     """
 
     def __init__(self, size: int, nodes_a_process: int = 1) -> None:
@@ -77,7 +77,7 @@
         }
         self._size = size
         self._sent: dict[str, float] = {}
-        self._heard: dict[str, dict[str, float]] = defaultdict(dict)
+        self._received: dict[str, dict[str, float]] = defaultdict(dict)
         self._alive: dict[str, int] = {}
         self._dead: dict[str, dict[str, float]] = defaultdict(dict)
         self._measures: queue.Queue[dict] = queue.Queue()
@@ -93,10 +93,10 @@
         self.candidates = [(name, self._zones[name], addresses[name]) for name in names]
 
     def join(self) -> float:
-        """Give the list to all and return seconds until all know all alive."""
+        """Send the list to all and return the seconds until all consider all alive."""
         start = time.monotonic()
         for host in self.hosts:
-            host.tell(do="introduce", candidates=self.candidates)
+            host.send(do="introduce", candidates=self.candidates)
         self.wait(
             lambda: (
                 len(self._alive) == self._size
@@ -108,39 +108,39 @@
     def usage(self) -> Usage:
         """Return the sums over all processes."""
         for host in self.hosts:
-            host.tell(do="measure")
-        parts = [self._measures.get(timeout=30) for _ in self.hosts]
-        sums = {key: sum(part[key] for part in parts) for key in parts[0]}
-        return Usage(**(sums | {"at": sums["at"] / len(parts)}))
-
-    def spread(self, what: str, host: HostProcess, **command: object) -> list[float]:
-        """Have a node spread news; return sorted seconds until each other heard."""
-        host.tell(do=what, **command)
-        number = command["sequence" if what == "notice" else "revision"]
-        news = f"{what}-{number}"
-        self.wait(lambda: len(self._heard[news]) >= self._size - 1)
-        start = self._sent[news]
-        return sorted(at - start for at in self._heard[news].values())
+            host.send(do="measure")
+        usages = [self._measures.get(timeout=30) for _ in self.hosts]
+        sums = {key: sum(usage[key] for usage in usages) for key in usages[0]}
+        return Usage(**(sums | {"at": sums["at"] / len(usages)}))
+
+    def spread(self, kind: str, host: HostProcess, **command: object) -> list[float]:
+        """Have a node spread an update; return sorted seconds until others have it."""
+        host.send(do=kind, **command)
+        number = command["sequence" if kind == "notice" else "revision"]
+        update = f"{kind}-{number}"
+        self.wait(lambda: len(self._received[update]) >= self._size - 1)
+        start = self._sent[update]
+        return sorted(at - start for at in self._received[update].values())
 
     def spread_wave(self, host: HostProcess, first: int, count: int) -> list[float]:
-        """Have a node hear of ``count`` reclaims at once.
+        """Have a node receive ``count`` reclaim notices at once.
 
-        :returns: sorted seconds until each other node had heard of all.
+        :returns: sorted seconds until each other node had received all.
         """
         name = host.names[0]
-        host.tell(do="wave", first=first, count=count, name=name)
+        host.send(do="wave", first=first, count=count, name=name)
         wave = [f"notice-{number}" for number in range(first, first + count)]
         others = self._size - 1
-        self.wait(lambda: all(len(self._heard[news]) >= others for news in wave))
+        self.wait(lambda: all(len(self._received[update]) >= others for update in wave))
         start = self._sent[wave[-1]]
         last: dict[str, float] = defaultdict(float)
-        for news in wave:
-            for by, at in self._heard[news].items():
+        for update in wave:
+            for by, at in self._received[update].items():
                 last[by] = max(last[by], at - start)
         return sorted(last.values())
 
-    def cut(self, parts: list[list[HostProcess]]) -> None:
-        """Let no part reach another; one part of all hosts heals the cut."""
+    def partition(self, parts: list[list[HostProcess]]) -> None:
+        """Partition the parts from each other; one part of all hosts heals this."""
         for part in parts:
             inside = {id(host) for host in part}
             outside = [
@@ -150,17 +150,17 @@
                 for name in host.names
             ]
             for host in part:
-                host.tell(do="cut", addresses=outside)
+                host.send(do="cut", addresses=outside)
 
     def wait_for_alive(self, part: list[HostProcess], count: int) -> float:
-        """Return seconds until every node of ``part`` has ``count`` others alive."""
+        """Return seconds until each node of ``part`` knows ``count`` others alive."""
         start = time.monotonic()
         names = [name for host in part for name in host.names]
         self.wait(lambda: all(self._alive.get(name) == count for name in names))
         return time.monotonic() - start
 
     def seconds_to_dead(self, victim: HostProcess, start: float) -> list[float]:
-        """Wait until all others have the victim's first node as dead.
+        """Wait until all others consider the victim's first node dead.
 
         :returns: sorted seconds from ``start`` until each other node did.
         """
@@ -170,36 +170,36 @@
         self.wait(lambda: len(self._dead[name]) >= others)
         return sorted(at - start for at in self._dead[name].values())
 
-    def leave_out(self, host: HostProcess) -> None:
-        """Expect nothing more of the nodes of a killed process."""
+    def exclude(self, host: HostProcess) -> None:
+        """Expect no more reports from the nodes of a killed process."""
         self._size -= len(host.names)
 
-    def wait(self, condition, limit: timedelta = START_LIMIT) -> None:
+    def wait(self, condition, limit: timedelta = START_TIMEOUT) -> None:
         """Wait until ``condition`` holds.
 
         :raises TimeoutError: after ``limit``.
         """
-        until = time.monotonic() + limit.total_seconds()
+        deadline = time.monotonic() + limit.total_seconds()
         while not condition():
-            if time.monotonic() > until:
-                raise TimeoutError(f"not so within {limit}")
+            if time.monotonic() > deadline:
+                raise TimeoutError(f"the condition did not hold within {limit}")
             time.sleep(0.02)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kill every process."""
         for host in self.hosts:
-            host.end()
+            host.kill()
 
     def _read(self, host: HostProcess) -> None:
         for line in host.process.stdout:
-            self._take(json.loads(line))
+            self._handle_line(json.loads(line))
 
-    def _take(self, line: dict) -> None:
+    def _handle_line(self, line: dict) -> None:
         match line:
-            case {"heard": news, "by": name, "at": at}:
-                self._heard[news].setdefault(name, at)
-            case {"sent": news, "at": at}:
-                self._sent[news] = at
+            case {"heard": update, "by": name, "at": at}:
+                self._received[update].setdefault(name, at)
+            case {"sent": update, "at": at}:
+                self._sent[update] = at
             case {"alive": alive, "dead": dead, "by": name, "at": at}:
                 self._alive[name] = alive
                 for each in dead:
--- a/bench/capacity/peer_host.py
+++ b/bench/capacity/peer_host.py
@@ -1,7 +1,7 @@
 """A process with one or more peer nodes, driven by JSON lines.
 
-Standard input takes commands, standard output gives what the nodes hear. Times
-are of the machine's monotonic clock, which all processes share.
+Standard input takes commands, standard output reports what the nodes receive. Times
+are from the machine's monotonic clock, which all processes share.
 """
 
 import asyncio
@@ -46,16 +46,16 @@
     peer_address: Address = Address("127.0.0.1", 0)
 
 
-class CuttableChannels(ChannelPool):
-    """Channels that can be cut from some addresses."""
+class PartitionableChannels(ChannelPool):
+    """Channels that can be partitioned from some addresses."""
 
-    cut: frozenset[Address] = frozenset()
+    unreachable: frozenset[Address] = frozenset()
 
     async def call(self, address, call, limit):
-        """Make a call, or get no answer if the address is cut off."""
-        if address in CuttableChannels.cut:
+        """Make a call; it times out if the address is unreachable."""
+        if address in PartitionableChannels.unreachable:
             await asyncio.sleep(limit.total_seconds())
-            raise PeerNotReached(f"{address} is cut off")
+            raise PeerNotReached(f"{address} is unreachable")
         return await super().call(address, call, limit)
 
 
@@ -67,16 +67,16 @@
 
     def __init__(self, names: list[tuple[str, str]]) -> None:
         self._traffic = count_traffic()
-        self._writing = threading.Lock()
+        self._write_lock = threading.Lock()
         self._doubts = 0
         self._alive: dict[str, int] = {}
         self._nodes = {name: self._start(name, zone) for name, zone in names}
 
     def run(self) -> None:
-        """Tell the addresses and then what is heard, until input ends."""
+        """Report the addresses and then what the nodes receive, until input ends."""
         addresses = {name: str(node.peer_address) for name, node in self.nodes.items()}
         self.write(addresses=addresses)
-        threading.Thread(target=self._take_commands, daemon=True).start()
+        threading.Thread(target=self._run_commands, daemon=True).start()
         Event().wait()
 
     @property
@@ -86,7 +86,7 @@
 
     def write(self, **line: object) -> None:
         """Write one JSON line."""
-        with self._writing:
+        with self._write_lock:
             sys.stdout.write(json.dumps(line) + "\n")
             sys.stdout.flush()
 
@@ -98,7 +98,7 @@
         return node
 
     def _report(self, name: str, inbox: Queue) -> None:
-        """Tell what one node hears."""
+        """Report what one node receives."""
         while True:
             message = inbox.get()
             now = time.monotonic()
@@ -118,7 +118,7 @@
                     ]
                     self.write(alive=alive, dead=dead, by=name, at=now)
 
-    def _take_commands(self) -> None:
+    def _run_commands(self) -> None:
         for line in sys.stdin:
             command = json.loads(line)
             getattr(self, f"_do_{command.pop('do')}")(**command)
@@ -138,14 +138,14 @@
         self._nodes[name].spread_notice(notice)
 
     def _do_wave(self, first: int, count: int, name: str) -> None:
-        """Have a node hear of many reclaims at once."""
+        """Have a node receive many reclaim notices at once."""
         self.write(sent=f"notice-{first + count - 1}", at=time.monotonic())
         for sequence in range(first, first + count):
             notice = Notice(sequence, f"endpoint-{sequence}", EPOCH)
             self._nodes[name].spread_notice(notice)
 
     def _do_cut(self, addresses: list[str]) -> None:
-        CuttableChannels.cut = frozenset(map(Address.parse, addresses))
+        PartitionableChannels.unreachable = frozenset(map(Address.parse, addresses))
 
     def _do_text(self, revision: int, name: str, text: str) -> None:
         record = TextRecord(revision, f"edit-{revision}", "bench", EPOCH, text)
@@ -167,5 +167,5 @@
 
 
 if __name__ == "__main__":
-    agent_module.ChannelPool = CuttableChannels
+    agent_module.ChannelPool = PartitionableChannels
     Host([tuple(name.split("=")) for name in sys.argv[1:]]).run()
--- a/bench/capacity/peers.py
+++ b/bench/capacity/peers.py
@@ -1,4 +1,4 @@
-"""What a peer costs, and how fast news and failures are known, by fleet size.
+"""The cost of a peer, and the times to spread updates and detect failures.
 
 Usage::
 
@@ -22,16 +22,16 @@
 from sassafrasdale.structures import Address
 
 SIZES = ((3, 1), (9, 1), (27, 1), (81, 1))
-# Sizes for the membership alone; fleets of this size need more machines.
+# Sizes for the membership table alone; such fleets need several machines.
 TABLE_SIZES = (9, 81, 320, 1280)
 TABLE_CHANGES = 200
 QUIET_SECONDS = 40.0
-# After a start of all at once, until its news has been passed on often enough.
+# After all start at once: the time until their joins are no longer passed on.
 SETTLE_SECONDS = 5.0
 SETTLE_SECONDS_A_NODE = 0.3
-NEWS_COUNT = 20
-NEWS_PAUSE = 0.5
-# About the size of the operators' text of a deployment with 30 services.
+UPDATE_COUNT = 20
+UPDATE_INTERVAL = 0.5
+# About the size of the operators' configuration for 30 services.
 TEXT = "services:\n" + "".join(
     f"  service-{number}:\n    timeout: {number}s\n" for number in range(600)
 )
@@ -44,11 +44,11 @@
 
 def measure() -> None:
     """Measure every size and write the table and the plot."""
-    lone = _measure_alone()
+    alone = _measure_alone()
     rows = [_measure_size(size, share) for size, share in SIZES]
     tables = {
         "peers": rows,
-        "alone": [lone],
+        "alone": [alone],
         "membership": [_measure_table(size) for size in TABLE_SIZES],
     }
     slopes = _slopes(rows)
@@ -65,12 +65,12 @@
 
 
 def _measure_alone() -> Row:
-    """Measure a process with a node that has no peers: the floor."""
+    """Measure a process with a node that has no peers, as the baseline."""
     fleet = Fleet(1)
     try:
         before, after = _quiet(fleet)
     finally:
-        fleet.end()
+        fleet.kill()
     return {
         "cpu_percent": (after.cpu - before.cpu) / (after.at - before.at) * PERCENT,
         "resident_mib": after.resident / MEBIBYTE,
@@ -78,7 +78,7 @@
 
 
 def _measure_table(size: int) -> Row:
-    """Measure what one entry's membership of ``size`` takes, without messages."""
+    """Measure one entry's membership table of ``size`` nodes, without messages."""
     members = [
         Member(f"entry-{number}", f"zone-{number % ZONE_COUNT}", ADDRESS, ADDRESS)
         for number in range(size)
@@ -87,7 +87,7 @@
     membership = Membership(members[0], SystemClock(), Random(1), PeerTimings())
     for member in members[1:]:
         membership.apply(replace(member, incarnation=1))
-    taken = tracemalloc.get_traced_memory()[0]
+    allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     start = own_cpu()
     for number in range(TABLE_CHANGES):
@@ -100,7 +100,7 @@
     cpu = (own_cpu() - start) / TABLE_CHANGES
     row: Row = {
         "nodes": size,
-        "membership_kib": taken / KIBIBYTE,
+        "membership_kib": allocated / KIBIBYTE,
         "change_cpu_ms": cpu * MILLISECONDS,
     }
     print(row, flush=True)
@@ -114,10 +114,10 @@
         time.sleep(SETTLE_SECONDS + SETTLE_SECONDS_A_NODE * size)
         row: Row = {"nodes": size, "nodes_a_process": share, "join_s": joined}
         row |= _quiet_row(fleet, size)
-        row |= _news_row(fleet, size, row)
+        row |= _update_row(fleet, size, row)
         row |= _failure_row(fleet, size)
     finally:
-        fleet.end()
+        fleet.kill()
     print(row, flush=True)
     return row
 
@@ -129,7 +129,7 @@
 
 
 def _quiet_row(fleet: Fleet, size: int) -> Row:
-    """Measure while nothing happens but probes."""
+    """Measure while peers only probe each other."""
     before, after = _quiet(fleet)
     node_seconds = (after.at - before.at) * size
     payload = (after.received - before.received) / node_seconds
@@ -146,27 +146,27 @@
     }
 
 
-def _news_row(fleet: Fleet, size: int, quiet: Row) -> Row:
-    """Spread notices and texts from random nodes; costs are above the quiet ones."""
+def _update_row(fleet: Fleet, size: int, quiet: Row) -> Row:
+    """Spread notices and texts from random nodes; costs exclude those while quiet."""
     rng = Random(size)
     times: dict[str, list[float]] = {"notice": [], "text": []}
     costs: dict[str, float] = {}
-    for what in times:
+    for kind in times:
         before = fleet.usage()
-        for number in range(1, NEWS_COUNT + 1):
+        for number in range(1, UPDATE_COUNT + 1):
             host = rng.choice(fleet.hosts)
             extra = {"sequence": number}
-            if what == "text":
+            if kind == "text":
                 extra = {"revision": number, "text": f"{TEXT}# {number}\n"}
-            times[what] += fleet.spread(what, host, name=host.names[0], **extra)
-            time.sleep(NEWS_PAUSE)
+            times[kind] += fleet.spread(kind, host, name=host.names[0], **extra)
+            time.sleep(UPDATE_INTERVAL)
         after = fleet.usage()
         window = after.at - before.at
         cpu = (after.cpu - before.cpu) / size - quiet["cpu_percent"] / PERCENT * window
         payload = (after.received - before.received) / size
         payload -= quiet["payload_bytes_s"] * window
-        costs[f"{what}_cpu_ms"] = cpu / NEWS_COUNT * MILLISECONDS
-        costs[f"{what}_bytes"] = payload / NEWS_COUNT
+        costs[f"{kind}_cpu_ms"] = cpu / UPDATE_COUNT * MILLISECONDS
+        costs[f"{kind}_bytes"] = payload / UPDATE_COUNT
     return {
         "notice_p50_s": _percentile(times["notice"], 50),
         "notice_p99_s": _percentile(times["notice"], 99),
@@ -179,11 +179,11 @@
 
 
 def _failure_row(fleet: Fleet, size: int) -> Row:
-    """Kill one process and freeze one; a fleet of three loses one only."""
+    """Kill one process and freeze another; a fleet of three only loses one."""
     killed = _seconds_to_dead(fleet, fleet.hosts[-1], signal.SIGKILL)
     row: Row = {"killed_first_s": killed[0], "killed_s": killed[-1]}
     if size > 3:
-        fleet.leave_out(fleet.hosts[-1])
+        fleet.exclude(fleet.hosts[-1])
         frozen = _seconds_to_dead(fleet, fleet.hosts[0], signal.SIGSTOP)
         row |= {"frozen_first_s": frozen[0], "frozen_s": frozen[-1]}
     return row
--- a/bench/capacity/proxies.py
+++ b/bench/capacity/proxies.py
@@ -1,4 +1,4 @@
-"""A TCP forwarder that counts what passes in both directions."""
+"""A TCP proxy that counts the bytes in both directions."""
 
 import socket
 import threading
@@ -8,7 +8,7 @@
 
 
 class CountingProxy:
-    """Forwards connections to ``target``; runs in threads of its own.
+    """Forwards connections to ``target``; runs in its own threads.
 
     :param target: address as ``host:port``.
     """
@@ -16,20 +16,20 @@
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
-        self._listening = socket.create_server((LOOPBACK, 0), backlog=1024)
-        self._counting = threading.Lock()
+        self._listener = socket.create_server((LOOPBACK, 0), backlog=1024)
+        self._lock = threading.Lock()
         self.bytes = 0
         threading.Thread(target=self._accept, daemon=True).start()
 
     @property
     def address(self) -> str:
         """Where it listens, as ``host:port``."""
-        host, port = self._listening.getsockname()
+        host, port = self._listener.getsockname()
         return f"{host}:{port}"
 
     def _accept(self) -> None:
         while True:
-            client, _ = self._listening.accept()
+            client, _ = self._listener.accept()
             server = socket.create_connection(self._target)
             for source, sink in ((client, server), (server, client)):
                 threading.Thread(
@@ -39,7 +39,7 @@
     def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             while data := source.recv(CHUNK):
-                with self._counting:
+                with self._lock:
                     self.bytes += len(data)
                 sink.sendall(data)
         except OSError:
--- a/bench/capacity/results.py
+++ b/bench/capacity/results.py
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """Straight line through measured points."""
+    """A straight line fitted to measured points."""
 
     intercept: float
     slope: float
@@ -34,8 +34,8 @@
     """One plot of a column against another.
 
     :param x: column of the horizontal axis.
-    :param ys: columns that are drawn.
-    :param title: what the panel shows, with its unit.
+    :param ys: columns of the vertical axis.
+    :param title: title of the panel, with the unit.
     """
 
     x: str
@@ -63,10 +63,10 @@
 ) -> None:
     """Write the tables of a run as JSON and print them.
 
-    :param name: name of the file without its ending.
+    :param name: file name without its extension.
     :param tables: rows by table.
-    :param slopes: fitted lines by what they describe.
-    :param command: how the run is repeated.
+    :param slopes: fitted lines by their description.
+    :param command: command that repeats the run.
     """
     RESULTS.mkdir(parents=True, exist_ok=True)
     document = {
@@ -97,9 +97,9 @@
     figure = Figure(figsize=(4.5 * len(panels), 3.5), layout="constrained")
     subplots = figure.subplots(1, len(panels), squeeze=False)[0]
     for axes, panel in zip(subplots, panels, strict=True):
-        drawn = [row for row in rows if panel.x in row]
+        plotted = [row for row in rows if panel.x in row]
         for y in panel.ys:
-            points = [(row[panel.x], row[y]) for row in drawn if y in row]
+            points = [(row[panel.x], row[y]) for row in plotted if y in row]
             axes.plot(*zip(*points, strict=True), marker="o", label=y)
         axes.set_title(panel.title, fontsize=9)
         axes.set_xlabel(panel.x)
--- a/bench/capacity/serving.py
+++ b/bench/capacity/serving.py
@@ -1,11 +1,10 @@
-"""What an entry's serving path costs a request and a stream event.
+"""Processor time of an entry for a request and for a stream event.
 
 Usage::
 
     python -m bench.capacity serving
 
-Kept apart from control: an entry that serves nothing is measured first and its
-cost taken off.
+The cost of an idle entry is measured first and subtracted.
 """
 
 import time
@@ -67,12 +66,12 @@
     idle = _idle_cpu(entry)
     requests = [_requests_row(entry, count, idle) for count in REQUEST_COUNTS]
     streams = [_streams_row(entry, tokens, idle) for tokens in STREAM_TOKENS]
-    floor = [{"idle_cpu_percent": idle * 100}]
+    idle_rows = [{"idle_cpu_percent": idle * 100}]
     slopes = {
         "cpu_ms by requests": fit_columns(requests, "requests", "cpu_ms"),
         "cpu_ms of a stream by tokens": fit_columns(streams, "tokens", "cpu_ms"),
     }
-    tables = {"idle": floor, "requests": requests, "streams": streams}
+    tables = {"idle": idle_rows, "requests": requests, "streams": streams}
     write("serving", tables, slopes, "python -m bench.capacity serving")
     panels = (Panel("requests", ("cpu_ms",), "processor time of all requests, ms"),)
     plot("capacity-requests", requests, panels)
@@ -81,22 +80,22 @@
 
 
 def _idle_cpu(entry: EntryProcess) -> float:
-    """Return the share of a core that the entry takes with no request."""
+    """Return the share of a core that the idle entry uses."""
     cpu, start = cpu_of(entry.pid), time.monotonic()
     time.sleep(IDLE_SECONDS)
     return (cpu_of(entry.pid) - cpu) / (time.monotonic() - start)
 
 
 def _requests_row(entry: EntryProcess, count: int, idle: float) -> Row:
-    """Look up ``count`` times."""
+    """Measure ``count`` lookups."""
 
     def look_up(number: int) -> None:
         path = f"/v1/services/records/lookups/{number}"
-        answer = entry.client.call("GET", path, headers=HEADERS)
-        if answer.status != 200:
-            raise RuntimeError(f"{answer.status} {answer.data!r}")
+        response = entry.client.call("GET", path, headers=HEADERS)
+        if response.status != 200:
+            raise RuntimeError(f"{response.status} {response.data!r}")
 
-    cpu, seconds = _spent(entry, look_up, count)
+    cpu, seconds = _measure_calls(entry, look_up, count)
     row: Row = {
         "requests": count,
         "seconds": seconds,
@@ -110,7 +109,7 @@
 
 
 def _streams_row(entry: EntryProcess, tokens: int, idle: float) -> Row:
-    """Stream ``STREAMS`` answers of ``tokens`` tokens."""
+    """Measure ``STREAMS`` streams of ``tokens`` tokens."""
 
     def stream(number: int) -> None:
         body = {
@@ -119,26 +118,28 @@
             "max_tokens": tokens,
             "stream": True,
         }
-        answer = entry.client.stream("POST", "/v1/chat/completions", body, HEADERS)
-        data = b"".join(answer.stream(65536))
+        response = entry.client.stream("POST", "/v1/chat/completions", body, HEADERS)
+        data = b"".join(response.stream(65536))
         if not data.rstrip().endswith(b"data: [DONE]"):
-            raise RuntimeError(f"{answer.status}: a stream was cut: {data[-200:]!r}")
+            raise RuntimeError(
+                f"{response.status}: the stream was interrupted: {data[-200:]!r}"
+            )
 
-    cpu, seconds = _spent(entry, stream, STREAMS)
-    own = cpu - idle * seconds
+    cpu, seconds = _measure_calls(entry, stream, STREAMS)
+    above_idle = cpu - idle * seconds
     row: Row = {
         "tokens": tokens,
         "seconds": seconds,
         "events_s": STREAMS * tokens / seconds,
-        "cpu_ms": own / STREAMS * MILLISECONDS,
-        "cpu_us_an_event": own / STREAMS / tokens * MICROSECONDS,
+        "cpu_ms": above_idle / STREAMS * MILLISECONDS,
+        "cpu_us_an_event": above_idle / STREAMS / tokens * MICROSECONDS,
         "resident_mib": resident_bytes(entry.pid) / MEBIBYTE,
     }
     print(row, flush=True)
     return row
 
 
-def _spent(entry: EntryProcess, call, count: int) -> tuple[float, float]:
+def _measure_calls(entry: EntryProcess, call, count: int) -> tuple[float, float]:
     """Return processor and elapsed seconds for ``count`` calls."""
     cpu, start = cpu_of(entry.pid), time.monotonic()
     with ThreadPoolExecutor(WORKERS) as workers:
--- a/bench/capacity/telemetry.py
+++ b/bench/capacity/telemetry.py
@@ -1,4 +1,4 @@
-"""What the scrape page costs by the number of services.
+"""Size and processor time of the scrape page, by the number of services.
 
 Usage::
 
--- a/bench/capacity/texts.py
+++ b/bench/capacity/texts.py
@@ -1,4 +1,4 @@
-"""What a change of the operators' text costs, by size of text and by number.
+"""The cost of configuration changes, by size and by number.
 
 Usage::
 
@@ -97,10 +97,10 @@
 
 
 class Changes:
-    """Edits of the text in force on a few entries.
+    """Edits of the current configuration on a few entries.
 
     :param platform: the platform's stand-in.
-    :param entries: the entries, ready.
+    :param entries: the entries, which are ready.
     """
 
     def __init__(self, platform: PlatformProcess, entries: list[EntryProcess]) -> None:
@@ -115,7 +115,7 @@
         return [self._row(count, idle_cpu, idle_calls) for count in CHANGE_COUNTS]
 
     def _idle(self) -> tuple[float, dict[str, float]]:
-        """Return what one second without changes costs."""
+        """Return the cost of one second without changes."""
         cpu, calls, start = self._cpu(), self._calls(), time.monotonic()
         time.sleep(IDLE_SECONDS)
         seconds = time.monotonic() - start
@@ -125,8 +125,8 @@
 
     def _row(self, count: int, idle_cpu: float, idle_calls: dict[str, float]) -> Row:
         cpu, calls, start = self._cpu(), self._calls(), time.monotonic()
-        with ThreadPoolExecutor(len(self._entries)) as waiting:
-            times = [self._change(waiting) for _ in range(count)]
+        with ThreadPoolExecutor(len(self._entries)) as waiters:
+            times = [self._change(waiters) for _ in range(count)]
         seconds = time.monotonic() - start
         after = self._calls()
         above_idle = self._cpu() - cpu - idle_cpu * seconds
@@ -144,10 +144,12 @@
         print(row, flush=True)
         return row
 
-    def _change(self, waiting: ThreadPoolExecutor) -> float:
-        """Make one edit and return seconds until it is in force everywhere."""
+    def _change(self, waiters: ThreadPoolExecutor) -> float:
+        """Make one edit and return the seconds until all entries have applied it."""
         revision = self._revision
-        waits = [waiting.submit(_wait_newer, each, revision) for each in self._entries]
+        waits = [
+            waiters.submit(_wait_for_newer, each, revision) for each in self._entries
+        ]
         text = make_text(MODELS, mark=f"edit {revision}")
         start = time.monotonic()
         put_text(self._rng.choice(self._entries), text, revision)
@@ -162,13 +164,13 @@
         return {kind: counts.get(kind, 0) for kind in STORE_KINDS}
 
 
-def _wait_newer(entry: EntryProcess, revision: int) -> float:
-    """Return the monotonic time at which a newer text was in force."""
-    answer = entry.client.call(
+def _wait_for_newer(entry: EntryProcess, revision: int) -> float:
+    """Return the monotonic time at which a newer configuration was applied."""
+    response = entry.client.call(
         "GET",
         f"/admin/v1/text?wait_ms={WAIT_MS}",
         headers={"If-None-Match": f'"{revision}"'},
     )
-    if answer.status != 200:
-        raise RuntimeError(f"{entry.name}: {answer.status} while waiting for a text")
+    if response.status != 200:
+        raise RuntimeError(f"{entry.name}: {response.status} while waiting for a text")
     return time.monotonic()
--- a/bench/capacity/texts_of_size.py
+++ b/bench/capacity/texts_of_size.py
@@ -1,4 +1,4 @@
-"""Operators' texts of a wanted number of services."""
+"""Generates operators' configurations with a given number of services."""
 
 from random import Random
 
@@ -51,10 +51,10 @@
 
 
 def make_text(models: int, *, replicas: int = 6, mark: str = "") -> str:
-    """Return a text with one plain service and ``models`` model services.
+    """Return a configuration with one plain and ``models`` model services.
 
     :param replicas: endpoints of each model service.
-    :param mark: a comment that makes the text differ from others.
+    :param mark: comment that makes the configuration unique.
     """
     rng = Random(models)
     services = "".join(_model(number, replicas, rng) for number in range(models))
@@ -62,7 +62,7 @@
 
 
 def _model(number: int, replicas: int, rng: Random) -> str:
-    """Return one service; its values differ so that it compresses as real ones."""
+    """Return one service; its values vary so that it compresses like a real one."""
     return MODEL.format(
         number=number,
         replicas=replicas,
--- a/bench/capacity/traffic.py
+++ b/bench/capacity/traffic.py
@@ -1,7 +1,7 @@
-"""Counts what grpclib's connections of this process carry.
+"""Counts the traffic of this process's grpclib connections.
 
-The benchmark wraps two methods of the library's protocol class; the package
-itself is measured as it ships.
+The benchmark wraps three methods of the library's protocol class; the package itself
+is measured unchanged.
 """
 
 import socket
@@ -44,14 +44,14 @@
 
 
 def total_segments(traffic: Traffic) -> int:
-    """Return the segments sent, those of open connections too."""
+    """Return the segments sent, including those of open connections."""
     return traffic.segments + sum(_segments(each) for each in _open.copy())
 
 
 def count_traffic() -> Traffic:
-    """Count from now on and return the counts, which grow."""
+    """Start counting and return the counts, which are updated in place."""
     traffic = Traffic()
-    made, received, lost = (
+    original_made, original_received, original_lost = (
         H2Protocol.connection_made,
         H2Protocol.data_received,
         H2Protocol.connection_lost,
@@ -61,16 +61,16 @@
         traffic.connections += 1
         self.counted_transport = transport
         _open.add(self)
-        made(self, transport)
+        original_made(self, transport)
 
     def data_received(self, data):
         traffic.received += len(data)
-        received(self, data)
+        original_received(self, data)
 
     def connection_lost(self, exc):
         traffic.segments += _segments(self)
         _open.discard(self)
-        lost(self, exc)
+        original_lost(self, exc)
 
     H2Protocol.connection_made = connection_made
     H2Protocol.data_received = data_received
--- a/bench/capacity/usage.py
+++ b/bench/capacity/usage.py
@@ -1,4 +1,4 @@
-"""What a process has used so far, from the kernel's own counts."""
+"""Resource usage of a process, from the kernel's counters."""
 
 import os
 import time
