--- a/bench/traces/__init__.py
+++ b/bench/traces/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded traces, their generator, and the outcomes stated for them."""
+"""Recorded traces, their generator, and the outcomes expected of them."""
--- a/bench/traces/generate.py
+++ b/bench/traces/generate.py
@@ -1,4 +1,4 @@
-"""Writes the recorded traces: the launch day of each user, in five minutes.
+"""Writes the recorded traces: each user's launch day, compressed to five minutes.
 
 Usage::
 
@@ -25,21 +25,21 @@
 DURATION = 300.0
 """Length of a trace, in seconds."""
 
-# Time in seconds and load as a share of the peak: quiet, an unforecast climb in
-# half a minute, the peak, and half of it for the rest of the day.
+# Time in seconds and load as a share of the peak: quiet, an unexpected rise within
+# half a minute, the peak, and about half of it for the rest of the day.
 LAUNCH = ((0, 0.15), (60, 0.2), (90, 1.0), (210, 1.0), (230, 0.5), (300, 0.4))
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """What one user sends.
+    """The traffic of one user.
 
     :param name: the user.
     :param seed: seed of the trace.
-    :param generations_peak: generations a second at the peak.
-    :param lookups_peak: lookups a second at the peak.
+    :param generations_peak: generations per second at the peak.
+    :param lookups_peak: lookups per second at the peak.
     :param customers: customer names with their shares of the load.
-    :param threads: threads of all customers; 0 if each prompt stands alone.
+    :param threads: threads of all customers; 0 if no prompt belongs to a thread.
     """
 
     name: str
@@ -84,13 +84,13 @@
     """Return the rows of a workload's trace, by time."""
     rng = Random(workload.seed)
     make = _threads if workload.threads else _reports
-    found = []
+    trace = []
     times = _arrivals(workload.generations_peak, rng)
     for at, row in zip(times, make(workload, rng), strict=False):
-        found.append((int(at * 1000), *row))
+        trace.append((int(at * 1000), *row))
     for at in _arrivals(workload.lookups_peak, rng):
-        found.append((int(at * 1000), _customer(workload, rng), "lookup", "", 0, 1, 0))
-    return sorted(found)
+        trace.append((int(at * 1000), _customer(workload, rng), "lookup", "", 0, 1, 0))
+    return sorted(trace)
 
 
 def share_of_peak(at: float) -> float:
@@ -102,7 +102,7 @@
 
 
 def _arrivals(peak: float, rng: Random) -> Iterator[float]:
-    """Yield the times of a Poisson process that is thinned to the launch's shape."""
+    """Yield the times of a Poisson process, thinned to the load of the launch."""
     at = rng.expovariate(peak)
     while at < DURATION:
         if rng.random() < share_of_peak(at):
@@ -116,19 +116,19 @@
 
 
 def _reports(workload: Workload, rng: Random) -> Iterator[tuple]:
-    """Yield reports, and technicians' questions, which people wait on."""
+    """Yield reports, and technicians' questions, which are interactive."""
     while True:
         customer = _customer(workload, rng)
         if rng.random() < 0.3:
-            prompt, answer = rng.randint(560, 800), rng.randint(40, 120)
-            yield customer, "question", "", prompt, answer, 1
+            prompt, response = rng.randint(560, 800), rng.randint(40, 120)
+            yield customer, "question", "", prompt, response, 1
         else:
             prompt = min(4000, int(rng.lognormvariate(6.9, 0.4)) + 512)
             yield customer, "report", "", prompt, rng.randint(120, 320), 3
 
 
 def _threads(workload: Workload, rng: Random) -> Iterator[tuple]:
-    """Yield turns of long threads, a few of which are far busier than the rest."""
+    """Yield turns of long threads, of which a few have far more turns than others."""
     lengths = [
         int(rng.lognormvariate(8.3, 0.5)) + 1536 for _ in range(workload.threads)
     ]
@@ -136,10 +136,10 @@
     weights = [1 / (rank + 8) for rank in range(workload.threads)]
     while True:
         thread = rng.choices(range(workload.threads), weights)[0]
-        answer = rng.randint(100, 350)
+        response = rng.randint(100, 350)
         prompt = min(24_000, lengths[thread])
-        yield owners[thread], "draft", f"t{thread}", prompt, answer, 3
-        lengths[thread] += answer + rng.randint(50, 400)
+        yield owners[thread], "draft", f"t{thread}", prompt, response, 3
+        lengths[thread] += response + rng.randint(50, 400)
 
 
 if __name__ == "__main__":
