--- a/bench/placement/model.py
+++ b/bench/placement/model.py
@@ -159,8 +159,8 @@
     :param late: fraction of late requests, for each kind.
     :param credit: credit earned, as a fraction of that for all requests on time;
         late ones earn a tenth.
-    :param read_again: tokens of shared parts that engines prefilled though another
-        engine had before.
+    :param recomputed_tokens: tokens of shared parts that engines prefilled though
+        another engine had before.
     """
 
     late: dict[str, float] = field(default_factory=dict)
--- a/bench/placement/run.py
+++ b/bench/placement/run.py
@@ -47,8 +47,8 @@
     """Mechanisms that a run uses.
 
     :param noise: factor on the unreported work, over which choices are spread.
-    :param drains: whether peers' reported prefill tokens are reduced by the time since
-        the report.
+    :param age_reports: whether peers' reported prefill tokens are reduced by the time
+        since the report.
     :param fetch: whether shared parts may be fetched.
     :param step_times: whether engines' step times are estimated.
     """
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -45,7 +45,7 @@
 class Violation:
     """A guarantee that was broken.
 
-    :param promise: short name of the guarantee.
+    :param guarantee: short name of the guarantee.
     :param seen: what was observed, with the request's id where there is one.
     """
 
