--- a/bench/admission/baselines.py
+++ b/bench/admission/baselines.py
@@ -13,7 +13,7 @@
 class NoAdmission:
     """Forwards everything immediately; the endpoints' queues are unbounded."""
 
-    has_spare_room = True
+    has_spare_capacity = True
 
     def __init__(self) -> None:
         self._numbers = count()
--- a/bench/admission/replay.py
+++ b/bench/admission/replay.py
@@ -288,7 +288,7 @@
     def _hedge(self, call: Call) -> None:
         if call.done or len(call.open_attempts) != 1:
             return
-        if not call.entry.admission.has_spare_room:
+        if not call.entry.admission.has_spare_capacity:
             return
         hedging = call.entry.hedging
         if hedging.try_hedge(self._elapsed, idempotent=call.request.idempotent):
--- a/bench/canary/histories.py
+++ b/bench/canary/histories.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 from random import Random
 
-from sassafrasdale.decisions.canary import Outcomes, Rows, bucket_of
+from sassafrasdale.decisions.canary import Outcomes, OutcomeTable, latency_bucket
 
 STEP = timedelta(milliseconds=500)
 SAMPLE_SHARE = 0.05
@@ -49,7 +49,7 @@
     """
 
     at: timedelta
-    rows: Rows
+    rows: OutcomeTable
     bad: int
 
 
@@ -85,7 +85,7 @@
                 outcomes.failed += 1
                 continue
             outcomes.answered += 1
-            outcomes.times[bucket_of(timedelta(seconds=took))] += 1
+            outcomes.times[latency_bucket(timedelta(seconds=took))] += 1
         yield Snapshot(step * STEP, rows, bad)
 
 
--- a/bench/canary/run.py
+++ b/bench/canary/run.py
@@ -15,10 +15,10 @@
 
 from bench.canary.histories import SORTS, draw
 from sassafrasdale.decisions.canary import (
+    CanaryAnalysis,
     FixedThreshold,
     Rule,
     SequentialTest,
-    Trial,
 )
 
 DURATION = timedelta(seconds=20)
@@ -30,12 +30,12 @@
     sort: str, seed: int, requests: int, rule: Rule
 ) -> int | None:
     """Return the bad responses until a canary is rejected; None if it never is."""
-    analysis = Trial(rule)
+    analysis = CanaryAnalysis(rule)
     for snapshot in draw(sort, Random(f"{sort} {seed}"), requests, DURATION):
-        if analysis.judge(snapshot.rows, snapshot.at).is_bad:
+        if analysis.evaluate(snapshot.rows, snapshot.at).is_rejected:
             return snapshot.bad
-    last = analysis.judge(snapshot.rows, DURATION, final=True)
-    return snapshot.bad if last.is_bad else None
+    last = analysis.evaluate(snapshot.rows, DURATION, final=True)
+    return snapshot.bad if last.is_rejected else None
 
 
 def main() -> None:
--- a/bench/placement/model.py
+++ b/bench/placement/model.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 from random import Random
 
-from sassafrasdale.decisions.paces import EnginePaces
+from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.deployment import (
     Endpoint,
     EndpointState,
@@ -182,7 +182,7 @@
             for engine in engines
         }
         self.cache = CacheBelief()
-        self.step_times = EnginePaces()
+        self.step_times = EngineStepTimes()
         self.placement = Placement("a", self.cache, self.step_times, rng)
 
     def loads(self) -> dict[str, tuple[int, int]]:
--- a/bench/placement/run.py
+++ b/bench/placement/run.py
@@ -19,8 +19,8 @@
     RequestKind,
     Setting,
 )
-from sassafrasdale.decisions.fetching import MemoryLink
-from sassafrasdale.decisions.news import ToldLoad, unseen_work
+from sassafrasdale.decisions.fetching import CacheLink
+from sassafrasdale.decisions.news import ReportedLoad, unreported_work
 from sassafrasdale.deployment import (
     EngineTraits,
     PromptPart,
@@ -32,7 +32,7 @@
 LOADS = (1.0, 1.3)
 # Slowness of a run's engines, relative to the fastest.
 SLOWNESS = ((1, 1, 1.3, 1, 1), (1, 1, 1.3))
-LINK = MemoryLink(35_136, 550_000e6)
+LINK = CacheLink(35_136, 550_000e6)
 CACHE_TOKENS = 1_067_497
 # Time over which the load is averaged, s.
 WORK_WINDOW = 5.0
@@ -135,7 +135,7 @@
                 self._reports[number] = (now, gateway.loads())
                 self._next_exchange[number] = now + self._setting.report_interval
 
-    def _reported_loads(self, number: int, now: float) -> Mapping[str, ToldLoad]:
+    def _reported_loads(self, number: int, now: float) -> Mapping[str, ReportedLoad]:
         """Return the other gateways' loads, as last reported to a gateway."""
         in_flight, prefill_tokens, weighted_ages = Counter(), Counter(), Counter()
         for other, (at, loads) in enumerate(self._reports):
@@ -147,7 +147,7 @@
                 weighted_ages[name] += tokens * (now - at)
         drains = self._ways.drains
         return {
-            name: ToldLoad(
+            name: ReportedLoad(
                 count,
                 prefill_tokens[name],
                 timedelta(
@@ -201,7 +201,7 @@
             now - at for other, (at, _) in enumerate(self._reports) if other != number
         ]
         age = timedelta(seconds=fmean(ages))
-        return unseen_work(self._work_rate, age, len(self._engines))
+        return unreported_work(self._work_rate, age, len(self._engines))
 
     def _draw(self, kind: RequestKind) -> RequestTraits:
         """Draw a request of a kind, with parts that it may share with others."""
--- a/bench/replay/capacity.py
+++ b/bench/replay/capacity.py
@@ -22,9 +22,9 @@
 from sassafrasdale.decisions.structures import (
     CapacityPlan,
     CapacityPolicy,
-    GiveBack,
     InstanceOffer,
     RefusedStart,
+    ReleaseInstance,
     RunningInstance,
     ServiceDemand,
     StartInstance,
@@ -175,7 +175,7 @@
         for n in range(wanted if at == 0 else 0)
     ]
     released = [
-        GiveBack(instance.name)
+        ReleaseInstance(instance.name)
         for instance in running
         if instance.reclaimable and at > START_TIME
     ]
@@ -198,7 +198,7 @@
         OFFERS_BY_KIND[_key(instance)].capacity for instance in staying
     )
     if missing < -10:
-        return CapacityPlan((GiveBack(staying[-1].name),))
+        return CapacityPlan((ReleaseInstance(staying[-1].name),))
     starts = max(0, -int(-missing // 10))
     return CapacityPlan(
         tuple(
@@ -293,7 +293,7 @@
 
 
 def _carry_out(order, instances, refused, numbers, at, figures) -> None:
-    if isinstance(order, GiveBack):
+    if isinstance(order, ReleaseInstance):
         instances[:] = [m for m in instances if m.view.name != order.name]
         return
     kind = (order.availability_zone, order.instance_class, order.reclaimable)
--- a/bench/replay/choices.py
+++ b/bench/replay/choices.py
@@ -42,13 +42,13 @@
 
 def _calls(count: int) -> dict[str, Callable[[], object]]:
     """Return the calls of one choice among ``count`` endpoints."""
-    request = RoutingRequest(prompt_tokens=6400, home="e3", second_home="e4")
+    request = RoutingRequest(prompt_tokens=6400, owner="e3", fallback_owner="e4")
     policy = RoutingPolicy()
     rng = Random(1)
     names = [f"e{n}" for n in range(count)]
     matches = dict.fromkeys(names, 512)
     index, prompt = _index(count)
-    owners = (request.home, request.second_home)
+    owners = (request.owner, request.fallback_owner)
     return {
         f"match {PROMPT_BLOCKS} blocks": partial(index.matches, prompt),
         "draw candidates": partial(
@@ -69,7 +69,7 @@
             in_flight=n % 5,
             reported_load=n % 9,
             report_age=age,
-            distance=network_delay,
+            network_delay=network_delay,
             cached_tokens=6400 if n < 3 else 0,
         )
         for n in range(count)
--- a/bench/replay/entries.py
+++ b/bench/replay/entries.py
@@ -12,7 +12,7 @@
 from sassafrasdale.decisions.baselines import LeastRequests, PrefixHash, RoundRobin
 from sassafrasdale.decisions.counts import InFlightCount
 from sassafrasdale.decisions.delays import TokenDelays
-from sassafrasdale.decisions.homes import HomeTrust
+from sassafrasdale.decisions.homes import OwnerCacheEstimate
 from sassafrasdale.decisions.queues import QueueTimes
 from sassafrasdale.decisions.routing import choose, draw_candidates
 from sassafrasdale.decisions.structures import (
@@ -91,7 +91,7 @@
         self.index = PrefixIndex()
         self.delays = TokenDelays()
         self.queues = QueueTimes()
-        self.owner_cache = HomeTrust()
+        self.owner_cache = OwnerCacheEstimate()
         self.pending_requests: dict[int, PendingRequest] = {}
         self.in_flight: dict[str, InFlightCount] = defaultdict(InFlightCount)
         self.prefill_tokens: dict[str, int] = defaultdict(int)
@@ -143,7 +143,7 @@
         return 0.0 if engine.zone == self.zone else self._user.zone_delay
 
     def _owners(self, request: TraceRequest) -> tuple[str, str]:
-        return self._ring.homes(request.key) if request.continues else ("", "")
+        return self._ring.owners(request.key) if request.continues else ("", "")
 
     def _candidates(
         self,
@@ -177,10 +177,12 @@
             prompt_tokens=request.prompt_tokens,
             max_tokens=request.max_tokens,
             priority=request.priority,
-            home_availability_zone=self.zone,
-            home=owners[0],
-            second_home=owners[1],
-            home_share=0.0 if self.strategy == LIMIT else self.owner_cache.share,
+            entry_availability_zone=self.zone,
+            owner=owners[0],
+            fallback_owner=owners[1],
+            owner_cached_share=0.0
+            if self.strategy == LIMIT
+            else self.owner_cache.share,
         )
         return choose(routing_request, views, self._policy, self._rng)
 
@@ -205,18 +207,18 @@
             name=name,
             availability_zone=engine.zone,
             in_flight=own,
-            own_tokens=tokens,
+            prefill_tokens=tokens,
             reported_load=report.load if report else 0,
-            own_at_report=report.own_load if report else 0,
+            own_load_at_report=report.own_load if report else 0,
             report_age=_age(report, now),
             max_in_flight=engine.shape.slots,
             price_per_hour=ZONE_PRICES[engine.zone],
-            distance=timedelta(seconds=self.network_delay(engine)),
+            network_delay=timedelta(seconds=self.network_delay(engine)),
             cached_tokens=cached.get(name, 0),
             leaving=name in leaving,
-            queueing=timedelta()
+            queue_time=timedelta()
             if knows_all
-            else self.queues.queueing(name, timedelta(seconds=now)),
+            else self.queues.queue_time(name, timedelta(seconds=now)),
             slowness=engine.slowness
             if knows_all
             else self.delays.slowness(name, timedelta(seconds=now)),
--- a/bench/replay/simulation.py
+++ b/bench/replay/simulation.py
@@ -292,7 +292,7 @@
         if engine in self.terminated:
             return
         for entry in self.entries:
-            entry.owner_cache.hear(len(stored) + len(removed), published)
+            entry.owner_cache.add_events(len(stored) + len(removed), published)
             for block in stored:
                 entry.index.stored(engine, block)
             for block in removed:
--- a/bench/soak/unguarded.py
+++ b/bench/soak/unguarded.py
@@ -40,7 +40,7 @@
         case Guard.REVOCATION:
             _keep_revoked_keys()
         case Guard.QUARANTINE:
-            StrikeLedger._judge = lambda self, changed: None
+            StrikeLedger._update_quarantine = lambda self, changed: None
 
 
 def _retry_regardless_of_outcome() -> None:
--- a/src/sassafrasdale/decisions/admission.py
+++ b/src/sassafrasdale/decisions/admission.py
@@ -165,7 +165,7 @@
         return self._limit.value
 
     @property
-    def has_spare_room(self) -> bool:
+    def has_spare_capacity(self) -> bool:
         """Whether few enough requests are in flight to hedge one."""
         maximum = self._limit.share * self._settings.spare_share
         return not self._queue and self.in_flight <= maximum
--- a/src/sassafrasdale/decisions/affinity.py
+++ b/src/sassafrasdale/decisions/affinity.py
@@ -72,7 +72,7 @@
         self._hashes = [point for point, _ in points]
         self._names = [name for _, name in points]
 
-    def homes(self, key: int) -> tuple[str, str]:
+    def owners(self, key: int) -> tuple[str, str]:
         """Return the owner of ``key`` and the fallback owner; empty if there is none.
 
         All entries use the same fallback when the owner is overloaded, so that a
--- a/src/sassafrasdale/decisions/aggregators.py
+++ b/src/sassafrasdale/decisions/aggregators.py
@@ -25,21 +25,21 @@
 # Minimum and maximum interval between two reports of a gateway. Reported loads are one
 # interval old on average; three failed reports must still fit into the time after which
 # a gateway counts as unreachable.
-SHORTEST_PAUSE = timedelta(milliseconds=100)
-LONGEST_PAUSE = timedelta(milliseconds=500)
+MIN_REPORT_INTERVAL = timedelta(milliseconds=100)
+MAX_REPORT_INTERVAL = timedelta(milliseconds=500)
 # A gateway heard from within this time counts as in contact: a few reports may fail.
-FRESH = timedelta(seconds=1.5)
+CONTACT_TIMEOUT = timedelta(seconds=1.5)
 # A gateway not heard from for this long is considered gone.
-LIFETIME = timedelta(seconds=5)
+EXPIRY_TIMEOUT = timedelta(seconds=5)
 # Minimum numbers of gateways that watch the store, over all zones and in each. The
 # others learn of changes from their aggregator. The store may refuse a third of the
 # gateways at a time; the probability that it refuses all of eight is one in several
 # thousand.
-WATCHERS = 8
+MIN_WATCHERS = 8
 MIN_ZONE_WATCHERS = 2
 
 
-def ordered(zone: str, powers: Mapping[str, float]) -> list[str]:
+def rank_aggregators(zone: str, cpu_cores: Mapping[str, float]) -> list[str]:
     """Return the gateways of a zone, the preferred aggregator first.
 
     Aggregation for forty others takes a tenth of a core, which is a fifth of what the
@@ -49,17 +49,19 @@
     :param cpu_shares: CPU time per second that each may use, by name.
     """
     return sorted(
-        powers,
-        key=lambda name: (-powers[name], xxh64_intdigest(f"{zone} {name}".encode())),
+        cpu_cores,
+        key=lambda name: (-cpu_cores[name], xxh64_intdigest(f"{zone} {name}".encode())),
     )
 
 
-def pause_for(reporting: int) -> timedelta:
+def report_interval(reporting: int) -> timedelta:
     """Return the interval between two reports for a number of reporting gateways."""
-    return min(max(REPORT_TIME_BUDGET * reporting, SHORTEST_PAUSE), LONGEST_PAUSE)
+    return min(
+        max(REPORT_TIME_BUDGET * reporting, MIN_REPORT_INTERVAL), MAX_REPORT_INTERVAL
+    )
 
 
-def watchers(zone: str, powers: Mapping[str, float], zones: int) -> list[str]:
+def store_watchers(zone: str, cpu_cores: Mapping[str, float], zones: int) -> list[str]:
     """Return the gateways of a zone that watch the store.
 
     :param zone: the availability zone.
@@ -67,9 +69,9 @@
         name.
     :param zones: number of availability zones of the deployment.
     """
-    return ordered(zone, powers)[: most_watchers(zones)]
+    return rank_aggregators(zone, cpu_cores)[: max_watchers(zones)]
 
 
-def most_watchers(zones: int) -> int:
+def max_watchers(zones: int) -> int:
     """Return the maximum number of gateways of a zone that watch the store."""
-    return max(MIN_ZONE_WATCHERS, ceil(WATCHERS / max(zones, 1)))
+    return max(MIN_ZONE_WATCHERS, ceil(MIN_WATCHERS / max(zones, 1)))
--- a/src/sassafrasdale/decisions/canary.py
+++ b/src/sassafrasdale/decisions/canary.py
@@ -82,10 +82,10 @@
 
 
 # Outcomes by endpoint, or group of endpoints, and route.
-Rows = Mapping[tuple[str, str], Outcomes]
+OutcomeTable = Mapping[tuple[str, str], Outcomes]
 
 
-def bucket_of(duration: timedelta) -> int:
+def latency_bucket(duration: timedelta) -> int:
     """Return the bucket of a response time."""
     millis = max(duration / timedelta(milliseconds=1), 1.0)
     return min(int(log(millis) / log(BUCKET_RATIO)) + 1, MAX_BUCKETS)
@@ -100,7 +100,7 @@
     """
 
     excess: float = 0.15
-    least: int = 20
+    min_responses: int = 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
     :param reason: the check that failed, with its counts.
     """
 
-    is_bad: bool
+    is_rejected: bool
     reason: str = ""
 
 
@@ -164,7 +164,9 @@
         return gained + good * log((1 - share) / (1 - self.baseline))
 
 
-def judge(canary: Rows, baseline: Rows, rule: Rule, *, final: bool = False) -> Verdict:
+def evaluate(
+    canary: OutcomeTable, baseline: OutcomeTable, rule: Rule, *, final: bool = False
+) -> Verdict:
     """Return whether the canary version is rejected.
 
     A fault of one endpoint is not attributed to its version: if the responses of the
@@ -193,7 +195,7 @@
 
 
 def _most_significant(
-    canary: Rows, baseline: Rows, rule: Rule, *, final: bool
+    canary: OutcomeTable, baseline: OutcomeTable, rule: Rule, *, final: bool
 ) -> _Comparison | None:
     """Return the comparison that rejects with the highest odds, if any."""
     found = [
@@ -214,7 +216,7 @@
             return comparison.odds() >= (final_odds if final else odds)
 
 
-def _find_check(check: str, rest: Rows, baseline: Rows) -> _Comparison:
+def _find_check(check: str, rest: OutcomeTable, baseline: OutcomeTable) -> _Comparison:
     """Return the comparison of a check without the responses of one endpoint."""
     for comparison in _comparisons(rest, baseline):
         if comparison.check == check:
@@ -222,7 +224,7 @@
     return _Comparison(check, 0, 0, 0.0)
 
 
-def _comparisons(canary: Rows, baseline: Rows) -> Iterable[_Comparison]:
+def _comparisons(canary: OutcomeTable, baseline: OutcomeTable) -> Iterable[_Comparison]:
     """Compare each route, and all of them together, by each check."""
     canary_routes = _by_route(canary)
     baseline_routes = _by_route(baseline)
@@ -293,7 +295,7 @@
     return max(times)
 
 
-def _by_route(rows: Rows) -> dict[str, Outcomes]:
+def _by_route(rows: OutcomeTable) -> dict[str, Outcomes]:
     routes: dict[str, Outcomes] = {}
     for (_, route), outcomes in rows.items():
         routes.setdefault(route, Outcomes()).add(outcomes)
@@ -310,7 +312,7 @@
 NO_OUTCOMES = Outcomes()
 
 
-def parted(rows: Rows) -> tuple[Rows, Rows]:
+def split_outcomes(rows: OutcomeTable) -> tuple[OutcomeTable, OutcomeTable]:
     """Return the outcomes of the canary version, and those of the others.
 
     :param rows: outcomes by group and route; the others have an empty group.
@@ -320,7 +322,7 @@
     return canary, baseline
 
 
-class Trial:
+class CanaryAnalysis:
     """Evaluates a canary version repeatedly while its requests are answered.
 
     :param rule: evaluation rule.
@@ -332,7 +334,9 @@
         self._latest: dict[tuple[str, str], Outcomes] = {}
         self._latest_at = timedelta()
 
-    def judge(self, rows: Rows, now: timedelta, *, final: bool = False) -> Verdict:
+    def evaluate(
+        self, rows: OutcomeTable, now: timedelta, *, final: bool = False
+    ) -> Verdict:
         """Return whether the version is rejected, by all outcomes or the recent ones.
 
         :param rows: outcomes so far; those of the baseline version have an empty group.
@@ -348,6 +352,7 @@
             for key, row in rows.items()
         }
         verdicts = (
-            judge(*parted(part), self._rule, final=final) for part in (rows, recent)
+            evaluate(*split_outcomes(part), self._rule, final=final)
+            for part in (rows, recent)
         )
-        return next((verdict for verdict in verdicts if verdict.is_bad), PASSED)
+        return next((verdict for verdict in verdicts if verdict.is_rejected), PASSED)
--- a/src/sassafrasdale/decisions/capacity.py
+++ b/src/sassafrasdale/decisions/capacity.py
@@ -12,9 +12,9 @@
 from sassafrasdale.decisions.structures import (
     CapacityPlan,
     CapacityPolicy,
-    GiveBack,
     InstanceOffer,
     RefusedStart,
+    ReleaseInstance,
     RunningInstance,
     ServiceDemand,
     StartInstance,
@@ -291,7 +291,7 @@
         first = sum(1 for instance in staying if _kind(instance) == _kind(offer))
         for ordinal in range(first, first + max(0, round(missing / offer.capacity))):
             orders.append(_start(offer, demand.service, ordinal, round_id))
-    if not orders and len(staying) < demand.least_instances and best:
+    if not orders and len(staying) < demand.min_instances and best:
         offer = min(best.values(), key=lambda offer: offer.price_per_hour)
         orders.append(_start(offer, demand.service, len(staying), round_id))
     return tuple(orders)
@@ -317,13 +317,13 @@
     prices: _PriceList,
     serving_capacity: _ServingCapacity,
     demand: ServiceDemand,
-) -> tuple[GiveBack, ...]:
+) -> tuple[ReleaseInstance, ...]:
     """Return an order for the most expensive instance that is not needed, if any.
 
     One per round, so that the next round sees its effect. An overpriced instance is
     released without the margin, as its replacement already serves.
     """
-    if len(serving) <= demand.least_instances:
+    if len(serving) <= demand.min_instances:
         return ()
     priced = [instance for instance in serving if prices.knows(instance)]
     priced.sort(key=lambda item: (-prices.unit_price(item), item.in_flight, item.name))
@@ -333,7 +333,7 @@
         )
         zone = instance.availability_zone
         if serving_capacity.suffices_without(zone, prices.capacity(instance), margin):
-            return (GiveBack(instance.name),)
+            return (ReleaseInstance(instance.name),)
     return ()
 
 
--- a/src/sassafrasdale/decisions/exposure.py
+++ b/src/sassafrasdale/decisions/exposure.py
@@ -11,14 +11,14 @@
 # Fraction of the allowed share that the canary gets throughout the rollout, and the
 # maximum fraction. The difference is reserved for the full share shortly before the
 # end.
-SAMPLED_PART = 0.5
+SAMPLED_FRACTION = 0.5
 MAX_FRACTION = 0.9
 # Maximum number of deferred canary requests of a route. While its endpoints start,
 # nothing can be sent to them; what was deferred must not be sent all at once then.
 MAX_DEFERRED = 2.0
 
 
-class TrialAllowance:
+class CanaryAllowance:
     """Counts one service's requests at one gateway, and allows canary requests.
 
     Usage::
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, share: float, rng: Random) -> None:
-        self._sampled_fraction = share * SAMPLED_PART
+        self._sampled_fraction = share * SAMPLED_FRACTION
         self._max_fraction = share * MAX_FRACTION
         self._rounding = rng.random()
         self._deferred: defaultdict[str, float] = defaultdict(rng.random)
@@ -47,7 +47,7 @@
         return self._sent
 
     @property
-    def tried(self) -> int:
+    def canary_requests(self) -> int:
         """Number of these sent to the canary."""
         return self._tried
 
--- a/src/sassafrasdale/decisions/fetching.py
+++ b/src/sassafrasdale/decisions/fetching.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemoryLink:
+class CacheLink:
     """Link for transferring KV cache between two engines.
 
     :param token_bytes: cache size of one token.
@@ -31,13 +31,15 @@
     bits_per_second: float
 
 
-def transfer_time(tokens: int, link: MemoryLink) -> timedelta:
+def transfer_time(tokens: int, link: CacheLink) -> timedelta:
     """Return the time to transfer the cache of some tokens."""
     bits = tokens * link.token_bytes * 8
     return SETUP_TIME + timedelta(seconds=bits / link.bits_per_second)
 
 
-def pays(tokens: int, link: MemoryLink | None, token_time: timedelta) -> bool:
+def is_fetch_worthwhile(
+    tokens: int, link: CacheLink | None, token_time: timedelta
+) -> bool:
     """Return whether fetching some tokens is faster than computing them.
 
     :param tokens: number of tokens.
--- a/src/sassafrasdale/decisions/homes.py
+++ b/src/sassafrasdale/decisions/homes.py
@@ -18,7 +18,7 @@
 """Minimum number of published events over which the delivery ratio is computed."""
 
 
-class HomeTrust:
+class OwnerCacheEstimate:
     """Fraction of a prompt assumed in its owner's cache, without better information.
 
     If cache events arrive, an owner without any event for the prompt has little of it
@@ -52,7 +52,7 @@
             cached_share = min(1.0, cached_tokens / prompt_tokens)
             self._share += SMOOTHING * (cached_share - self._share)
 
-    def hear(self, arrived: int, published: int) -> None:
+    def add_events(self, arrived: int, published: int) -> None:
         """Count cache events.
 
         :param arrived: events that arrived.
--- a/src/sassafrasdale/decisions/news.py
+++ b/src/sassafrasdale/decisions/news.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ToldLoad:
+class ReportedLoad:
     """Load of the other gateways on an endpoint, as last reported.
 
     :param in_flight: their requests in flight.
@@ -26,23 +26,23 @@
     """
 
     in_flight: int
-    unread_tokens: int
+    prefill_tokens: int
     age: timedelta = timedelta()
 
 
-NO_LOAD = ToldLoad(0, 0)
+NO_LOAD = ReportedLoad(0, 0)
 
 
-def still_unread(reported: ToldLoad, token_time: timedelta) -> float:
+def remaining_prefill_tokens(reported: ReportedLoad, token_time: timedelta) -> float:
     """Return the estimated tokens that an engine has yet to process.
 
     :param reported: the load as reported.
     :param token_time: prefill time per token.
     """
-    return max(reported.unread_tokens - reported.age / token_time, 0.0)
+    return max(reported.prefill_tokens - reported.age / token_time, 0.0)
 
 
-def unseen_work(work: float, age: timedelta, endpoints: int) -> timedelta:
+def unreported_work(work: float, age: timedelta, endpoints: int) -> timedelta:
     """Return the work that an endpoint has got since the last report, as time.
 
     :param work: endpoint time per second that the other gateways' requests take.
--- a/src/sassafrasdale/decisions/ordering.py
+++ b/src/sassafrasdale/decisions/ordering.py
@@ -23,7 +23,7 @@
 
 # Planned utilization of an endpoint. Requests come in bursts, and the first token of
 # one waits for the prompts ahead of it.
-PLANNED_USE = 0.22
+TARGET_UTILIZATION = 0.22
 # Maximum utilization of an endpoint after a zone's reclaimable ones were reclaimed,
 # until their replacements have started.
 MAX_UTILIZATION = 0.5
@@ -59,7 +59,7 @@
     running: Mapping[OrderKey, int]
     load: float
     load_known: bool = True
-    is_changing: bool = False
+    has_canary: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
     zones = sorted(
         bounds.zone_prices, key=lambda zone: (bounds.zone_prices[zone], zone)
     )
-    needed = max(MIN_ENDPOINTS, ceil(service.load / PLANNED_USE))
+    needed = max(MIN_ENDPOINTS, ceil(service.load / TARGET_UTILIZATION))
     if not service.load_known:
         needed += MIN_ON_DEMAND_ALONE
     has_unavailable = any(key.service == service.service for key in unavailable)
--- a/src/sassafrasdale/decisions/paces.py
+++ b/src/sassafrasdale/decisions/paces.py
@@ -25,14 +25,14 @@
 MAX_SLOWNESS = 2.0
 
 
-def low_pause(gaps: Sequence[timedelta]) -> timedelta | None:
+def low_gap(gaps: Sequence[timedelta]) -> timedelta | None:
     """Return a low quantile of a stream's gaps between events; None for too few."""
     if len(gaps) < MIN_GAPS:
         return None
     return sorted(gaps)[int(len(gaps) * GAP_QUANTILE)]
 
 
-class EnginePaces:
+class EngineStepTimes:
     """Step times of engines, as estimated by one gateway."""
 
     def __init__(self) -> None:
@@ -41,11 +41,11 @@
 
     def observe(self, engine: str, gaps: Sequence[timedelta]) -> None:
         """Record the gaps between the events of a completed stream."""
-        gap = low_pause(gaps)
+        gap = low_gap(gaps)
         if gap is not None:
-            self.observe_low(engine, gap)
+            self.observe_low_gap(engine, gap)
 
-    def observe_low(self, engine: str, gap: timedelta) -> None:
+    def observe_low_gap(self, engine: str, gap: timedelta) -> None:
         """Record a stream by the low quantile of its gaps."""
         kept = self._low_gaps.setdefault(engine, deque(maxlen=KEPT_STREAMS))
         kept.append(gap)
--- a/src/sassafrasdale/decisions/quarantine.py
+++ b/src/sassafrasdale/decisions/quarantine.py
@@ -27,7 +27,7 @@
 from math import ceil
 
 # Number of crashes after which a request is quarantined.
-MOST_ENDS = 3
+QUARANTINE_CRASHES = 3
 # Maximum number of crashes during one attempt that got no output from its runs.
 MAX_CRASHES_PER_ATTEMPT = 2
 # Maximum number of trials of a quarantined request, and the delays since the last
@@ -41,7 +41,7 @@
 SAME_CRASH_WINDOW = timedelta(milliseconds=500)
 # Maximum number of strikes kept: thirty endpoints with sixty requests each leave as
 # many.
-MOST_STRIKES = 2000
+MAX_STRIKES = 2000
 # Fraction of them that is evicted at once, so that the strikes are not sorted for each.
 EVICTED_SHARE = 0.1
 
@@ -84,7 +84,7 @@
 
 
 @dataclass(slots=True)
-class HeldStrike:
+class TrackedStrike:
     """A strike and its state, as known to this gateway.
 
     :param changed: version of the ledger at which it last changed.
@@ -107,12 +107,12 @@
         first, then the oldest of the requests with the fewest strikes.
     """
 
-    def __init__(self, max_strikes: int = MOST_STRIKES) -> None:
+    def __init__(self, max_strikes: int = MAX_STRIKES) -> None:
         self._capacity = max_strikes
-        self._by_fingerprint: dict[str, dict[Strike, HeldStrike]] = {}
+        self._by_fingerprint: dict[str, dict[Strike, TrackedStrike]] = {}
         # All strikes, most recently changed last.
-        self._by_change: dict[Strike, HeldStrike] = {}
-        self._dropped: deque[HeldStrike] = deque(maxlen=max_strikes)
+        self._by_change: dict[Strike, TrackedStrike] = {}
+        self._dropped: deque[TrackedStrike] = deque(maxlen=max_strikes)
         self._version = 0
         # Requests with enough strikes to be quarantined or to explain others.
         self._candidates: set[str] = set()
@@ -138,11 +138,11 @@
         if held is not None and held.state | state == held.state:
             return False
         if held is None:
-            held = strikes[strike] = HeldStrike(strike, state, 0)
+            held = strikes[strike] = TrackedStrike(strike, state, 0)
         held.state |= state
         self._record_change(held)
         self._evict()
-        if len(strikes) >= MOST_ENDS:
+        if len(strikes) >= QUARANTINE_CRASHES:
             self._update_quarantine(strike.fingerprint)
         return True
 
@@ -154,12 +154,12 @@
         ]
         return any(cleared)
 
-    def open_strikes(self, fingerprint: str) -> list[HeldStrike]:
+    def open_strikes(self, fingerprint: str) -> list[TrackedStrike]:
         """Return the strikes that count against a request, oldest first."""
         strikes = [held for held in self._of(fingerprint) if held.is_open]
         return sorted(strikes, key=lambda held: held.strike.at)
 
-    def may_send_again(self, fingerprint: str) -> bool:
+    def may_retry(self, fingerprint: str) -> bool:
         """Return whether an attempt may be retried on another endpoint.
 
         If two endpoints crashed without any output, a third would most likely crash as
@@ -171,27 +171,27 @@
         crashes = distinct_crashes(strike for strike in strikes if not strike.begun)
         return len(crashes) < MAX_CRASHES_PER_ATTEMPT
 
-    def since(self, version: int, limit: int) -> list[HeldStrike]:
+    def since(self, version: int, limit: int) -> list[TrackedStrike]:
         """Return strikes that have changed since a version, in order of change."""
         newest_first = takewhile(
             lambda held: held.changed > version, reversed(self._by_change.values())
         )
         return list(newest_first)[::-1][:limit]
 
-    def take_dropped(self) -> list[HeldStrike]:
+    def pop_dropped(self) -> list[TrackedStrike]:
         """Return and reset the strikes evicted since the last call."""
         dropped = list(self._dropped)
         self._dropped.clear()
         return dropped
 
-    def by_request(self) -> Iterable[list[HeldStrike]]:
+    def by_request(self) -> Iterable[list[TrackedStrike]]:
         """Return each request's strikes, including cleared ones."""
         return [list(strikes.values()) for strikes in self._by_fingerprint.values()]
 
-    def _of(self, fingerprint: str) -> Iterable[HeldStrike]:
+    def _of(self, fingerprint: str) -> Iterable[TrackedStrike]:
         return self._by_fingerprint.get(fingerprint, {}).values()
 
-    def _record_change(self, held: HeldStrike) -> None:
+    def _record_change(self, held: TrackedStrike) -> None:
         self._version += 1
         held.changed = self._version
         self._by_change.pop(held.strike, None)
@@ -204,7 +204,9 @@
             for name in self._candidates | {changed}
         }
         candidates = {
-            name: found for name, found in strikes.items() if len(found) >= MOST_ENDS
+            name: found
+            for name, found in strikes.items()
+            if len(found) >= QUARANTINE_CRASHES
         }
         self._candidates = set(candidates)
         self._quarantined = quarantined_requests(candidates)
@@ -221,7 +223,7 @@
             if not self._by_fingerprint[fingerprint]:
                 del self._by_fingerprint[fingerprint]
 
-    def _eviction_rank(self, held: HeldStrike) -> tuple[int, int]:
+    def _eviction_rank(self, held: TrackedStrike) -> tuple[int, int]:
         known = len(self._by_fingerprint[held.strike.fingerprint])
         return (known if held.is_open else 0, held.changed)
 
@@ -258,7 +260,7 @@
         new = [
             name
             for name in equally_suspect
-            if len(_unexplained_crashes(crashes[name], explained)) >= MOST_ENDS
+            if len(_unexplained_crashes(crashes[name], explained)) >= QUARANTINE_CRASHES
         ]
         found.update(new)
         for name in new:
@@ -281,8 +283,8 @@
     :param excluded_endpoints: endpoints that a trial must not use.
     """
 
-    has_new: bool
-    avoided: frozenset[str]
+    has_new_version: bool
+    excluded_endpoints: frozenset[str]
 
 
 def trial_scope(
@@ -300,7 +302,7 @@
     return TrialScope(has_new, frozenset(known_bad if has_new else ()))
 
 
-def trial_is_due(made: int, last: float, now: float, *, has_new: bool) -> bool:
+def is_trial_due(made: int, last: float, now: float, *, has_new: bool) -> bool:
     """Return whether a quarantined request may be tried again.
 
     :param made: number of trials so far.
--- a/src/sassafrasdale/decisions/queues.py
+++ b/src/sassafrasdale/decisions/queues.py
@@ -44,7 +44,7 @@
         self._waiting.pop(endpoint, None)
         self._observed.pop(endpoint, None)
 
-    def queueing(self, endpoint: str, now: timedelta) -> timedelta:
+    def queue_time(self, endpoint: str, now: timedelta) -> timedelta:
         """Return the expected queueing time at an endpoint."""
         expected = NO_TIME
         observed = self._observed.get(endpoint)
--- a/src/sassafrasdale/decisions/quotas.py
+++ b/src/sassafrasdale/decisions/quotas.py
@@ -23,12 +23,12 @@
 from datetime import timedelta
 from math import exp
 
-from sassafrasdale.decisions.aggregators import FRESH, LIFETIME
+from sassafrasdale.decisions.aggregators import CONTACT_TIMEOUT, EXPIRY_TIMEOUT
 
 # Time over which a group's usage rate is averaged, to estimate its unreported usage.
 USAGE_WINDOW = timedelta(seconds=2)
 # Default time until usage is known at all gateways.
-UNSEEN_TIME = timedelta(milliseconds=500)
+PROPAGATION_TIME = timedelta(milliseconds=500)
 # Minimum number of requests for a surge: two may coincide by chance.
 MIN_SURGE_REQUESTS = 3
 # Maximum number of gateways assumed to see a surge at the same time. Otherwise one
@@ -36,7 +36,7 @@
 MAX_SURGE_GATEWAYS = 8
 # Time over which deviations from the limit are corrected. It must be longer than usage
 # takes to reach all gateways, which is a second in fleets of hundreds.
-SPREAD = timedelta(seconds=2)
+CORRECTION_TIME = timedelta(seconds=2)
 # Bounds of the retry-after time. A caller that retries sooner meets the same state of
 # the limit; later it has most likely given up.
 MIN_RETRY_AFTER = timedelta(milliseconds=300)
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpendingCounter:
+class UsageCounter:
     """Identity of the counter of a group's usage.
 
     :param zone: the group's availability zone.
@@ -75,9 +75,9 @@
         limit is reserved instead.
         """
         age = now - self.reported_at
-        if age > LIFETIME:
+        if age > EXPIRY_TIMEOUT:
             return 0.0
-        return self.rate * min(age, FRESH).total_seconds()
+        return self.rate * min(age, CONTACT_TIMEOUT).total_seconds()
 
 
 class SharedLimit:
@@ -100,7 +100,7 @@
         self._zone_reported_at: dict[str, timedelta] = {}
 
     @property
-    def spent(self) -> float:
+    def admitted(self) -> float:
         """Tokens admitted here since the start."""
         return self._spent
 
@@ -118,7 +118,7 @@
         self._rate = rate
         self._updated = now
 
-    def left(self, depth: float, fraction: float, now: timedelta) -> float:
+    def remaining(self, depth: float, fraction: float, now: timedelta) -> float:
         """Return what remains of a fraction of the limit; negative if overdrawn.
 
         The initial deficit reduces each fraction proportionally. Usage since then
@@ -131,14 +131,14 @@
         admitted = self.used(now) - self._initial_deficit
         return (depth - self._initial_deficit) * fraction - admitted
 
-    def spend(self, amount: float, now: timedelta) -> None:
+    def record_admitted(self, amount: float, now: timedelta) -> None:
         """Subtract what is admitted here; a negative amount returns it."""
         self._used += amount
         self._spent += amount
         self._unreported.append((now, amount))
 
-    def unseen(
-        self, now: timedelta, propagation_time: timedelta = UNSEEN_TIME
+    def unreported(
+        self, now: timedelta, propagation_time: timedelta = PROPAGATION_TIME
     ) -> float:
         """Return what was admitted here too recently for other gateways to know.
 
@@ -148,11 +148,11 @@
             self._unreported.popleft()
         return sum(amount for _, amount in self._unreported)
 
-    def ask(self, amount: float, now: timedelta) -> None:
+    def record_request(self, amount: float, now: timedelta) -> None:
         """Record the tokens that a request needs, whether it is admitted or not."""
         self._requested.append((now, amount))
 
-    def unseen_rise(
+    def surge(
         self, now: timedelta, propagation_time: timedelta, average: float
     ) -> float:
         """Return by how much the demand here exceeds the average, in tokens a second.
@@ -174,7 +174,9 @@
         # Leaves out the largest request: one prompt may be as large as forty others.
         return max((sum(amounts) - max(amounts)) / span - average, 0.0)
 
-    def hear(self, counter: SpendingCounter, spent: float, now: timedelta) -> None:
+    def add_group_report(
+        self, counter: UsageCounter, spent: float, now: timedelta
+    ) -> None:
         """Subtract the usage of a group since its last report.
 
         The first report of a counter only sets its baseline: earlier usage is part of
@@ -202,12 +204,12 @@
                 del self._groups[key]
 
 
-def has_room(
+def has_headroom(
     remaining: float,
     demand: float,
     share: float,
     unreported: float,
-    propagation_time: timedelta = UNSEEN_TIME,
+    propagation_time: timedelta = PROPAGATION_TIME,
 ) -> bool:
     """Return whether more remains of a limit than may be used unreported.
 
@@ -224,7 +226,7 @@
     )
 
 
-def passing_part(remaining: float, rate: float, demand: float) -> float:
+def admitted_fraction(remaining: float, rate: float, demand: float) -> float:
     """Return the fraction of all requests that is admitted near the limit.
 
     The remainder is used up, or an overdraft made up, over :data:`CORRECTION_TIME`; by
@@ -234,11 +236,11 @@
     :param rate: tokens a second by which the limit is refilled.
     :param demand: tokens a second that all requests need.
     """
-    allowed = rate + remaining / SPREAD.total_seconds()
+    allowed = rate + remaining / CORRECTION_TIME.total_seconds()
     return min(max(allowed / max(demand, 1.0), 0.0), 1.0)
 
 
-def unseen_demand(surge: float, share: float, covered: float) -> float:
+def unreported_demand(surge: float, share: float, covered: float) -> float:
     """Return the estimated demand at all gateways that is not reported yet.
 
     A surge seen by one gateway reaches others at the same time, since a customer's
@@ -252,7 +254,7 @@
     return max(surge * gateways - covered, 0.0)
 
 
-def fits_unseen(amount: float, unreported: float, refill: float) -> bool:
+def fits_unreported(amount: float, unreported: float, refill: float) -> bool:
     """Return whether a gateway may admit a request while the limit is exhausted.
 
     All gateways may admit requests before they know of each other's, so each keeps to
@@ -267,7 +269,7 @@
     return unreported + min(amount, refill) <= refill
 
 
-def time_to_return(remaining: float, rate: float, demand: float) -> timedelta:
+def retry_after(remaining: float, rate: float, demand: float) -> timedelta:
     """Return the retry-after time of a refused request.
 
     An overdraft has to be refilled first, and the demand beyond the limit in each
@@ -279,7 +281,7 @@
     return max(timedelta(seconds=wait), MIN_RETRY_AFTER)
 
 
-class Thinning:
+class RequestThinner:
     """Admits a fraction of the requests, evenly distributed.
 
     :param deficit: fraction of a request that is initially missing until the next one
@@ -290,7 +292,7 @@
     def __init__(self, deficit: float) -> None:
         self._deficit = deficit
 
-    def lets_in(self, fraction: float) -> bool:
+    def admits(self, fraction: float) -> bool:
         """Return whether the next request is admitted at that fraction."""
         self._deficit -= fraction
         if self._deficit > 0:
--- a/src/sassafrasdale/decisions/reclaims.py
+++ b/src/sassafrasdale/decisions/reclaims.py
@@ -4,13 +4,13 @@
 from datetime import timedelta
 
 from sassafrasdale.decisions.structures import (
+    KeepInPlace,
     MoveCache,
     ReclaimPolicy,
     Recompute,
     StreamPlan,
     StreamTarget,
     StreamView,
-    WaitOut,
 )
 
 TargetChooser = Callable[[StreamView], StreamTarget | None]
@@ -34,9 +34,9 @@
     """
     usable = notice - policy.margin
     if stream.remaining_tokens * stream.token_delay <= usable:
-        return WaitOut()
+        return KeepInPlace()
     if target is None:
-        return WaitOut(fits=False)
+        return KeepInPlace(finishes_in_time=False)
     recomputed = max(0, stream.context_tokens - target.cached_tokens)
     if recomputed and link_busy + move_time(stream, policy) <= usable:
         return MoveCache(target.name)
--- a/src/sassafrasdale/decisions/rollouts.py
+++ b/src/sassafrasdale/decisions/rollouts.py
@@ -58,12 +58,12 @@
     state: RolloutState
 
 
-class Step(StrEnum):
+class RolloutAction(StrEnum):
     """Next step of a rollout."""
 
     WAIT = "wait"
     START = "start"
-    FILL = "fill"
+    FULL_SHARE = "fill"
     COMPLETE = "complete"
     ROLL_BACK = "roll back"
 
@@ -117,16 +117,22 @@
     return max(complete_after(duration) - before, duration / 2)
 
 
-def next_step(view: RolloutView) -> Step:
+def next_action(view: RolloutView) -> RolloutAction:
     """Return the next step of a rollout."""
     if not view.is_started:
-        return Step.COMPLETE if view.in_force else Step.START
+        return RolloutAction.COMPLETE if view.in_force else RolloutAction.START
     if view.is_condemned:
-        return Step.ROLL_BACK
+        return RolloutAction.ROLL_BACK
     if not view.has_enough_endpoints:
-        return Step.ROLL_BACK if view.age >= view.duration else Step.WAIT
+        return (
+            RolloutAction.ROLL_BACK if view.age >= view.duration else RolloutAction.WAIT
+        )
     if view.filled_for is None:
-        return Step.FILL if view.age >= full_share_after(view.duration) else Step.WAIT
+        return (
+            RolloutAction.FULL_SHARE
+            if view.age >= full_share_after(view.duration)
+            else RolloutAction.WAIT
+        )
     if view.filled_for < full_share_duration(view.duration) + REPORT_DELAY:
-        return Step.WAIT
-    return Step.ROLL_BACK if view.is_suspect else Step.COMPLETE
+        return RolloutAction.WAIT
+    return RolloutAction.ROLL_BACK if view.is_suspect else RolloutAction.COMPLETE
--- a/src/sassafrasdale/decisions/routing.py
+++ b/src/sassafrasdale/decisions/routing.py
@@ -93,9 +93,9 @@
     """
     if view.report_age is None:
         return view.in_flight + mean
-    others = max(0, view.reported_load - view.own_at_report)
+    others = max(0, view.reported_load - view.own_load_at_report)
     report_weight = 0.5 ** (view.report_age / policy.report_half_life)
-    mirrored = (view.in_flight - view.own_at_report) * policy.mirrored_entries
+    mirrored = (view.in_flight - view.own_load_at_report) * policy.mirrored_entries
     return view.in_flight + mean + (others + mirrored - mean) * report_weight
 
 
@@ -105,20 +105,22 @@
     """Return the cost of sending ``request`` to an endpoint, in seconds."""
     load = expected_load(view, policy, mean)
     cached = view.cached_tokens
-    if view.name == request.home:
-        cached = max(cached, request.home_share * request.prompt_tokens)
-    elif view.name == request.second_home:
+    if view.name == request.owner:
+        cached = max(cached, request.owner_cached_share * request.prompt_tokens)
+    elif view.name == request.fallback_owner:
         cached = max(
             cached,
-            policy.second_home_share * request.home_share * request.prompt_tokens,
+            policy.second_home_share
+            * request.owner_cached_share
+            * request.prompt_tokens,
         )
     compute = max(0.0, request.prompt_tokens - cached) / policy.prefill_rate
     running = load * policy.queue_delay
     waiting = max(0.0, load + 1 - view.max_in_flight) * policy.wait_delay
-    ahead = view.own_tokens / policy.prefill_rate
-    ahead += policy.queueing_trust * view.queueing.total_seconds()
+    ahead = view.prefill_tokens / policy.prefill_rate
+    ahead += policy.queueing_trust * view.queue_time.total_seconds()
     delay = (compute + running + waiting + ahead) * view.slowness
-    delay += 2 * view.distance.total_seconds()
+    delay += 2 * view.network_delay.total_seconds()
     latency = policy.latency_cost * delay
     recomputed = policy.recomputed_tokens * compute
     return latency + recomputed + policy.price_delay * view.price_per_hour
@@ -129,5 +131,7 @@
     reported = [view for view in views if view.report_age is not None]
     if not reported:
         return 0.0
-    others = sum(max(0, view.reported_load - view.own_at_report) for view in reported)
+    others = sum(
+        max(0, view.reported_load - view.own_load_at_report) for view in reported
+    )
     return others / len(reported)
--- a/src/sassafrasdale/decisions/shares.py
+++ b/src/sassafrasdale/decisions/shares.py
@@ -39,11 +39,11 @@
 
     def add(self, customer: str, now: timedelta, amount: float = 1) -> None:
         """Record an arrival, or the ``amount`` that it requests."""
-        rate = self.own(customer, now)
+        rate = self.own_rate(customer, now)
         self._rates[customer] = rate + amount / self._window.total_seconds()
         self._updated[customer] = now
 
-    def own(self, customer: str, now: timedelta) -> float:
+    def own_rate(self, customer: str, now: timedelta) -> float:
         """Return the customer's demand at this entry, per second."""
         rate = self._rates.get(customer, 0.0)
         elapsed = now - self._updated.get(customer, now)
@@ -51,7 +51,7 @@
 
     def report(self, now: timedelta) -> Mapping[str, float]:
         """Return this entry's demand per second by customer."""
-        return {name: self.own(name, now) for name in self._rates}
+        return {name: self.own_rate(name, now) for name in self._rates}
 
     def hear(self, peer: str, report: Mapping[str, float], now: timedelta) -> None:
         """Store the report of a peer."""
@@ -73,8 +73,8 @@
         :param live_entries: number of entries, this one included. One without a report
             counts with the mean demand of those that have reported.
         """
-        total = self.total(customer, live_entries, now)
-        return self.part(self.own(customer, now), total, live_entries)
+        total = self.total_rate(customer, live_entries, now)
+        return self.part(self.own_rate(customer, now), total, live_entries)
 
     def part(self, demand: float, total: float, entries: int) -> float:
         """Return the fraction of a limit that an entry gets for its demand.
@@ -87,10 +87,10 @@
         even = total / entries
         return (demand + even * self._even_weight) / (total * (1 + self._even_weight))
 
-    def total(self, customer: str, live_entries: int, now: timedelta) -> float:
+    def total_rate(self, customer: str, live_entries: int, now: timedelta) -> float:
         """Return the demand per second at all entries, as far as reported."""
         reported = self._reported_demand(customer, now)
-        known = self.own(customer, now) + sum(reported)
+        known = self.own_rate(customer, now) + sum(reported)
         mean = known / (1 + len(reported))
         return known + mean * max(live_entries - 1 - len(reported), 0)
 
--- a/src/sassafrasdale/decisions/structures.py
+++ b/src/sassafrasdale/decisions/structures.py
@@ -34,16 +34,16 @@
     availability_zone: str
     instance_class: str = ""
     in_flight: int = 0
-    own_tokens: int = 0
+    prefill_tokens: int = 0
     reported_load: int = 0
-    own_at_report: int = 0
+    own_load_at_report: int = 0
     report_age: timedelta | None = None
     max_in_flight: int = 16
     price_per_hour: float = 0.0
-    distance: timedelta = timedelta()
+    network_delay: timedelta = timedelta()
     cached_tokens: int = 0
     leaving: bool = False
-    queueing: timedelta = timedelta()
+    queue_time: timedelta = timedelta()
     slowness: float = 1.0
 
 
@@ -68,10 +68,10 @@
     max_tokens: int = 0
     priority: int = 3
     remaining: timedelta = timedelta(seconds=30)
-    home_availability_zone: str = ""
-    home: str = ""
-    second_home: str = ""
-    home_share: float = 0.6
+    entry_availability_zone: str = ""
+    owner: str = ""
+    fallback_owner: str = ""
+    owner_cached_share: float = 0.6
 
 
 @dataclass(frozen=True, slots=True)
@@ -159,13 +159,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitOut:
+class KeepInPlace:
     """Leave the stream on its endpoint.
 
     :param finishes_in_time: whether the stream is expected to end before the reclaim.
     """
 
-    fits: bool = True
+    finishes_in_time: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,7 +190,7 @@
     tokens: int
 
 
-StreamPlan = WaitOut | MoveCache | Recompute
+StreamPlan = KeepInPlace | MoveCache | Recompute
 
 
 @dataclass(frozen=True, slots=True)
@@ -267,7 +267,7 @@
     load: float
     growth: float = 0.0
     availability_zones: tuple[str, ...] = ()
-    least_instances: int = 1
+    min_instances: int = 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -313,7 +313,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveBack:
+class ReleaseInstance:
     """Order to release one instance.
 
     :param name: the platform's identifier.
@@ -322,7 +322,7 @@
     name: str
 
 
-CapacityOrder = StartInstance | GiveBack
+CapacityOrder = StartInstance | ReleaseInstance
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sassafrasdale/decisions/turns.py
+++ b/src/sassafrasdale/decisions/turns.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class PollSlot:
     """Position of a gateway in the polling order.
 
     :param index: its position, from 0.
@@ -35,7 +35,7 @@
         return timedelta(seconds=(self.index * length - now) % (self.count * length))
 
 
-def turn_of(zone: str, place: int, counts: Mapping[str, int]) -> Turn:
+def poll_slot_of(zone: str, place: int, counts: Mapping[str, int]) -> PollSlot:
     """Return the poll slot of a gateway.
 
     :param zone: its availability zone.
@@ -43,4 +43,4 @@
     :param counts: number of polling gateways in each zone in contact, its own included.
     """
     before = sum(count for other, count in counts.items() if other < zone)
-    return Turn(before + place, sum(counts.values()))
+    return PollSlot(before + place, sum(counts.values()))
--- a/src/sassafrasdale/deployment.py
+++ b/src/sassafrasdale/deployment.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from enum import StrEnum
 
-from sassafrasdale.decisions.fetching import MemoryLink
+from sassafrasdale.decisions.fetching import CacheLink
 from sassafrasdale.structures import Address
 
 
@@ -99,7 +99,7 @@
 
     slots: int
     cache_tokens: int
-    link: MemoryLink | None = None
+    link: CacheLink | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sassafrasdale/duties/capacity.py
+++ b/src/sassafrasdale/duties/capacity.py
@@ -26,7 +26,11 @@
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.coordination.stores import BaseStore
 from sassafrasdale.decisions.capacity import plan_capacity
-from sassafrasdale.decisions.structures import CapacityPolicy, GiveBack, StartInstance
+from sassafrasdale.decisions.structures import (
+    CapacityPolicy,
+    ReleaseInstance,
+    StartInstance,
+)
 from sassafrasdale.duties.demand import (
     FleetView,
     current_load,
@@ -166,7 +170,7 @@
             match order:
                 case StartInstance():
                     starts.append(PendingStart(order, now, names))
-                case GiveBack(name):
+                case ReleaseInstance(name):
                     surplus.extend(e for e in endpoints if e.name == name)
         return record.with_starts(starts)
 
--- a/src/sassafrasdale/duties/demand.py
+++ b/src/sassafrasdale/duties/demand.py
@@ -59,7 +59,7 @@
         load=load.mean,
         growth=load.growth,
         availability_zones=tuple(dict.fromkeys(zones)),
-        least_instances=sum(pool.count for pool in service.pools),
+        min_instances=sum(pool.count for pool in service.pools),
     )
 
 
--- a/src/sassafrasdale/gateway/aggregating.py
+++ b/src/sassafrasdale/gateway/aggregating.py
@@ -5,7 +5,11 @@
 
 from logbook import Logger
 
-from sassafrasdale.decisions.aggregators import FRESH, LIFETIME, pause_for
+from sassafrasdale.decisions.aggregators import (
+    CONTACT_TIMEOUT,
+    EXPIRY_TIMEOUT,
+    report_interval,
+)
 from sassafrasdale.gateway.groups import Group
 from sassafrasdale.gateway.peer_calls import NEWS_TARGET, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
@@ -93,7 +97,7 @@
     @property
     def interval(self) -> timedelta:
         """Interval between a member's reports, and between exchanges."""
-        return pause_for(len(self._group.members))
+        return report_interval(len(self._group.members))
 
     def start(self, groups: list[HeardGroup]) -> None:
         """Start aggregating, with the other zones' totals last received as member."""
@@ -227,7 +231,7 @@
         since += [
             other.usage_complete_since
             for other in self._peer_groups.values()
-            if now - other.received_at <= LIFETIME
+            if now - other.received_at <= EXPIRY_TIMEOUT
         ]
         return UsageTotal(self._context.ledger.total(window), min(since))
 
@@ -239,7 +243,7 @@
         zone = self._roster.own.zone
         self._group.remove_gone({other.name for other in self._roster.in_zone(zone)})
         for name, confirmed_at in list(self._aggregators.items()):
-            if now - confirmed_at > LIFETIME:
+            if now - confirmed_at > EXPIRY_TIMEOUT:
                 del self._aggregators[name]
         for name in list(self._peer_groups):
             if self._roster.get(name) is None:
@@ -276,7 +280,7 @@
         found = [
             contact
             for name, confirmed_at in self._aggregators.items()
-            if now - confirmed_at <= LIFETIME
+            if now - confirmed_at <= EXPIRY_TIMEOUT
             and not self._roster.is_avoided(name)
             and (contact := self._roster.get(name)) is not None
         ]
@@ -365,7 +369,7 @@
         return [
             other.state.aggregator
             for name, other in self._peer_groups.items()
-            if name != receiver and now - other.received_at <= FRESH
+            if name != receiver and now - other.received_at <= CONTACT_TIMEOUT
         ]
 
     def _apply_update(self, update: GroupUpdate) -> None:
@@ -411,5 +415,8 @@
             former = other.state.aggregator
             if former.zone != sender.zone or name == sender.name:
                 continue
-            if self._roster.is_avoided(name) or now - other.received_at > FRESH:
+            if (
+                self._roster.is_avoided(name)
+                or now - other.received_at > CONTACT_TIMEOUT
+            ):
                 del self._peer_groups[name]
--- a/src/sassafrasdale/gateway/dispatcher.py
+++ b/src/sassafrasdale/gateway/dispatcher.py
@@ -13,7 +13,7 @@
 from logbook import Logger
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.aggregators import LIFETIME
+from sassafrasdale.decisions.aggregators import EXPIRY_TIMEOUT
 from sassafrasdale.gateway.assignment import (
     Ask,
     Assigned,
@@ -94,7 +94,7 @@
         """Drop the attempts of gateways that have stopped responding."""
         now = self._clock.elapsed()
         for gateway, state in list(self._gateways.items()):
-            if now - state.last_seen_at > LIFETIME:
+            if now - state.last_seen_at > EXPIRY_TIMEOUT:
                 self._drop(gateway)
 
     def lay_down(self) -> None:
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.news import ToldLoad, unseen_work
-from sassafrasdale.decisions.paces import EnginePaces, low_pause
+from sassafrasdale.decisions.news import ReportedLoad, unreported_work
+from sassafrasdale.decisions.paces import EngineStepTimes, low_gap
 from sassafrasdale.decisions.shares import DemandShares
 from sassafrasdale.deployment import (
     Bounds,
@@ -55,7 +55,7 @@
         directory: Directory,
         placement: Placement,
         cache: CacheBelief,
-        paces: EnginePaces,
+        paces: EngineStepTimes,
         peering: Peering,
         usage: UsageCounts,
         configuration: Callable[[], Configuration],
@@ -77,7 +77,7 @@
         self._retry_budgets = RetryBudgets(bounds, peering.count, clock)
         self._prefill_times = PrefillTimes(peering.token_times)
         self._work = DemandShares(WORK_WINDOW)
-        self._peer_loads: dict[str, ToldLoad] = {}
+        self._peer_loads: dict[str, ReportedLoad] = {}
         self._peer_report_age = timedelta()
         self._peer_work: dict[str, float] = {}
 
@@ -284,7 +284,7 @@
             self._peer_loads,
             weights,
             self._prefill_times.token_time(service),
-            unseen_work(
+            unreported_work(
                 self._get_peer_work(service), self._peer_report_age, len(candidates)
             ),
         )
@@ -410,7 +410,7 @@
         :param gap: a low gap between the stream's events; None if there were too few.
         """
         if gap:
-            self._paces.observe_low(record.name, gap)
+            self._paces.observe_low_gap(record.name, gap)
         if result is AttemptResult.NEUTRAL:
             return
         self._directory.health_of(record.endpoint.service).observe(
@@ -435,9 +435,9 @@
         """
         attempt.result = AttemptResult.ANSWERED
         self._rollouts.note_end(attempt.record, attempt.route, ok=True)
-        attempt.gap = low_pause(gaps)
+        attempt.gap = low_gap(gaps)
         if attempt.gap is not None:
-            self._paces.observe_low(attempt.record.name, attempt.gap)
+            self._paces.observe_low_gap(attempt.record.name, attempt.gap)
         self._directory.health_of(attempt.service).observe(
             attempt.record.name, ok=True, now=self._clock.elapsed()
         )
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -8,7 +8,7 @@
 from statistics import fmean
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.aggregators import FRESH, LIFETIME
+from sassafrasdale.decisions.aggregators import CONTACT_TIMEOUT, EXPIRY_TIMEOUT
 from sassafrasdale.gateway.peer_states import (
     Contact,
     DutyClaim,
@@ -50,17 +50,17 @@
     @property
     def members(self) -> set[str]:
         """Names of the members that reported within the expiry timeout."""
-        return set(self._reported_within(LIFETIME))
+        return set(self._reported_within(EXPIRY_TIMEOUT))
 
     @property
     def in_touch(self) -> set[str]:
         """Names of the members that reported within the contact timeout."""
-        return set(self._reported_within(FRESH))
+        return set(self._reported_within(CONTACT_TIMEOUT))
 
     @property
     def complete_since(self) -> float:
         """Time at or after which all members in touch reported; 0 without members."""
-        return _complete_since(self._reported_within(FRESH).values())
+        return _complete_since(self._reported_within(CONTACT_TIMEOUT).values())
 
     def _reported_within(self, limit: timedelta) -> dict[str, _Member]:
         now = self._clock.elapsed()
@@ -132,7 +132,7 @@
         }
         in_touch = [
             member
-            for name, member in self._reported_within(FRESH).items()
+            for name, member in self._reported_within(CONTACT_TIMEOUT).items()
             if name != without
         ]
         missing = [name for name in listed if name not in members and name != without]
@@ -170,7 +170,7 @@
             demand = used = share = reserved = 0.0
             for member in members.values():
                 report = member.state.limit_usage.get(customer)
-                if now - member.reported_at > FRESH:
+                if now - member.reported_at > CONTACT_TIMEOUT:
                     reserved += equal_share if report is None else report.share
                 elif report is not None:
                     demand += report.demand
@@ -198,7 +198,7 @@
         """
         total: Counter[str] = Counter()
         for member in members:
-            silence = max(now - member.reported_at - FRESH, timedelta())
+            silence = max(now - member.reported_at - CONTACT_TIMEOUT, timedelta())
             part = exp(-(silence / self._work_window))
             for service, engine_time in member.state.engine_time.items():
                 total[service] += engine_time * part
@@ -209,7 +209,7 @@
     in_flight: Counter[str] = Counter()
     prefill: Counter[str] = Counter()
     for member in members:
-        if now - member.reported_at > LIFETIME:
+        if now - member.reported_at > EXPIRY_TIMEOUT:
             continue
         for endpoint, load in member.state.loads.items():
             in_flight[endpoint] += load.in_flight
--- a/src/sassafrasdale/gateway/parts.py
+++ b/src/sassafrasdale/gateway/parts.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.paces import EnginePaces
+from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.decisions.quarantine import StrikeLedger
 from sassafrasdale.deployment import GatewaySettings
 from sassafrasdale.gateway.asking import Asking
@@ -72,7 +72,7 @@
         self.metrics = LateMetrics(settings.name, settings.availability_zone)
         self.time = TrueTime(clock)
         self._cache = CacheBelief()
-        self._paces = EnginePaces()
+        self._paces = EngineStepTimes()
         self._usage = UsageCounts(settings.bounds.usage_window, self.time)
         self._contact = self._own_contact()
         self._build_store()
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -14,7 +14,7 @@
 from msgspec.msgpack import Decoder, Encoder
 from msgspec.structs import replace
 
-from sassafrasdale.decisions.news import ToldLoad
+from sassafrasdale.decisions.news import ReportedLoad
 from sassafrasdale.gateway.rollout_news import Count, TrialNews, without_rows
 from sassafrasdale.gateway.strike_news import StrikeNews
 from sassafrasdale.gateway.usage import ClockReading
@@ -304,7 +304,7 @@
 MessageMalformed = DecodeError
 
 
-def loads_by_endpoint(groups: Iterable[HeardGroup]) -> dict[str, ToldLoad]:
+def loads_by_endpoint(groups: Iterable[HeardGroup]) -> dict[str, ReportedLoad]:
     """Return the total load of the groups at each endpoint."""
     in_flight: Counter[str] = Counter()
     prefill: Counter[str] = Counter()
@@ -315,7 +315,7 @@
             prefill[endpoint] += load.prefill_tokens
             aged[endpoint] += load.prefill_tokens * group.age_s
     return {
-        endpoint: ToldLoad(
+        endpoint: ReportedLoad(
             count,
             prefill[endpoint],
             timedelta(seconds=aged[endpoint] / max(prefill[endpoint], 1)),
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -13,13 +13,13 @@
 from logbook import Logger
 
 from sassafrasdale.decisions.aggregators import (
-    FRESH,
-    LIFETIME,
-    most_watchers,
-    pause_for,
-    watchers,
+    CONTACT_TIMEOUT,
+    EXPIRY_TIMEOUT,
+    max_watchers,
+    report_interval,
+    store_watchers,
 )
-from sassafrasdale.decisions.turns import Turn, turn_of
+from sassafrasdale.decisions.turns import PollSlot, poll_slot_of
 from sassafrasdale.gateway.aggregating import Aggregator
 from sassafrasdale.gateway.assignment import ASK, NOTES
 from sassafrasdale.gateway.peer_calls import (
@@ -54,7 +54,7 @@
 MAX_ATTEMPTS = 3
 # An aggregator that did not run for this long was paused, and its members have moved
 # to another one.
-PAUSE_THRESHOLD = FRESH
+PAUSE_THRESHOLD = CONTACT_TIMEOUT
 # A change reaches all gateways in three steps: to the aggregator, from there to the
 # other aggregators, and from those to their members.
 PROPAGATION_STEPS = 3
@@ -91,7 +91,7 @@
 
     def in_touch(self) -> list[HeardGroup]:
         """Return the groups that were received within the expiry timeout."""
-        return [group for group in self.groups() if group.age <= LIFETIME]
+        return [group for group in self.groups() if group.age <= EXPIRY_TIMEOUT]
 
     def names_holder(self) -> bool:
         """Return whether a gateway in touch claims to be the leader.
@@ -100,7 +100,7 @@
         asks the store for the lease.
         """
         return any(
-            group.state.leader is not None and group.age <= FRESH
+            group.state.leader is not None and group.age <= CONTACT_TIMEOUT
             for group in self.groups()
         )
 
@@ -125,7 +125,7 @@
         """
         total = 0.0
         for group in self.groups():
-            silence = max(group.age - FRESH, timedelta())
+            silence = max(group.age - CONTACT_TIMEOUT, timedelta())
             part = exp(-(silence / self._context.work_window))
             total += group.state.engine_time.get(service, 0.0) * part
         return total
@@ -174,7 +174,7 @@
         """Interval between reports."""
         if self.is_aggregator:
             return self._aggregator.interval
-        return self._reporter.interval or pause_for(1)
+        return self._reporter.interval or report_interval(1)
 
     def propagation_time(self) -> timedelta:
         """Return the time until a change here is known to all gateways."""
@@ -189,31 +189,32 @@
         if self._roster.own.name in self._zone_watchers():
             return True
         return not any(
-            group.state.follows_store and group.age <= FRESH for group in self.groups()
+            group.state.follows_store and group.age <= CONTACT_TIMEOUT
+            for group in self.groups()
         )
 
-    def poll_slot(self) -> Turn | None:
+    def poll_slot(self) -> PollSlot | None:
         """Return this gateway's poll slot; None if other gateways poll the store.
 
         A gateway without contact to others polls in every slot. Gateways without a slot
         do not poll during an outage either: two hundred of them would overload the
         store just as it recovers.
         """
-        in_touch = [group for group in self.groups() if group.age <= FRESH]
+        in_touch = [group for group in self.groups() if group.age <= CONTACT_TIMEOUT]
         if not in_touch:
-            return Turn(0, 1)
+            return PollSlot(0, 1)
         own = self._roster.own
         zone_watchers = self._zone_watchers()
         if own.name not in zone_watchers:
             return None
-        most = most_watchers(self._zones)
+        most = max_watchers(self._zones)
         counts = {
             group.state.aggregator.zone: min(group.state.gateways, most)
             for group in in_touch
             if group.state.follows_store
         }
         counts[own.zone] = len(zone_watchers)
-        return turn_of(own.zone, zone_watchers.index(own.name), counts)
+        return poll_slot_of(own.zone, zone_watchers.index(own.name), counts)
 
     def _zone_watchers(self) -> list[str]:
         """Return the gateways of this zone that watch the store, in order."""
@@ -224,7 +225,7 @@
             if not self._roster.is_avoided(contact.name)
         }
         cpu_shares[own.name] = own.power
-        return watchers(own.zone, cpu_shares, self._zones)
+        return store_watchers(own.zone, cpu_shares, self._zones)
 
     def counted_usage(self, customer: str) -> float:
         """Return how much of this gateway's limit usage an aggregator has counted."""
--- a/src/sassafrasdale/gateway/placement.py
+++ b/src/sassafrasdale/gateway/placement.py
@@ -7,9 +7,9 @@
 
 from xxhash import xxh64_intdigest
 
-from sassafrasdale.decisions.fetching import pays, transfer_time
-from sassafrasdale.decisions.news import NO_LOAD, ToldLoad, still_unread
-from sassafrasdale.decisions.paces import EnginePaces
+from sassafrasdale.decisions.fetching import is_fetch_worthwhile, transfer_time
+from sassafrasdale.decisions.news import NO_LOAD, ReportedLoad, remaining_prefill_tokens
+from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.deployment import PromptPart, RequestTraits, Service
 from sassafrasdale.gateway.directory import EndpointRecord
 
@@ -90,7 +90,7 @@
         self,
         availability_zone: str,
         cache: CacheBelief,
-        paces: EnginePaces,
+        paces: EngineStepTimes,
         rng: Random,
     ) -> None:
         self._availability_zone = availability_zone
@@ -103,7 +103,7 @@
         candidates: Sequence[EndpointRecord],
         service: Service,
         traits: RequestTraits,
-        peers: Mapping[str, ToldLoad],
+        peers: Mapping[str, ReportedLoad],
         weights: Mapping[str, float],
         token_time: timedelta,
         unreported_work: timedelta = timedelta(),
@@ -156,7 +156,7 @@
         wanted = sum(part.tokens for part in shared)
         missing = wanted - self._cache.cached_tokens(record.name, shared)
         engine = service.engine
-        if engine is None or not pays(missing, engine.link, token_time):
+        if engine is None or not is_fetch_worthwhile(missing, engine.link, token_time):
             return None
         others = [other for other in others if other.name != record.name]
         if not others:
@@ -206,7 +206,7 @@
         record: EndpointRecord,
         service: Service,
         traits: RequestTraits,
-        load: ToldLoad,
+        load: ReportedLoad,
         owner: str,
         token_time: timedelta,
     ) -> timedelta:
@@ -217,10 +217,12 @@
             return network_delay + PLAIN_REQUEST_TIME * (
                 1 + in_flight / record.endpoint.slots
             )
-        queued_tokens = record.unread_tokens + still_unread(load, token_time)
+        queued_tokens = record.unread_tokens + remaining_prefill_tokens(
+            load, token_time
+        )
         uncached = self._uncached_tokens(record, traits, owner)
         shared = self._missing_shared_tokens(record, traits, owner)
-        if pays(shared, service.engine.link, token_time):
+        if is_fetch_worthwhile(shared, service.engine.link, token_time):
             uncached -= shared
             network_delay += transfer_time(shared, service.engine.link)
         return (
--- a/src/sassafrasdale/gateway/planning.py
+++ b/src/sassafrasdale/gateway/planning.py
@@ -31,7 +31,7 @@
             service.scale,
             _running(directory, service.name, rollouts),
             load(service.name),
-            is_changing=_is_changing(rollouts, service.name),
+            has_canary=_is_changing(rollouts, service.name),
         )
         for service in configuration.services.values()
         if service.scale is not None
--- a/src/sassafrasdale/gateway/polling.py
+++ b/src/sassafrasdale/gateway/polling.py
@@ -11,7 +11,7 @@
 
 from logbook import Logger
 
-from sassafrasdale.decisions.turns import Turn
+from sassafrasdale.decisions.turns import PollSlot
 from sassafrasdale.gateway.following import Follower
 from sassafrasdale.gateway.usage import TrueTime
 from sassafrasdale.green import sleep, spawn
@@ -41,7 +41,7 @@
         self,
         followers: Sequence[Follower],
         store: PlatformStore,
-        slot: Callable[[], Turn | None],
+        slot: Callable[[], PollSlot | None],
         time: TrueTime,
         delay: timedelta,
     ) -> None:
--- a/src/sassafrasdale/gateway/prefill_times.py
+++ b/src/sassafrasdale/gateway/prefill_times.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from statistics import fmean
 
-from sassafrasdale.decisions.speeds import FASTEST, ReadingSpeed
+from sassafrasdale.decisions.speeds import MIN_TOKEN_TIME, PrefillSpeed
 
 
 class PrefillTimes:
@@ -16,7 +16,7 @@
 
     def __init__(self, reported: Callable[[str], list[float]]) -> None:
         self._reported = reported
-        self._speeds: dict[str, ReadingSpeed] = {}
+        self._speeds: dict[str, PrefillSpeed] = {}
 
     def observe(self, service: str, prefill_tokens: int, took: timedelta) -> None:
         """Record a request's time to first token."""
@@ -43,7 +43,7 @@
             reported.append(speed.token_time.total_seconds())
         if not reported:
             return speed.token_time
-        return max(timedelta(seconds=fmean(reported)), FASTEST)
+        return max(timedelta(seconds=fmean(reported)), MIN_TOKEN_TIME)
 
-    def _speed(self, service: str) -> ReadingSpeed:
-        return self._speeds.setdefault(service, ReadingSpeed())
+    def _speed(self, service: str) -> PrefillSpeed:
+        return self._speeds.setdefault(service, PrefillSpeed())
--- a/src/sassafrasdale/gateway/quotas.py
+++ b/src/sassafrasdale/gateway/quotas.py
@@ -13,17 +13,17 @@
 from random import Random
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.aggregators import FRESH
+from sassafrasdale.decisions.aggregators import CONTACT_TIMEOUT
 from sassafrasdale.decisions.quotas import (
-    UNSEEN_TIME,
+    PROPAGATION_TIME,
+    RequestThinner,
     SharedLimit,
-    SpendingCounter,
-    Thinning,
-    fits_unseen,
-    has_room,
-    passing_part,
-    time_to_return,
-    unseen_demand,
+    UsageCounter,
+    admitted_fraction,
+    fits_unreported,
+    has_headroom,
+    retry_after,
+    unreported_demand,
 )
 from sassafrasdale.decisions.shares import DemandShares
 from sassafrasdale.deployment import Bounds, Customer, RequestTraits
@@ -77,7 +77,7 @@
         gateways: Callable[[], int],
         clock: Clock,
         counted: Callable[[str], float] = lambda customer: 0.0,
-        propagation_time: Callable[[], timedelta] = lambda: UNSEEN_TIME,
+        propagation_time: Callable[[], timedelta] = lambda: PROPAGATION_TIME,
         rng: Random | None = None,
     ) -> None:
         self._bounds = bounds
@@ -91,7 +91,7 @@
         self._customers: dict[str, Customer] = {}
         self._started_at = clock.elapsed()
         self._shares = DemandShares()
-        self._thinnings: dict[str, Thinning] = {}
+        self._thinnings: dict[str, RequestThinner] = {}
         self._limits: dict[str, SharedLimit] = {}
 
     def admit(self, customer: Customer, traits: RequestTraits) -> timedelta | None:
@@ -109,20 +109,20 @@
         limit = self._limit(customer, now)
         rate = customer.rate * available.fraction
         limit.refill(rate, now)
-        limit.ask(amount, now)
-        left = limit.left(self._depth(customer), available.fraction, now)
+        limit.record_request(amount, now)
+        left = limit.remaining(self._depth(customer), available.fraction, now)
         share = self._share(customer, available, now)
         if not self._has_room(customer, limit, left, share, available):
             rise = self._unreported_demand(customer, limit, share)
-            fraction = passing_part(left, rate, available.demand + rise)
+            fraction = admitted_fraction(left, rate, available.demand + rise)
             propagation_time = self._propagation_time()
             refill = share * rate * propagation_time.total_seconds()
-            unreported = limit.unseen(now, propagation_time)
-            if left <= 0 and not fits_unseen(amount, unreported, refill):
+            unreported = limit.unreported(now, propagation_time)
+            if left <= 0 and not fits_unreported(amount, unreported, refill):
                 fraction = 0.0
-            if not self._thinning(customer.name).lets_in(fraction):
-                return time_to_return(left, rate, available.demand)
-        limit.spend(amount, now)
+            if not self._thinning(customer.name).admits(fraction):
+                return retry_after(left, rate, available.demand)
+        limit.record_admitted(amount, now)
         return None
 
     def _has_room(
@@ -135,22 +135,22 @@
     ) -> bool:
         propagation_time = self._propagation_time()
         covered = self._slack(customer) * UNREPORTED_SLACK_FRACTION * share
-        unreported = limit.unseen(self._clock.elapsed(), propagation_time) - covered
-        return has_room(left, available.demand, share, unreported, propagation_time)
+        unreported = limit.unreported(self._clock.elapsed(), propagation_time) - covered
+        return has_headroom(left, available.demand, share, unreported, propagation_time)
 
     def _unreported_demand(
         self, customer: Customer, limit: SharedLimit, share: float
     ) -> float:
         now = self._clock.elapsed()
         propagation_time = self._propagation_time()
-        average = self._shares.own(customer.name, now)
-        rise = limit.unseen_rise(now, propagation_time, average)
+        average = self._shares.own_rate(customer.name, now)
+        rise = limit.surge(now, propagation_time, average)
         covered = (
             self._slack(customer)
             * RISE_SLACK_FRACTION
             / propagation_time.total_seconds()
         )
-        return unseen_demand(rise, share, covered)
+        return unreported_demand(rise, share, covered)
 
     def explain(self, customer: Customer) -> str:
         """Return what decides on a customer's requests now, for the logs."""
@@ -169,7 +169,7 @@
         """Refund a request that was admitted and did not run."""
         if customer.rate and customer.name in self._limits:
             amount = request_size(customer, traits)
-            self._limits[customer.name].spend(-amount, self._clock.elapsed())
+            self._limits[customer.name].record_admitted(-amount, self._clock.elapsed())
 
     def report(self) -> dict[str, LimitUsage]:
         """Return this gateway's demand and limit usage, by customer."""
@@ -185,7 +185,7 @@
     ) -> LimitUsage:
         share = self._share(customer, self._available(customer, now), now)
         counted = self._counted(customer.name)
-        return LimitUsage(demand, limit.spent, counted, limit.used(now), share)
+        return LimitUsage(demand, limit.admitted, counted, limit.used(now), share)
 
     def receive_groups(self, groups: Sequence[HeardGroup]) -> None:
         """Replace the totals over all other gateways."""
@@ -196,14 +196,16 @@
         for group in groups:
             state = group.state
             reported_at = now - group.age
-            counter = SpendingCounter(
+            counter = UsageCounter(
                 state.aggregator.zone,
                 state.counter_id,
                 reported_at - timedelta(seconds=state.counting_s),
             )
             for name, usage in state.limit_usage.items():
                 if name in self._limits:
-                    self._limits[name].hear(counter, usage.spent, reported_at)
+                    self._limits[name].add_group_report(
+                        counter, usage.spent, reported_at
+                    )
 
     def _refill(self, now: timedelta) -> None:
         """Refill all limits at the rates that follow from the present reservations.
@@ -219,7 +221,7 @@
         """Return what the gateways in touch may use of a limit."""
         gateways = self._gateways()
         counted = in_touch = 1
-        demand = self._shares.own(customer.name, now)
+        demand = self._shares.own_rate(customer.name, now)
         reserved = 0.0
         for group in self._groups:
             state = group.state
@@ -242,13 +244,13 @@
         return _AvailableLimit(max(1 - reserved, 0.0), in_touch, demand)
 
     def _is_fresh(self, group: HeardGroup, now: timedelta) -> bool:
-        return now - self._received_at + group.age <= FRESH
+        return now - self._received_at + group.age <= CONTACT_TIMEOUT
 
     def _share(
         self, customer: Customer, available: _AvailableLimit, now: timedelta
     ) -> float:
         """Return this gateway's fraction of a limit."""
-        own = self._shares.own(customer.name, now)
+        own = self._shares.own_rate(customer.name, now)
         by_demand = self._shares.part(own, available.demand, available.gateways)
         rate = customer.rate * available.fraction
         return available.fraction * _add_spare(
@@ -261,9 +263,9 @@
     def _depth(self, customer: Customer) -> float:
         return customer.burst + DEPTH_SLACK_FRACTION * self._slack(customer)
 
-    def _thinning(self, name: str) -> Thinning:
+    def _thinning(self, name: str) -> RequestThinner:
         if name not in self._thinnings:
-            self._thinnings[name] = Thinning(self._rng.random())
+            self._thinnings[name] = RequestThinner(self._rng.random())
         return self._thinnings[name]
 
     def _limit(self, customer: Customer, now: timedelta) -> SharedLimit:
--- a/src/sassafrasdale/gateway/rollout.py
+++ b/src/sassafrasdale/gateway/rollout.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 from sassafrasdale.charts import Lifecycle, load_chart
-from sassafrasdale.decisions.canary import Outcomes, SequentialTest, Trial
-from sassafrasdale.decisions.exposure import TrialAllowance
+from sassafrasdale.decisions.canary import CanaryAnalysis, Outcomes, SequentialTest
+from sassafrasdale.decisions.exposure import CanaryAllowance
 from sassafrasdale.decisions.rollouts import RolloutOrder
 from sassafrasdale.gateway.directory import EndpointRecord
 from sassafrasdale.gateway.rollout_news import (
@@ -37,7 +37,7 @@
         self,
         order: RolloutOrder,
         revision: int,
-        allowance: TrialAllowance,
+        allowance: CanaryAllowance,
         since: float,
         *,
         in_force: bool,
@@ -56,7 +56,7 @@
         self.has_full_load = False
         self.is_sampled = False
         self.table: OutcomeTable = {}
-        self.trial = Trial(RULE)
+        self.trial = CanaryAnalysis(RULE)
 
     @property
     def state(self) -> str:
--- a/src/sassafrasdale/gateway/rollout_duty.py
+++ b/src/sassafrasdale/gateway/rollout_duty.py
@@ -15,10 +15,10 @@
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.coordination.stores import StoredValue
 from sassafrasdale.decisions.rollouts import (
+    RolloutAction,
     RolloutState,
     RolloutStatus,
-    Step,
-    next_step,
+    next_action,
 )
 from sassafrasdale.gateway.rollout import Rollout
 from sassafrasdale.gateway.rollouts import Rollouts
@@ -102,16 +102,16 @@
     def _advance(self, rollout: Rollout) -> None:
         if rollout.revision not in self._records_read:
             self._read_record(rollout)
-        match next_step(self._rollouts.view(rollout)):
-            case Step.WAIT:
+        match next_action(self._rollouts.view(rollout)):
+            case RolloutAction.WAIT:
                 return
-            case Step.FILL:
+            case RolloutAction.FULL_SHARE:
                 self._rollouts.start_full_load(rollout)
-            case Step.START:
+            case RolloutAction.START:
                 self._write_status(rollout, RolloutState.RUNNING)
-            case Step.COMPLETE:
+            case RolloutAction.COMPLETE:
                 self._write_status(rollout, RolloutState.COMPLETE)
-            case Step.ROLL_BACK:
+            case RolloutAction.ROLL_BACK:
                 self._write_status(rollout, RolloutState.ROLLED_BACK)
 
     def _read_record(self, rollout: Rollout) -> None:
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -14,8 +14,8 @@
 from logbook import Logger
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.canary import bucket_of
-from sassafrasdale.decisions.exposure import SAMPLED_PART, TrialAllowance
+from sassafrasdale.decisions.canary import latency_bucket
+from sassafrasdale.decisions.exposure import SAMPLED_FRACTION, CanaryAllowance
 from sassafrasdale.decisions.rollouts import (
     RolloutOrder,
     RolloutState,
@@ -106,7 +106,7 @@
         rollout = Rollout(
             order,
             revision,
-            TrialAllowance(self._share, self._rng),
+            CanaryAllowance(self._share, self._rng),
             self._time.seconds,
             in_force=is_news and listed_versions == {order.target},
         )
@@ -176,7 +176,7 @@
         if rollout.has_full_load:
             return targets
         others = len(records) - len(targets)
-        count = max(1, round(others * self._share * SAMPLED_PART))
+        count = max(1, round(others * self._share * SAMPLED_FRACTION))
         turn = int(self._time.seconds / ROTATION_PERIOD.total_seconds())
         first = turn * count % len(targets)
         return (targets + targets)[first : first + min(count, len(targets))]
@@ -195,7 +195,7 @@
         """Record the time to the first byte of an endpoint's answer."""
         rollout = self._order_under_test(record)
         if rollout is not None:
-            rollout.outcomes(record, route).times[bucket_of(took)] += 1
+            rollout.outcomes(record, route).times[latency_bucket(took)] += 1
 
     def note_end(self, record: EndpointRecord, route: str, *, ok: bool) -> None:
         """Count a request as completely answered or as failed by its endpoint."""
@@ -248,20 +248,20 @@
             add_rows(table, report.rows)
         now = self._clock.elapsed()
         # A version that is rejected during the test would be rejected at its end, too.
-        at_end = rollout.trial.judge(table, now, final=True)
-        if at_end.is_bad:
-            verdict = rollout.trial.judge(table, now)
-            if verdict.is_bad:
+        at_end = rollout.trial.evaluate(table, now, final=True)
+        if at_end.is_rejected:
+            verdict = rollout.trial.evaluate(table, now)
+            if verdict.is_rejected:
                 self._reject(rollout, verdict.reason)
                 return
-        if at_end.is_bad and not rollout.is_suspect:
+        if at_end.is_rejected and not rollout.is_suspect:
             log.info(
                 "version suspected",
                 service=rollout.order.service,
                 target=rollout.order.target,
                 reason=at_end.reason,
             )
-        rollout.is_suspect = at_end.is_bad
+        rollout.is_suspect = at_end.is_rejected
         rollout.is_suspected_elsewhere = any(report.suspect for report in reports)
 
     def _reject(self, rollout: Rollout, reason: str) -> None:
@@ -277,7 +277,7 @@
             revision=rollout.revision,
             age_s=round(self._time.seconds - rollout.since, 3),
             sent=rollout.allowance.sent,
-            tried=rollout.allowance.tried,
+            tried=rollout.allowance.canary_requests,
             **reason,
         )
 
@@ -318,7 +318,7 @@
             "age_s": round(self._time.seconds - rollout.since, 3),
             "duration_s": rollout.order.duration.total_seconds(),
             "sent": rollout.allowance.sent,
-            "tried": rollout.allowance.tried,
+            "tried": rollout.allowance.canary_requests,
             "outcomes": [
                 {
                     "endpoints": group or "others",
--- a/src/sassafrasdale/gateway/roster.py
+++ b/src/sassafrasdale/gateway/roster.py
@@ -8,7 +8,7 @@
 from xxhash import xxh64_intdigest
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.aggregators import ordered
+from sassafrasdale.decisions.aggregators import rank_aggregators
 from sassafrasdale.gateway.peer_states import Contact
 
 log = Logger("roster")
@@ -84,7 +84,7 @@
             known[own.name] = own
         now = self._clock.elapsed()
         cpu_shares = {name: contact.power for name, contact in known.items()}
-        for name in ordered(zone, cpu_shares):
+        for name in rank_aggregators(zone, cpu_shares):
             if self._avoided_until.get(name, now) <= now:
                 return known[name]
         return None
--- a/src/sassafrasdale/gateway/scaling.py
+++ b/src/sassafrasdale/gateway/scaling.py
@@ -12,7 +12,7 @@
 from sassafrasdale.coordination.exceptions import LeaseNotHeld, StoreError
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.decisions.ordering import (
-    PLANNED_USE,
+    TARGET_UTILIZATION,
     FleetPlan,
     OrderKey,
     PlannedService,
@@ -211,7 +211,7 @@
             return replace(service, load=service.load / _average_fraction(age))
         estimate = (
             self._idle_running.get(service.service, 0)
-            * PLANNED_USE
+            * TARGET_UTILIZATION
             * ASSUMED_UTILIZATION
         )
         return replace(service, load=max(service.load, estimate), load_known=False)
@@ -264,7 +264,7 @@
 
         Never during a rollout, whose version may take over at any moment.
         """
-        if service.is_changing:
+        if service.has_canary:
             self._scale_down_since.pop(key, None)
             return False
         if service.service not in self._load_since:
--- a/src/sassafrasdale/gateway/strike_news.py
+++ b/src/sassafrasdale/gateway/strike_news.py
@@ -11,10 +11,10 @@
 from msgspec.msgpack import Decoder, Encoder
 
 from sassafrasdale.decisions.quarantine import (
-    HeldStrike,
     Strike,
     StrikeLedger,
     StrikeState,
+    TrackedStrike,
 )
 
 # Most strikes in one message; a crash of an endpoint with sixty requests causes as
@@ -34,7 +34,7 @@
     state: int = 0
 
     @classmethod
-    def of(cls, held: HeldStrike) -> "StrikeRow":
+    def of(cls, held: TrackedStrike) -> "StrikeRow":
         """Return the row for a strike."""
         strike = held.strike
         return cls(
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -13,10 +13,10 @@
 from sassafrasdale.coordination.exceptions import StoreError
 from sassafrasdale.coordination.stores import BaseStore, StoredValue
 from sassafrasdale.decisions.quarantine import (
-    HeldStrike,
     Strike,
     StrikeLedger,
     StrikeState,
+    TrackedStrike,
 )
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.peering import Peering
@@ -118,11 +118,11 @@
             self._store.delete(_key(held.strike))
         return bool(due or dropped)
 
-    def _dropped(self) -> list[HeldStrike]:
+    def _dropped(self) -> list[TrackedStrike]:
         """Return stored strikes that the ledger has dropped for lack of space."""
         return [
             held
-            for held in self._ledger.take_dropped()
+            for held in self._ledger.pop_dropped()
             if StrikeState.STORED in held.state
             and StrikeState.UNSTORED not in held.state
             and self._is_responsible(held)
@@ -143,7 +143,7 @@
             return
         self._ledger.take(row.strike, StrikeState.STORED)
 
-    def _due(self) -> list[HeldStrike]:
+    def _due(self) -> list[TrackedStrike]:
         """Return strikes whose stored state this gateway has to update."""
         now = self._clock.elapsed()
         is_recent = (
@@ -158,7 +158,7 @@
             return []
         self._checked_at = now
         self._checked_version = self._ledger.version
-        pending: list[HeldStrike] = []
+        pending: list[TrackedStrike] = []
         for strikes in list(self._ledger.by_request()):
             self._clear_expired(strikes)
             pending += [held for held in strikes if _is_out_of_date(held, strikes)]
@@ -166,14 +166,14 @@
         due = (held for held in pending if self._is_responsible(held))
         return list(islice(due, MAX_WRITES))
 
-    def _clear_expired(self, strikes: list[HeldStrike]) -> None:
+    def _clear_expired(self, strikes: list[TrackedStrike]) -> None:
         newest = max(held.strike.at for held in strikes)
         if self._age(newest) > MAX_AGE and any(held.is_open for held in strikes):
             name = strikes[0].strike.fingerprint
             self._ledger.clear(name)
             log.info("strikes cleared", fingerprint=name, why="too old")
 
-    def _is_responsible(self, held: HeldStrike) -> bool:
+    def _is_responsible(self, held: TrackedStrike) -> bool:
         if held.strike.witness == self._name:
             return True
         is_overdue = self._age(held.strike.at) > WITNESS_TIMEOUT
@@ -182,7 +182,7 @@
     def _age(self, at: float) -> timedelta:
         return timedelta(seconds=self._time.seconds - at)
 
-    def _update_store(self, held: HeldStrike) -> None:
+    def _update_store(self, held: TrackedStrike) -> None:
         strike = held.strike
         name = strike.fingerprint
         key = _key(strike)
@@ -202,7 +202,7 @@
     return f"{STRIKES_PREFIX}{strike.fingerprint}/{xxh64_hexdigest(end.encode())}"
 
 
-def _is_out_of_date(held: HeldStrike, strikes: list[HeldStrike]) -> bool:
+def _is_out_of_date(held: TrackedStrike, strikes: list[TrackedStrike]) -> bool:
     """Return whether the store's state of a strike is out of date.
 
     :param strikes: all of the same request.
--- a/src/sassafrasdale/gateway/suspects.py
+++ b/src/sassafrasdale/gateway/suspects.py
@@ -8,9 +8,9 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.quarantine import (
-    HeldStrike,
     Strike,
     StrikeLedger,
+    TrackedStrike,
     trial_scope,
 )
 from sassafrasdale.gateway.crash_detection import CrashDetector
@@ -108,8 +108,10 @@
         tried_versions = {held.strike.version for held in strikes}
         versions = {record.name: record.endpoint.version for record in endpoints}
         scope = trial_scope(tried_versions, versions)
-        if self._trials.try_claim(name, strikes[-1].strike.at, has_new=scope.has_new):
-            return Verdict(name, avoided=scope.avoided)
+        if self._trials.try_claim(
+            name, strikes[-1].strike.at, has_new=scope.has_new_version
+        ):
+            return Verdict(name, avoided=scope.excluded_endpoints)
         self._count("quarantined request refused")
         return Verdict(name, is_refused=True)
 
@@ -194,7 +196,7 @@
 
     def may_retry(self, name: str) -> bool:
         """Return whether a request may be retried at another endpoint."""
-        return self._ledger.may_send_again(name)
+        return self._ledger.may_retry(name)
 
     def note_changes(self) -> None:
         """Log which requests have entered or left quarantine."""
@@ -223,7 +225,7 @@
         ]
 
     def _describe_strikes(
-        self, strikes: Iterable[HeldStrike]
+        self, strikes: Iterable[TrackedStrike]
     ) -> list[dict[str, object]]:
         now = self._time.seconds
         return [
--- a/src/sassafrasdale/gateway/trials.py
+++ b/src/sassafrasdale/gateway/trials.py
@@ -14,7 +14,7 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.coordination.exceptions import StoreError
 from sassafrasdale.coordination.stores import ABSENT, BaseStore
-from sassafrasdale.decisions.quarantine import trial_is_due
+from sassafrasdale.decisions.quarantine import is_trial_due
 from sassafrasdale.gateway.usage import TrueTime
 
 log = Logger("trials")
@@ -65,7 +65,7 @@
         :param has_new: whether there are endpoints of a version that it hasn't run on.
         """
         now = self._time.seconds
-        may_be_due = trial_is_due(0, last_end, now, has_new=has_new)
+        may_be_due = is_trial_due(0, last_end, now, has_new=has_new)
         if not may_be_due or not self._may_query(name):
             return False
         try:
@@ -105,7 +105,7 @@
                     why=str(error),
                 )
         last = max(last_end, record.last_at)
-        if not trial_is_due(record.count, last, now, has_new=has_new):
+        if not is_trial_due(record.count, last, now, has_new=has_new):
             return False
         revision = ABSENT if held is None else held.mod_revision
         value = _ENCODE(TrialRecord(record.count + 1, now))
--- a/src/sassafrasdale/platform/configuration.py
+++ b/src/sassafrasdale/platform/configuration.py
@@ -6,7 +6,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from sassafrasdale.decisions.fetching import MemoryLink
+from sassafrasdale.decisions.fetching import CacheLink
 from sassafrasdale.deployment import (
     CallerLimits,
     Configuration,
@@ -147,7 +147,7 @@
 def _engine(engine: _Engine) -> EngineTraits:
     link = None
     if engine.link_mbps and engine.kv_token_bytes:
-        link = MemoryLink(engine.kv_token_bytes, engine.link_mbps * 1e6)
+        link = CacheLink(engine.kv_token_bytes, engine.link_mbps * 1e6)
     return EngineTraits(engine.slots, engine.kv_cap, link)
 
 
--- a/src/sassafrasdale/requests/hedges.py
+++ b/src/sassafrasdale/requests/hedges.py
@@ -32,7 +32,7 @@
     @property
     def has_spare_capacity(self) -> bool:
         """Whether the entry has spare capacity for a second attempt."""
-        return self._gate.admission.has_spare_room
+        return self._gate.admission.has_spare_capacity
 
     def try_hedge(self) -> bool:
         """Take a hedge from the budget; return whether it allows one."""
--- a/src/sassafrasdale/requests/mover.py
+++ b/src/sassafrasdale/requests/mover.py
@@ -5,12 +5,12 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.reclaims import plan_streams
 from sassafrasdale.decisions.structures import (
+    KeepInPlace,
     MoveCache,
     ReclaimPolicy,
     Recompute,
     StreamTarget,
     StreamView,
-    WaitOut,
 )
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.green import spawn
@@ -81,7 +81,7 @@
                     spawn(_move, by_id[request_id], endpoint)
                 case Recompute():
                     spawn(by_id[request_id].recompute, endpoint)
-                case WaitOut():
+                case KeepInPlace():
                     continue
 
     def _target(self, leaving: Endpoint) -> StreamTarget | None:
--- a/src/sassafrasdale/requests/selection.py
+++ b/src/sassafrasdale/requests/selection.py
@@ -135,9 +135,9 @@
             max_tokens=query.max_tokens,
             priority=query.priority,
             remaining=query.deadline - now,
-            home_availability_zone=self._availability_zone,
-            home=owner,
-            second_home=fallback_owner,
+            entry_availability_zone=self._availability_zone,
+            owner=owner,
+            fallback_owner=fallback_owner,
         )
         candidates = self._candidates(query.service, avoid, now)
         cached_tokens = {
@@ -214,7 +214,7 @@
         if ring is None:
             serving = self._directory.serving(query.service)
             ring = self._rings[query.service] = HashRing(e.name for e in serving)
-        return ring.homes(query.conversation)
+        return ring.owners(query.conversation)
 
     def _health_of(self, service: str) -> Health:
         if service not in self._health:
@@ -267,14 +267,14 @@
             instance_class=instance.instance_class,
             in_flight=endpoint.in_flight,
             reported_load=endpoint.reported_load,
-            own_at_report=endpoint.own_load_at_report,
+            own_load_at_report=endpoint.own_load_at_report,
             report_age=None if reported_at is None else now - reported_at,
             max_in_flight=max_in_flight(service, instance.instance_class),
             price_per_hour=self._prices.get(price_key, 0.0),
-            distance=self._network_delay(instance.availability_zone),
-            own_tokens=self._own_attempts.prefill_tokens(endpoint.name),
+            network_delay=self._network_delay(instance.availability_zone),
+            prefill_tokens=self._own_attempts.prefill_tokens(endpoint.name),
             cached_tokens=cached,
-            queueing=self._own_attempts.queue_time(endpoint.name, now),
+            queue_time=self._own_attempts.queue_time(endpoint.name, now),
             slowness=self._own_attempts.slowness(endpoint.name, now),
         )
 
--- a/src/sassafrasdale/requests/sends.py
+++ b/src/sassafrasdale/requests/sends.py
@@ -32,7 +32,7 @@
 
     def queue_time(self, endpoint: str, now: timedelta) -> timedelta:
         """Return the expected queueing time on an endpoint."""
-        return self._queues.queueing(endpoint, now)
+        return self._queues.queue_time(endpoint, now)
 
     def slowness(self, endpoint: str, now: timedelta) -> float:
         """Return the ratio of an endpoint's time per token to the median of all."""
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -55,20 +55,20 @@
     keys = [conversation_key((str(n),)) for n in range(500)]
     before = HashRing("abcdef")
     after = HashRing("abcde")
-    homes = [(before.homes(key)[0], after.homes(key)[0]) for key in keys]
+    homes = [(before.owners(key)[0], after.owners(key)[0]) for key in keys]
     assert {old for old, new in homes if old != new} == {"f"}
-    assert HashRing(()).homes(1) == ("", "")
+    assert HashRing(()).owners(1) == ("", "")
 
 
 def test_fallback_owner_takes_the_keys_of_a_lost_endpoint():
     before = HashRing("abcdef")
     after = HashRing("abcde")
     for key in (conversation_key((str(n),)) for n in range(500)):
-        first, second = before.homes(key)
+        first, second = before.owners(key)
         assert first != second
         if first == "f":
-            assert after.homes(key)[0] == second
-    assert HashRing("a").homes(1) == ("a", "")
+            assert after.owners(key)[0] == second
+    assert HashRing("a").owners(1) == ("a", "")
 
 
 def test_gaps_of_lost_events_do_not_shorten_a_match():
--- a/tests/decisions/test_aggregators.py
+++ b/tests/decisions/test_aggregators.py
@@ -5,11 +5,11 @@
 import pytest
 
 from sassafrasdale.decisions.aggregators import (
-    LONGEST_PAUSE,
-    SHORTEST_PAUSE,
-    ordered,
-    pause_for,
-    watchers,
+    MAX_REPORT_INTERVAL,
+    MIN_REPORT_INTERVAL,
+    rank_aggregators,
+    report_interval,
+    store_watchers,
 )
 
 
@@ -20,33 +20,37 @@
 def test_order_does_not_depend_on_the_input_order():
     names = powers(9)
     turned = dict(reversed(names.items()))
-    assert ordered("a", names) == ordered("a", turned)
+    assert rank_aggregators("a", names) == rank_aggregators("a", turned)
 
 
 def test_zones_prefer_different_gateways():
-    firsts = {ordered(zone, powers(50))[0] for zone in "abcdefgh"}
+    firsts = {rank_aggregators(zone, powers(50))[0] for zone in "abcdefgh"}
     assert len(firsts) > 4
 
 
 def test_loss_of_one_does_not_reorder_the_others():
     names = powers(20)
-    first, second, *rest = ordered("a", names)
+    first, second, *rest = rank_aggregators("a", names)
     del names[first]
-    assert ordered("a", names) == [second, *rest]
+    assert rank_aggregators("a", names) == [second, *rest]
 
 
 @pytest.mark.parametrize(
     ("reporting", "pause"),
-    [(3, SHORTEST_PAUSE), (39, timedelta(milliseconds=390)), (300, LONGEST_PAUSE)],
+    [
+        (3, MIN_REPORT_INTERVAL),
+        (39, timedelta(milliseconds=390)),
+        (300, MAX_REPORT_INTERVAL),
+    ],
 )
 def test_report_interval_limits_the_load_of_an_aggregator(reporting, pause):
-    assert pause_for(reporting) == pause
+    assert report_interval(reporting) == pause
 
 
 @pytest.mark.parametrize(("gateways", "zones"), [(3, 3), (20, 3), (39, 5), (100, 1)])
 def test_enough_gateways_watch_the_store_and_not_more(gateways, zones):
     """Guards against watches that all fail together, or a call each per change."""
     names = powers(gateways)
-    watching = len(watchers("a", names, zones))
+    watching = len(store_watchers("a", names, zones))
     assert watching * zones >= min(8, gateways * zones)
     assert watching * zones <= 10
--- a/tests/decisions/test_canary.py
+++ b/tests/decisions/test_canary.py
@@ -9,12 +9,12 @@
 from bench.canary.histories import draw
 from sassafrasdale.decisions.canary import (
     MAX_BUCKETS,
+    CanaryAnalysis,
     FixedThreshold,
     Outcomes,
     SequentialTest,
-    Trial,
-    bucket_of,
-    judge,
+    evaluate,
+    latency_bucket,
 )
 
 DURATION = timedelta(seconds=20)
@@ -28,11 +28,15 @@
 
 def bad_responses_until_rejection(kind, seed, rule=RULE):
     """Return the bad responses until a version is rejected; None if it never is."""
-    trial = Trial(rule)
+    trial = CanaryAnalysis(rule)
     for drawn in draw(kind, Random(f"{kind} {seed}"), REQUESTS, DURATION):
-        if trial.judge(drawn.rows, drawn.at).is_bad:
+        if trial.evaluate(drawn.rows, drawn.at).is_rejected:
             return drawn.bad
-    return drawn.bad if trial.judge(drawn.rows, DURATION, final=True).is_bad else None
+    return (
+        drawn.bad
+        if trial.evaluate(drawn.rows, DURATION, final=True).is_rejected
+        else None
+    )
 
 
 def rows(**outcomes):
@@ -68,56 +72,56 @@
 def test_equal_failure_rates_reject_no_version():
     """Guards against rolling back a good version for a fault of all endpoints."""
     trial = rows(_0=(60, 20), _1=(70, 22))
-    assert not judge(trial, rows(_=(1500, 480)), RULE, final=True).is_bad
+    assert not evaluate(trial, rows(_=(1500, 480)), RULE, final=True).is_rejected
 
 
 def test_fault_of_one_endpoint_does_not_reject_its_version():
     """Guards against rolling back a good version for one endpoint that fails."""
     baseline = rows(_=(1000, 10))
-    assert not judge(rows(_0=(20, 14), _1=(20, 0)), baseline, RULE).is_bad
-    assert judge(rows(_0=(20, 7), _1=(20, 7)), baseline, RULE).is_bad
+    assert not evaluate(rows(_0=(20, 14), _1=(20, 0)), baseline, RULE).is_rejected
+    assert evaluate(rows(_0=(20, 7), _1=(20, 7)), baseline, RULE).is_rejected
 
 
 def test_single_endpoint_is_judged_after_many_bad_responses():
     """Guards against never rejecting a bad version that has a single endpoint."""
     baseline = rows(_=(1000, 10))
-    assert not judge(rows(_0=(5, 9)), baseline, RULE).is_bad
-    assert judge(rows(_0=(10, 18)), baseline, RULE).is_bad
-    assert judge(rows(_0=(5, 9)), baseline, RULE, final=True).is_bad
+    assert not evaluate(rows(_0=(5, 9)), baseline, RULE).is_rejected
+    assert evaluate(rows(_0=(10, 18)), baseline, RULE).is_rejected
+    assert evaluate(rows(_0=(5, 9)), baseline, RULE, final=True).is_rejected
 
 
 def test_earlier_good_responses_do_not_hide_recent_bad_ones():
     """Guards against completing the rollout of a version that becomes bad late."""
-    trial = Trial(RULE)
+    trial = CanaryAnalysis(RULE)
     good = {
         ("0", "r"): Outcomes(300),
         ("1", "r"): Outcomes(300),
         ("", "r"): Outcomes(9),
     }
     for step in range(10):
-        assert not trial.judge(good, step * SECOND).is_bad
+        assert not trial.evaluate(good, step * SECOND).is_rejected
     bad = {key: Outcomes(row.answered + 9, 4) for key, row in good.items()}
     bad["", "r"] = Outcomes(1000)
-    assert trial.judge(bad, 10 * SECOND).is_bad
+    assert trial.evaluate(bad, 10 * SECOND).is_rejected
 
 
 def test_few_responses_reject_only_at_the_end():
     baseline = rows(_=(1000, 10))
     few = rows(_0=(1, 1), _1=(1, 1))
-    assert not judge(few, baseline, RULE).is_bad
-    assert judge(few, baseline, RULE, final=True).is_bad
+    assert not evaluate(few, baseline, RULE).is_rejected
+    assert evaluate(few, baseline, RULE, final=True).is_rejected
 
 
 def test_no_responses_reject_no_version():
-    assert not judge({}, {}, RULE, final=True).is_bad
-    assert not judge(rows(_0=(0, 0)), {}, RULE, final=True).is_bad
+    assert not evaluate({}, {}, RULE, final=True).is_rejected
+    assert not evaluate(rows(_0=(0, 0)), {}, RULE, final=True).is_rejected
 
 
 def test_fixed_threshold_needs_its_minimum_of_responses():
     baseline = rows(_=(1000, 10))
     rule = FixedThreshold()
-    assert not judge(rows(_0=(9, 5), _1=(0, 5)), baseline, rule).is_bad
-    assert judge(rows(_0=(6, 10), _1=(6, 10)), baseline, rule).is_bad
+    assert not evaluate(rows(_0=(9, 5), _1=(0, 5)), baseline, rule).is_rejected
+    assert evaluate(rows(_0=(6, 10), _1=(6, 10)), baseline, rule).is_rejected
 
 
 def test_lost_counts_do_not_give_negative_differences():
@@ -127,6 +131,6 @@
 
 
 def test_bucket_of_a_response_time():
-    assert bucket_of(timedelta()) == 1
-    assert bucket_of(timedelta(milliseconds=2)) == 2
-    assert bucket_of(timedelta(hours=9)) == MAX_BUCKETS
+    assert latency_bucket(timedelta()) == 1
+    assert latency_bucket(timedelta(milliseconds=2)) == 2
+    assert latency_bucket(timedelta(hours=9)) == MAX_BUCKETS
--- a/tests/decisions/test_capacity.py
+++ b/tests/decisions/test_capacity.py
@@ -6,9 +6,9 @@
 from sassafrasdale.decisions.capacity import plan_capacity
 from sassafrasdale.decisions.structures import (
     CapacityPolicy,
-    GiveBack,
     InstanceOffer,
     RefusedStart,
+    ReleaseInstance,
     RunningInstance,
     ServiceDemand,
     StartInstance,
@@ -94,7 +94,7 @@
 
 def test_releases_the_most_expensive_instance_one_per_round():
     plan = _plan(_running(a=3, b=3, c=3))
-    assert plan.orders == (GiveBack("b0"),)
+    assert plan.orders == (ReleaseInstance("b0"),)
 
 
 def test_releases_nothing_within_the_margin():
@@ -133,4 +133,4 @@
     starting = RunningInstance("new", "a", "large", True, serving=False)
     assert _plan([*running, starting]).orders == ()
     serving = RunningInstance("new", "a", "large", True)
-    assert _plan([*running, serving]).orders == (GiveBack("dear"),)
+    assert _plan([*running, serving]).orders == (ReleaseInstance("dear"),)
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -7,8 +7,8 @@
 
 from sassafrasdale.decisions.exposure import (
     MAX_FRACTION,
-    SAMPLED_PART,
-    TrialAllowance,
+    SAMPLED_FRACTION,
+    CanaryAllowance,
 )
 
 SHARE = 0.1
@@ -27,27 +27,27 @@
     Seventy gateways see a few requests each, and half of them restart midway.
     """
     rng = Random(1)
-    allowances = [TrialAllowance(SHARE, rng) for _ in range(105)]
+    allowances = [CanaryAllowance(SHARE, rng) for _ in range(105)]
     for allowance in allowances:
         play(allowance, rng, 20)
     sent = sum(allowance.sent for allowance in allowances)
-    tried = sum(allowance.tried for allowance in allowances)
-    assert SHARE * SAMPLED_PART * 0.6 < tried / sent < SHARE
+    tried = sum(allowance.canary_requests for allowance in allowances)
+    assert SHARE * SAMPLED_FRACTION * 0.6 < tried / sent < SHARE
 
 
 @given(st.integers(0, 2**32), st.lists(st.tuples(st.booleans(), st.integers(1, 300))))
 def test_share_is_never_exceeded_by_more_than_a_request(seed, parts):
     rng = Random(seed)
-    allowance = TrialAllowance(SHARE, rng)
+    allowance = CanaryAllowance(SHARE, rng)
     for full, requests in parts:
         play(allowance, rng, requests, full=full)
-        assert allowance.tried <= allowance.sent * SHARE * MAX_FRACTION + 1
+        assert allowance.canary_requests <= allowance.sent * SHARE * MAX_FRACTION + 1
 
 
 def test_rare_route_is_sampled():
     """Guards against a version that fails only on a route that is never sampled."""
     rng = Random(2)
-    allowance = TrialAllowance(SHARE, rng)
+    allowance = CanaryAllowance(SHARE, rng)
     tried = 0
     for _ in range(2000):
         play(allowance, rng, 1)
@@ -59,16 +59,16 @@
 
 def test_full_share_uses_the_rest_of_the_share():
     rng = Random(3)
-    allowance = TrialAllowance(SHARE, rng)
+    allowance = CanaryAllowance(SHARE, rng)
     play(allowance, rng, 2000)
-    before = allowance.tried
+    before = allowance.canary_requests
     play(allowance, rng, 200, full=True)
-    assert allowance.tried - before > 50
+    assert allowance.canary_requests - before > 50
 
 
 def test_deferred_requests_are_not_sent_all_at_once():
     """Guards against overloading the few endpoints of the canary as they start."""
-    allowance = TrialAllowance(SHARE, Random(4))
+    allowance = CanaryAllowance(SHARE, Random(4))
     for _ in range(2000):
         allowance.note("r-reports", on_trial=False)
     at_once = 0
--- a/tests/decisions/test_homes.py
+++ b/tests/decisions/test_homes.py
@@ -4,7 +4,7 @@
     EVENTS_KEPT,
     INITIAL_SHARE,
     SHARE_WITHOUT_EVENTS,
-    HomeTrust,
+    OwnerCacheEstimate,
 )
 
 
@@ -14,8 +14,8 @@
     The conversations have new owners with empty caches, but every entry sends them
     there as if they were cached.
     """
-    estimate = HomeTrust()
-    estimate.hear(arrived=95, published=100)
+    estimate = OwnerCacheEstimate()
+    estimate.add_events(arrived=95, published=100)
     for _ in range(20):
         estimate.observe(0, 4000)
     assert estimate.share < 0.1
@@ -27,24 +27,24 @@
     Without cache events no entry knows what the others sent. The owners' caches are
     empty at first; if the entries stopped using the owners, these would stay empty.
     """
-    estimate = HomeTrust()
-    estimate.hear(arrived=30, published=100)
+    estimate = OwnerCacheEstimate()
+    estimate.add_events(arrived=30, published=100)
     for _ in range(20):
         estimate.observe(0, 4000)
     assert estimate.share == SHARE_WITHOUT_EVENTS
 
 
 def test_old_events_lose_their_weight():
-    estimate = HomeTrust()
-    estimate.hear(arrived=0, published=EVENTS_KEPT)
+    estimate = OwnerCacheEstimate()
+    estimate.add_events(arrived=0, published=EVENTS_KEPT)
     for _ in range(100):
-        estimate.hear(arrived=EVENTS_KEPT // 10, published=EVENTS_KEPT // 10)
+        estimate.add_events(arrived=EVENTS_KEPT // 10, published=EVENTS_KEPT // 10)
     assert estimate.events_arriving > 0.9
 
 
 def test_share_follows_the_responses():
-    estimate = HomeTrust()
-    estimate.hear(arrived=95, published=100)
+    estimate = OwnerCacheEstimate()
+    estimate.add_events(arrived=95, published=100)
     assert estimate.share == INITIAL_SHARE
     for _ in range(60):
         estimate.observe(3000, 4000)
@@ -52,7 +52,7 @@
 
 
 def test_empty_prompt_is_ignored():
-    estimate = HomeTrust()
-    estimate.hear(arrived=95, published=100)
+    estimate = OwnerCacheEstimate()
+    estimate.add_events(arrived=95, published=100)
     estimate.observe(0, 0)
     assert estimate.share == INITIAL_SHARE
--- a/tests/decisions/test_news.py
+++ b/tests/decisions/test_news.py
@@ -2,7 +2,12 @@
 
 from datetime import timedelta
 
-from sassafrasdale.decisions.news import NO_LOAD, ToldLoad, still_unread, unseen_work
+from sassafrasdale.decisions.news import (
+    NO_LOAD,
+    ReportedLoad,
+    remaining_prefill_tokens,
+    unreported_work,
+)
 
 TOKEN_TIME = timedelta(microseconds=10)
 MILLISECOND = timedelta(milliseconds=1)
@@ -13,18 +18,21 @@
 
     A peer reported 10,000 tokens, a tenth of a second of prefill, 60 ms ago.
     """
-    reported = ToldLoad(3, 10_000, 60 * MILLISECOND)
-    assert still_unread(reported, TOKEN_TIME) == 4000
+    reported = ReportedLoad(3, 10_000, 60 * MILLISECOND)
+    assert remaining_prefill_tokens(reported, TOKEN_TIME) == 4000
 
 
 def test_no_more_is_processed_than_was_reported():
-    assert still_unread(ToldLoad(3, 10_000, 900 * MILLISECOND), TOKEN_TIME) == 0
-    assert still_unread(NO_LOAD, TOKEN_TIME) == 0
+    assert (
+        remaining_prefill_tokens(ReportedLoad(3, 10_000, 900 * MILLISECOND), TOKEN_TIME)
+        == 0
+    )
+    assert remaining_prefill_tokens(NO_LOAD, TOKEN_TIME) == 0
 
 
 def test_unreported_work_grows_with_load_and_age_and_is_shared_by_endpoints():
     age = 200 * MILLISECOND
-    assert unseen_work(1.5, age, 3) == 100 * MILLISECOND
-    assert unseen_work(1.5, age, 6) == 50 * MILLISECOND
-    assert unseen_work(0.0, age, 6) == timedelta()
-    assert unseen_work(1.5, age, 0) == 300 * MILLISECOND
+    assert unreported_work(1.5, age, 3) == 100 * MILLISECOND
+    assert unreported_work(1.5, age, 6) == 50 * MILLISECOND
+    assert unreported_work(0.0, age, 6) == timedelta()
+    assert unreported_work(1.5, age, 0) == 300 * MILLISECOND
--- a/tests/decisions/test_paces.py
+++ b/tests/decisions/test_paces.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sassafrasdale.decisions.paces import MAX_SLOWNESS, EnginePaces
+from sassafrasdale.decisions.paces import MAX_SLOWNESS, EngineStepTimes
 
 MILLISECOND = timedelta(milliseconds=1)
 
@@ -29,7 +29,7 @@
     prompts lengthen up to six of ten gaps.
     """
     rng = Random(5)
-    step_times = EnginePaces()
+    step_times = EngineStepTimes()
     for _ in range(6):
         step_times.observe("fast", stream(rng, 3.2 * MILLISECOND, busy))
         step_times.observe("slow", stream(rng, 3.2 * 1.3 * MILLISECOND, busy))
@@ -39,7 +39,7 @@
 
 
 def test_engine_without_estimate_is_omitted():
-    step_times = EnginePaces()
+    step_times = EngineStepTimes()
     assert step_times.slowness(["new"]) == {}
     step_times.observe("old", stream(Random(1), 3 * MILLISECOND, 0))
     assert step_times.slowness(["new", "old"]) == {}
@@ -47,7 +47,7 @@
 
 def test_events_that_arrive_together_do_not_lower_the_estimate():
     """Guards against all others seeming slow after one delay of an engine's events."""
-    step_times = EnginePaces()
+    step_times = EngineStepTimes()
     for _ in range(4):
         step_times.observe("a", [16 * MILLISECOND] * 40)
         step_times.observe(
@@ -57,7 +57,7 @@
 
 
 def test_slowness_is_bounded():
-    step_times = EnginePaces()
+    step_times = EngineStepTimes()
     for _ in range(4):
         step_times.observe("a", [16 * MILLISECOND] * 40)
         step_times.observe("b", [900 * MILLISECOND] * 40)
@@ -65,7 +65,7 @@
 
 
 def test_removed_engine_is_forgotten():
-    step_times = EnginePaces()
+    step_times = EngineStepTimes()
     for _ in range(4):
         step_times.observe("a", [16 * MILLISECOND] * 40)
         step_times.observe("b", [32 * MILLISECOND] * 40)
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from sassafrasdale.decisions.quarantine import (
-    MOST_ENDS,
+    QUARANTINE_CRASHES,
     Strike,
     StrikeLedger,
     StrikeState,
-    trial_is_due,
+    is_trial_due,
     trial_scope,
 )
 
@@ -50,7 +50,7 @@
 
 def test_later_crash_of_the_same_endpoint_counts_again():
     """Guards against merging separate crashes if the endpoint list can't be read."""
-    found = [strike("crashing", 1, at=second) for second in range(MOST_ENDS)]
+    found = [strike("crashing", 1, at=second) for second in range(QUARANTINE_CRASHES)]
     assert ledger_of(*found).quarantined == {"crashing"}
 
 
@@ -103,14 +103,14 @@
 def test_attempt_without_output_stops_after_two_crashes():
     """Guards against one attempt that crashes as many endpoints as it may try."""
     ledger = ledger_of(strike("crashing", 0))
-    assert ledger.may_send_again("crashing")
+    assert ledger.may_retry("crashing")
     ledger.take(strike("crashing", 1))
-    assert not ledger.may_send_again("crashing")
+    assert not ledger.may_retry("crashing")
 
 
 def test_stream_with_output_continues_after_two_crashes():
     ledger = ledger_of(*strikes_of("beside", range(2), begun=True))
-    assert ledger.may_send_again("beside")
+    assert ledger.may_retry("beside")
 
 
 FACTS = st.lists(
@@ -189,7 +189,7 @@
     ],
 )
 def test_trial_of_a_quarantined_request(made, waited, has_new, due):
-    assert trial_is_due(made, 100.0, 100.0 + waited, has_new=has_new) is due
+    assert is_trial_due(made, 100.0, 100.0 + waited, has_new=has_new) is due
 
 
 @pytest.mark.parametrize(
@@ -204,8 +204,8 @@
 def test_trial_uses_new_versions_if_there_are_any(versions, has_new, avoided):
     """Guards against a trial that crashes another endpoint of a known bad version."""
     scope = trial_scope({"v1"}, versions)
-    assert scope.has_new is has_new
-    assert scope.avoided == avoided
+    assert scope.has_new_version is has_new
+    assert scope.excluded_endpoints == avoided
 
 
 CRASH_INTERVAL = 2
--- a/tests/decisions/test_queues.py
+++ b/tests/decisions/test_queues.py
@@ -15,21 +15,21 @@
     """
     queues = QueueTimes()
     queues.sent("a", "r1", NO_TIME, SECOND)
-    assert queues.queueing("a", 0.5 * SECOND) == NO_TIME
-    assert queues.queueing("a", 3 * SECOND) == 2 * SECOND
-    assert queues.queueing("b", 3 * SECOND) == NO_TIME
+    assert queues.queue_time("a", 0.5 * SECOND) == NO_TIME
+    assert queues.queue_time("a", 3 * SECOND) == 2 * SECOND
+    assert queues.queue_time("b", 3 * SECOND) == NO_TIME
 
 
 def test_observed_queueing_time_decays():
     queues = QueueTimes()
     queues.sent("a", "r1", NO_TIME, SECOND)
     queues.answered("a", "r1", 5 * SECOND)
-    assert queues.queueing("a", 5 * SECOND) == 4 * SECOND
-    assert queues.queueing("a", 5 * SECOND + QUEUE_HALF_LIFE) == 2 * SECOND
+    assert queues.queue_time("a", 5 * SECOND) == 4 * SECOND
+    assert queues.queue_time("a", 5 * SECOND + QUEUE_HALF_LIFE) == 2 * SECOND
 
 
 def test_withdrawn_request_is_ignored():
     queues = QueueTimes()
     queues.sent("a", "r1", NO_TIME, SECOND)
     queues.withdrawn("a", "r1")
-    assert queues.queueing("a", 9 * SECOND) == NO_TIME
+    assert queues.queue_time("a", 9 * SECOND) == NO_TIME
--- a/tests/decisions/test_reclaims.py
+++ b/tests/decisions/test_reclaims.py
@@ -10,12 +10,12 @@
     recomputed_tokens,
 )
 from sassafrasdale.decisions.structures import (
+    KeepInPlace,
     MoveCache,
     ReclaimPolicy,
     Recompute,
     StreamTarget,
     StreamView,
-    WaitOut,
 )
 
 POLICY = ReclaimPolicy()
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize(
     ("seconds", "expected"),
-    [(60, WaitOut()), (10, MoveCache("b")), (1, Recompute("b", 8000))],
+    [(60, KeepInPlace()), (10, MoveCache("b")), (1, Recompute("b", 8000))],
 )
 def test_plan_fits_the_notice(seconds, expected):
     plan = plan_stream(_stream(), timedelta(seconds=seconds), TARGET, POLICY)
@@ -43,7 +43,7 @@
 
 def test_stays_where_there_is_no_target():
     plan = plan_stream(_stream(), timedelta(seconds=10), None, POLICY)
-    assert plan == WaitOut(fits=False)
+    assert plan == KeepInPlace(finishes_in_time=False)
 
 
 def test_moves_share_the_link_longest_context_first():
--- a/tests/decisions/test_rollouts.py
+++ b/tests/decisions/test_rollouts.py
@@ -7,12 +7,12 @@
 
 from sassafrasdale.decisions.rollouts import (
     REPORT_DELAY,
+    RolloutAction,
     RolloutView,
-    Step,
     complete_after,
     full_share_after,
     full_share_duration,
-    next_step,
+    next_action,
 )
 
 SECOND = timedelta(seconds=1)
@@ -31,49 +31,49 @@
 
 
 def step(view=VIEW, **changed):
-    return next_step(replace(view, **changed))
+    return next_action(replace(view, **changed))
 
 
 def test_order_is_reported_as_running_first():
-    assert step(is_started=False) is Step.START
-    assert step(is_started=False, is_condemned=True) is Step.START
+    assert step(is_started=False) is RolloutAction.START
+    assert step(is_started=False, is_condemned=True) is RolloutAction.START
 
 
 def test_deployed_version_is_complete_immediately():
     """Guards against no requests to the service's only endpoints until the deadline."""
-    assert step(is_started=False, in_force=True) is Step.COMPLETE
+    assert step(is_started=False, in_force=True) is RolloutAction.COMPLETE
 
 
 def test_rejected_version_is_rolled_back_at_any_time():
-    assert step(is_condemned=True) is Step.ROLL_BACK
-    assert step(LATE, is_condemned=True) is Step.ROLL_BACK
+    assert step(is_condemned=True) is RolloutAction.ROLL_BACK
+    assert step(LATE, is_condemned=True) is RolloutAction.ROLL_BACK
 
 
 def test_good_version_gets_its_full_share_and_is_completed():
     age = full_share_after(VIEW.duration)
-    assert step(age=age - SECOND) is Step.WAIT
-    assert step(age=age) is Step.FILL
-    assert step(age=age + SECOND, filled_for=SECOND) is Step.WAIT
+    assert step(age=age - SECOND) is RolloutAction.WAIT
+    assert step(age=age) is RolloutAction.FULL_SHARE
+    assert step(age=age + SECOND, filled_for=SECOND) is RolloutAction.WAIT
     known = full_share_duration(VIEW.duration) + REPORT_DELAY
-    assert step(age=age + known, filled_for=known) is Step.COMPLETE
+    assert step(age=age + known, filled_for=known) is RolloutAction.COMPLETE
 
 
 def test_suspect_version_is_not_completed():
     """Guards against a bad version for all callers despite evidence from a few."""
-    assert step(LATE, is_suspect=True) is Step.ROLL_BACK
-    assert step(is_suspect=True) is Step.WAIT
+    assert step(LATE, is_suspect=True) is RolloutAction.ROLL_BACK
+    assert step(is_suspect=True) is RolloutAction.WAIT
 
 
 def test_waits_for_enough_endpoints_until_the_deadline():
     """The old endpoints stop immediately, so the others must carry the whole load."""
-    assert step(LATE, targets=7) is Step.WAIT
-    assert step(LATE, targets=7, age=30 * SECOND) is Step.ROLL_BACK
-    assert step(LATE, targets=8) is Step.COMPLETE
+    assert step(LATE, targets=7) is RolloutAction.WAIT
+    assert step(LATE, targets=7, age=30 * SECOND) is RolloutAction.ROLL_BACK
+    assert step(LATE, targets=8) is RolloutAction.COMPLETE
 
 
 def test_version_without_endpoints_is_rolled_back_at_the_deadline():
-    assert step(targets=0, others=0) is Step.WAIT
-    assert step(targets=0, others=0, age=30 * SECOND) is Step.ROLL_BACK
+    assert step(targets=0, others=0) is RolloutAction.WAIT
+    assert step(targets=0, others=0, age=30 * SECOND) is RolloutAction.ROLL_BACK
 
 
 @pytest.mark.parametrize("seconds", [2, 6, 12, 20, 30, 120])
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -84,7 +84,7 @@
 
 def test_prefers_the_owner_without_better_information():
     views = [EndpointView(name, "z1") for name in "abc"]
-    request = RoutingRequest(prompt_tokens=4000, home="b")
+    request = RoutingRequest(prompt_tokens=4000, owner="b")
     for seed in range(10):
         assert choose(request, views, POLICY, Random(seed)).name == "b"
 
--- a/tests/decisions/test_speeds.py
+++ b/tests/decisions/test_speeds.py
@@ -3,9 +3,9 @@
 from datetime import timedelta
 
 from sassafrasdale.decisions.speeds import (
-    FIRST_GUESS,
-    LEAST_OBSERVATIONS,
-    ReadingSpeed,
+    INITIAL_TOKEN_TIME,
+    MIN_OBSERVATIONS,
+    PrefillSpeed,
 )
 
 MICROSECOND = timedelta(microseconds=1)
@@ -13,15 +13,15 @@
 
 
 def test_initial_estimate_without_observations():
-    speed = ReadingSpeed()
+    speed = PrefillSpeed()
     speed.observe(1000, timedelta(seconds=1))
-    assert speed.token_time == FIRST_GUESS
+    assert speed.token_time == INITIAL_TOKEN_TIME
 
 
-def speed_of(*long: timedelta) -> ReadingSpeed:
+def speed_of(*long: timedelta) -> PrefillSpeed:
     """Return the estimate after short prompts, and long ones with these times."""
-    speed = ReadingSpeed()
-    for _ in range(LEAST_OBSERVATIONS):
+    speed = PrefillSpeed()
+    for _ in range(MIN_OBSERVATIONS):
         speed.observe(100, OVERHEAD)
     for took in long:
         speed.observe(3000, took)
--- a/tests/decisions/test_turns.py
+++ b/tests/decisions/test_turns.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sassafrasdale.decisions.turns import Turn, turn_of
+from sassafrasdale.decisions.turns import PollSlot, poll_slot_of
 
 STEP = timedelta(milliseconds=500)
 UNEVEN = {"a": 3, "b": 1, "c": 2}
@@ -12,7 +12,7 @@
 
 def turns(counts):
     return [
-        turn_of(zone, place, counts)
+        poll_slot_of(zone, place, counts)
         for zone, count in counts.items()
         for place in range(count)
     ]
@@ -33,7 +33,7 @@
 
 
 def test_poll_repeats_after_all_others():
-    turn = Turn(2, 6)
+    turn = PollSlot(2, 6)
     now = 1_700_000_000.0
     first = turn.time_until(now, STEP)
     again = turn.time_until(now + first.total_seconds() + 0.01, STEP)
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -6,8 +6,8 @@
 import pytest
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.decisions.aggregators import LIFETIME
-from sassafrasdale.decisions.paces import EnginePaces
+from sassafrasdale.decisions.aggregators import EXPIRY_TIMEOUT
+from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.deployment import (
     Configuration,
     Endpoint,
@@ -55,7 +55,7 @@
             self.directory.put(
                 Endpoint(f"i-{number}", "models", address, "a", EndpointState.READY, 32)
             )
-        cache, paces = CacheBelief(), EnginePaces()
+        cache, paces = CacheBelief(), EngineStepTimes()
         self.fleet = Fleet(
             self.directory,
             Placement("a", cache, paces, rng),
@@ -241,9 +241,9 @@
 def test_attempts_of_a_lost_gateway_are_dropped(zone):
     zone.send(0)
     zone.send(1)
-    zone.clock.advance(LIFETIME / 2)
+    zone.clock.advance(EXPIRY_TIMEOUT / 2)
     zone.dispatcher.reconcile("g-1", 1, zone.asking[1].open_sends)
-    zone.clock.advance(LIFETIME * 0.7)
+    zone.clock.advance(EXPIRY_TIMEOUT * 0.7)
     zone.dispatcher.forget_silent()
     assert sum(zone.central.under_way()) == 1
 
--- a/tests/gateway/test_groups.py
+++ b/tests/gateway/test_groups.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.decisions.aggregators import FRESH, LIFETIME
+from sassafrasdale.decisions.aggregators import CONTACT_TIMEOUT, EXPIRY_TIMEOUT
 from sassafrasdale.gateway.groups import Group
 from sassafrasdale.gateway.peer_states import DutyClaim, EndpointLoad
 from tests.gateway.fleets import WORK_WINDOW, contact, limit_usage, member
@@ -79,9 +79,9 @@
     """It may be partitioned and still use its share; the others must not divide it."""
     sums.spend("b", 0, demand=30, share=0.25)
     sums.spend("c", 0, demand=10, share=0.5)
-    sums.clock.advance(FRESH / 2)
+    sums.clock.advance(CONTACT_TIMEOUT / 2)
     sums.spend("c", 0, demand=10, share=0.5)
-    sums.clock.advance(FRESH * 0.7)
+    sums.clock.advance(CONTACT_TIMEOUT * 0.7)
     totals = sums.lab()
     assert (totals.demand, totals.share, totals.reserved) == (10, 0.5, 0.25)
     assert (sums.sums().gateways, sums.sums().silent) == (1, 1)
@@ -96,13 +96,13 @@
 
 def test_loads_of_expired_members_are_dropped(sums):
     sums.take("b", loads={"i": EndpointLoad(1, 10)})
-    sums.clock.advance(LIFETIME + timedelta(seconds=1))
+    sums.clock.advance(EXPIRY_TIMEOUT + timedelta(seconds=1))
     assert sums.sums().loads == {}
 
 
 def test_the_engine_time_of_a_silent_member_decays(sums):
     sums.take("b", engine_time={"models": 2.0})
-    sums.clock.advance(FRESH)
+    sums.clock.advance(CONTACT_TIMEOUT)
     assert sums.sums().engine_time == {"models": 2.0}
     sums.clock.advance(WORK_WINDOW)
     assert 0.6 < sums.sums().engine_time["models"] < 0.9
@@ -112,7 +112,7 @@
     sums.take("b", duty=DutyClaim(4))
     sums.take("c", duty=DutyClaim(7))
     assert sums.sums().leader == DutyClaim(7)
-    sums.clock.advance(FRESH * 2)
+    sums.clock.advance(CONTACT_TIMEOUT * 2)
     assert sums.sums().leader is None
 
 
--- a/tests/gateway/test_peer_states.py
+++ b/tests/gateway/test_peer_states.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sassafrasdale.decisions.news import ToldLoad
+from sassafrasdale.decisions.news import ReportedLoad
 from sassafrasdale.gateway.peer_states import (
     REPORT,
     EndpointLoad,
@@ -35,8 +35,8 @@
         ]
     )
     assert loads == {
-        "i": ToldLoad(3, 400, SECOND * 1.75),
-        "j": ToldLoad(1, 0, timedelta()),
+        "i": ReportedLoad(3, 400, SECOND * 1.75),
+        "j": ReportedLoad(1, 0, timedelta()),
     }
 
 
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -5,8 +5,8 @@
 import pytest
 from msgspec.structs import replace
 
-from sassafrasdale.decisions.aggregators import FRESH, LIFETIME
-from sassafrasdale.decisions.turns import Turn
+from sassafrasdale.decisions.aggregators import CONTACT_TIMEOUT, EXPIRY_TIMEOUT
+from sassafrasdale.decisions.turns import PollSlot
 from sassafrasdale.gateway.peer_calls import REPORT_TARGET
 from sassafrasdale.gateway.peer_states import (
     DutyClaim,
@@ -125,13 +125,13 @@
     fleet.play(3)
     for name, node in fleet.nodes.items():
         assert node.peering.count() == 10
-        old = [group for group in node.peering.groups() if group.age > FRESH]
+        old = [group for group in node.peering.groups() if group.age > CONTACT_TIMEOUT]
         zones = {group.state.aggregator.zone for group in old}
         assert zones == ({"b", "c"} if name[0] == "a" else {"a"})
     fleet.heal()
     fleet.play(6)
     assert all(
-        group.age <= FRESH
+        group.age <= CONTACT_TIMEOUT
         for node in fleet.nodes.values()
         for group in node.peering.groups()
     )
@@ -305,7 +305,7 @@
     fleet.play(0.5)
     assert fleet.nodes["a-0"].peering.names_holder()
     fleet.kill("c-1")
-    fleet.play(FRESH.total_seconds() + 0.5)
+    fleet.play(CONTACT_TIMEOUT.total_seconds() + 0.5)
     assert not fleet.nodes["a-0"].peering.names_holder()
 
 
@@ -328,7 +328,7 @@
     node = fleet.nodes["a-0"]
     assert node.peering.work("models") == 2.0
     fleet.kill(name)
-    fleet.play(FRESH.total_seconds() + 5)
+    fleet.play(CONTACT_TIMEOUT.total_seconds() + 5)
     assert 0.5 < node.peering.work("models") < 1.0
 
 
@@ -364,7 +364,7 @@
     large.play(SETTLE_SECONDS)
     name = next(n for n, node in large.nodes.items() if not node.peering.should_watch())
     large.cut(name)
-    large.play(LIFETIME.total_seconds())
+    large.play(EXPIRY_TIMEOUT.total_seconds())
     assert large.nodes[name].peering.should_watch()
 
 
@@ -391,7 +391,7 @@
     cut_off = [name for name, node in large.nodes.items() if node.zone == "c"]
     for name in cut_off:
         large.cut(name)
-    large.play(LIFETIME.total_seconds())
+    large.play(EXPIRY_TIMEOUT.total_seconds())
     others = [node for name, node in large.nodes.items() if name not in cut_off]
     slots = [node.peering.poll_slot() for node in others]
     assert sorted(slot.index for slot in slots) == list(range(6))
@@ -417,8 +417,8 @@
         name for name, node in large.nodes.items() if node.peering.poll_slot() is None
     )
     large.cut(name)
-    large.play(LIFETIME.total_seconds())
-    assert large.nodes[name].peering.poll_slot() == Turn(0, 1)
+    large.play(EXPIRY_TIMEOUT.total_seconds())
+    assert large.nodes[name].peering.poll_slot() == PollSlot(0, 1)
 
 
 def test_bytes_of_a_gateway_do_not_grow_with_the_fleet():
@@ -477,7 +477,7 @@
     """A partitioned gateway still uses its share of each limit."""
     name = next(n for n in fleet.nodes if n not in aggregators_of(fleet))
     fleet.paused.add(name)
-    fleet.play(FRESH.total_seconds() + 1)
+    fleet.play(CONTACT_TIMEOUT.total_seconds() + 1)
     other = next(node for n, node in fleet.nodes.items() if n[0] != name[0])
     assert other.peering.count() == 10
     assert sum(group.state.silent for group in other.peering.groups()) == 1
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from sassafrasdale.decisions.fetching import MemoryLink
-from sassafrasdale.decisions.news import ToldLoad
-from sassafrasdale.decisions.paces import EnginePaces
+from sassafrasdale.decisions.fetching import CacheLink
+from sassafrasdale.decisions.news import ReportedLoad
+from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.deployment import (
     Endpoint,
     EndpointState,
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def paces():
-    return EnginePaces()
+    return EngineStepTimes()
 
 
 @pytest.fixture
@@ -96,7 +96,7 @@
 
 def test_peer_loads_count(placement, records):
     owner = owner_of("x", [rec.name for rec in records])
-    peers = {owner: ToldLoad(5, 40_000)}
+    peers = {owner: ReportedLoad(5, 40_000)}
     assert choose(placement, records, prompt("x", "y"), peers=peers) != owner
 
 
@@ -130,8 +130,8 @@
     assert cache.cached_tokens("i-1", parts) == 0
 
 
-FAST_LINK = Service("models", EngineTraits(64, 100_000, MemoryLink(35_000, 550_000e6)))
-SLOW_LINK = Service("models", EngineTraits(64, 100_000, MemoryLink(35_000, 100e6)))
+FAST_LINK = Service("models", EngineTraits(64, 100_000, CacheLink(35_000, 550_000e6)))
+SLOW_LINK = Service("models", EngineTraits(64, 100_000, CacheLink(35_000, 100e6)))
 
 
 def source(placement, record, records, traits, service=FAST_LINK):
--- a/tests/gateway/test_polling.py
+++ b/tests/gateway/test_polling.py
@@ -19,7 +19,7 @@
     StoreWatchDropped,
 )
 from sassafrasdale.coordination.stores import StoredValue
-from sassafrasdale.decisions.turns import Turn
+from sassafrasdale.decisions.turns import PollSlot
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.following import BATCH_DELAY, Follower
 from sassafrasdale.gateway.polling import SLOTS_PER_DELAY, Poller
@@ -37,7 +37,7 @@
 # Promised time within which a change takes effect.
 DELAY = timedelta(seconds=2)
 STEP = timedelta(milliseconds=10)
-ALONE = Turn(0, 1)
+ALONE = PollSlot(0, 1)
 
 
 class Store:
@@ -252,7 +252,7 @@
 
     def scenario(clock):
         store = Store()
-        gateway = Gateway(store, clock, 1, slot=Turn(0, 8))
+        gateway = Gateway(store, clock, 1, slot=PollSlot(0, 8))
         sleep(timedelta(seconds=2.5))
         store.be_unresponsive_for(timedelta(seconds=2.5))
         sleep(timedelta(seconds=4))
@@ -268,7 +268,7 @@
 
     def scenario(clock):
         store = Store()
-        gateway = Gateway(store, clock, 1, slot=Turn(0, 8))
+        gateway = Gateway(store, clock, 1, slot=PollSlot(0, 8))
         sleep(timedelta(seconds=1))
         store.be_unresponsive_for(timedelta(milliseconds=100))
         delay_of_change(store, clock, gateway)
@@ -310,7 +310,7 @@
 
     def scenario(clock):
         store = Store()
-        fleet = [Gateway(store, clock, n, Turn(n, 8)) for n in range(8)]
+        fleet = [Gateway(store, clock, n, PollSlot(n, 8)) for n in range(8)]
         aggregator, *members = fleet
 
         def report():
--- a/tests/gateway/test_reading.py
+++ b/tests/gateway/test_reading.py
@@ -5,9 +5,9 @@
 import pytest
 
 from sassafrasdale.decisions.speeds import (
-    FASTEST,
-    FIRST_GUESS,
-    LEAST_OBSERVATIONS,
+    INITIAL_TOKEN_TIME,
+    MIN_OBSERVATIONS,
+    MIN_TOKEN_TIME,
 )
 from sassafrasdale.gateway.prefill_times import PrefillTimes
 
@@ -16,7 +16,7 @@
 
 def measured(reported=()):
     times = PrefillTimes(lambda service: list(reported))
-    for _ in range(LEAST_OBSERVATIONS):
+    for _ in range(MIN_OBSERVATIONS):
         times.observe("models", 100, 10 * MILLISECOND)
         times.observe("models", 5000, 110 * MILLISECOND)
     return times
@@ -24,7 +24,7 @@
 
 def test_without_measurements_it_is_an_estimate():
     times = PrefillTimes(lambda service: [])
-    assert times.token_time("models") == FIRST_GUESS
+    assert times.token_time("models") == INITIAL_TOKEN_TIME
     assert times.measured() == {}
 
 
@@ -48,9 +48,9 @@
     All streams of a site would end with an internal error, for good. Engines respond to
     long prompts with errors within a millisecond, or a gateway reports a time of zero.
     """
-    assert PrefillTimes(lambda service: [0.0]).token_time("models") == FASTEST
+    assert PrefillTimes(lambda service: [0.0]).token_time("models") == MIN_TOKEN_TIME
     times = PrefillTimes(lambda service: [])
-    for _ in range(LEAST_OBSERVATIONS):
+    for _ in range(MIN_OBSERVATIONS):
         times.observe("models", 100, timedelta())
         times.observe("models", 5000, timedelta())
-    assert times.token_time("models") >= FASTEST
+    assert times.token_time("models") >= MIN_TOKEN_TIME
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.decisions.canary import bucket_of
+from sassafrasdale.decisions.canary import latency_bucket
 from sassafrasdale.decisions.rollouts import (
     RolloutOrder,
     RolloutState,
@@ -275,7 +275,7 @@
     caller.close()
     wait_for(lambda: served.rollout.table, "no outcome was recorded")
     [outcomes] = served.rollout.table.values()
-    assert min(outcomes.times) >= bucket_of(SECOND / 4)
+    assert min(outcomes.times) >= latency_bucket(SECOND / 4)
 
 
 def test_members_get_reports_without_rows(served):
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from sassafrasdale.clock import ManualClock
-from sassafrasdale.decisions.aggregators import ordered
+from sassafrasdale.decisions.aggregators import rank_aggregators
 from sassafrasdale.gateway.roster import AVOID_TIME, RETENTION_TIME, Roster
 from tests.gateway.fleets import contact
 
@@ -40,7 +40,7 @@
 
 
 def test_an_unresponsive_gateway_is_avoided_for_a_while(roster, clock):
-    first, second, *_ = ordered("a", dict.fromkeys(NAMES, 1.0))
+    first, second, *_ = rank_aggregators("a", dict.fromkeys(NAMES, 1.0))
     roster.record_failure(contact(first), "no answer")
     assert roster.aggregator_candidate("a").name == second
     clock.advance(AVOID_TIME)
@@ -48,7 +48,7 @@
 
 
 def test_a_gateway_that_sends_is_no_longer_avoided(roster):
-    first, *_ = ordered("a", dict.fromkeys(NAMES, 1.0))
+    first, *_ = rank_aggregators("a", dict.fromkeys(NAMES, 1.0))
     roster.record_failure(contact(first), "no answer")
     roster.record_contact(contact(first))
     assert roster.aggregator_candidate("a").name == first
--- a/tests/gateway/test_strike_records.py
+++ b/tests/gateway/test_strike_records.py
@@ -7,7 +7,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.coordination.exceptions import StoreNotReached
-from sassafrasdale.decisions.quarantine import MOST_STRIKES, StrikeLedger
+from sassafrasdale.decisions.quarantine import MAX_STRIKES, StrikeLedger
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.strike_records import (
     MAX_AGE,
@@ -32,7 +32,7 @@
     """One gateway's strikes and the task that stores them."""
 
     def __init__(
-        self, store: FakeStore, name: str = "g-1", most: int = MOST_STRIKES
+        self, store: FakeStore, name: str = "g-1", most: int = MAX_STRIKES
     ) -> None:
         self.store = store
         self.clock = store.clock
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from sassafrasdale.clock import SystemClock
-from sassafrasdale.decisions.paces import EnginePaces
+from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.decisions.quarantine import StrikeLedger
 from sassafrasdale.deployment import Endpoint, EndpointState, GatewaySettings
 from sassafrasdale.gateway.directory import Directory
@@ -211,7 +211,7 @@
         )
         peering = lone_peering(CLOCK, self.rng)
         cache = CacheBelief()
-        paces = EnginePaces()
+        paces = EngineStepTimes()
         self.fleet = Fleet(
             self.directory,
             Placement("a", cache, paces, self.rng),
