--- a/bench/placement/model.py
+++ b/bench/placement/model.py
@@ -20,7 +20,7 @@
     RequestTraits,
 )
 from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.placement import CacheBelief, Placement
+from sassafrasdale.gateway.placement import CacheEstimate, Placement
 from sassafrasdale.structures import Address
 
 # Time from the end of a prompt's prefill until the caller has the first event, s.
@@ -181,13 +181,13 @@
             )
             for engine in engines
         }
-        self.cache = CacheBelief()
+        self.cache = CacheEstimate()
         self.step_times = EngineStepTimes()
         self.placement = Placement("a", self.cache, self.step_times, rng)
 
     def loads(self) -> dict[str, tuple[int, int]]:
         """Return this gateway's requests and prefill tokens at each engine."""
         return {
-            name: (record.in_flight, record.unread_tokens)
+            name: (record.in_flight, record.prefill_tokens)
             for name, record in self.records.items()
         }
--- a/bench/placement/run.py
+++ b/bench/placement/run.py
@@ -119,7 +119,7 @@
     def _advance(self, now: float) -> None:
         for engine in self._engines.values():
             for job in engine.advance(now):
-                job.record.unread_tokens -= job.prefill_tokens
+                job.record.prefill_tokens -= job.prefill_tokens
                 if self._ways.step_times:
                     job.gateway.step_times.observe(engine.name, engine.gaps())
                 self._streaming.append(job)
@@ -184,12 +184,12 @@
             self._token_time,
             timedelta(seconds=now),
         )
-        prefill_tokens = gateway.placement.unread_tokens(record, records, traits)
+        prefill_tokens = gateway.placement.prefill_tokens(record, records, traits)
         if source is not None:
             prefill_tokens = min(prefill_tokens, traits.parts[-1].tokens)
-        gateway.cache.sent(record.name, traits.parts, CACHE_TOKENS)
+        gateway.cache.record_prompt(record.name, traits.parts, CACHE_TOKENS)
         record.in_flight += 1
-        record.unread_tokens += prefill_tokens
+        record.prefill_tokens += prefill_tokens
         self._work_rate += prefill_tokens * setting.token_time / WORK_WINDOW
         job = Job(kind, traits, gateway, record, prefill_tokens, now)
         self._engines[record.name].enqueue(
--- a/bench/soak/unguarded.py
+++ b/bench/soak/unguarded.py
@@ -12,7 +12,7 @@
 from sassafrasdale.coordination import leases
 from sassafrasdale.decisions.quarantine import StrikeLedger
 from sassafrasdale.gateway.exchange import RequestExchange
-from sassafrasdale.gateway.failures import SendFailed, SendOutcome
+from sassafrasdale.gateway.failures import AttemptFailed, AttemptOutcome
 from sassafrasdale.gateway.routing import RouteTable
 
 PROGRAM = "bench.soak.unguarded"
@@ -46,8 +46,8 @@
 def _retry_regardless_of_outcome() -> None:
     original = RequestExchange._may_send_again
 
-    def patched(self: RequestExchange, failure: SendFailed) -> bool:
-        failure.outcome = SendOutcome.NOT_RUN
+    def patched(self: RequestExchange, failure: AttemptFailed) -> bool:
+        failure.outcome = AttemptOutcome.NOT_RUN
         return original(self, failure)
 
     RequestExchange._may_send_again = patched
@@ -56,7 +56,7 @@
 def _report_all_as_not_run() -> None:
     original = RequestExchange._give_up
 
-    def patched(self: RequestExchange, failure: SendFailed) -> None:
+    def patched(self: RequestExchange, failure: AttemptFailed) -> None:
         self._may_have_run = False
         original(self, failure)
 
--- a/src/sassafrasdale/gateway/aggregating.py
+++ b/src/sassafrasdale/gateway/aggregating.py
@@ -175,7 +175,7 @@
         self._roster.record_contact(state.contact)
         self._roster.merge(report.roster)
         strikes = self._context.strikes
-        strikes.take(name, state.contact.incarnation, report.strikes)
+        strikes.apply(name, state.contact.incarnation, report.strikes)
         self._merge_usage(report.usage)
         listener = self._context.listener
         listener.receive_clock(name, state.time)
@@ -192,7 +192,7 @@
             roster_digest=digest,
             roster=() if known else tuple(self._roster.own_zone_contacts()),
             clocks=self._context.time.others(MAX_CLOCKS),
-            strikes=strikes.news_for(name),
+            strikes=strikes.update_for(name),
         )
 
     def handle_update(
@@ -340,7 +340,7 @@
             usage_version=self._context.ledger.version,
             usage_received=0 if other is None else other.usage_received,
             members=tuple(self._group.in_touch) if same_zone else (),
-            strikes=self._context.strikes.news_for(receiver.name),
+            strikes=self._context.strikes.update_for(receiver.name),
         )
 
     def _usage_rows_for(self, other: _PeerGroup | None) -> tuple[UsageRow, ...] | None:
@@ -391,7 +391,7 @@
             if contact.name != self._roster.own.name:
                 self._roster.merge([contact])
                 self._aggregators.setdefault(contact.name, now)
-        self._context.strikes.take(sender.name, sender.incarnation, update.strikes)
+        self._context.strikes.apply(sender.name, sender.incarnation, update.strikes)
         self._merge_usage(update.usage)
         if update.usage_complete_since is not None:
             other.usage_complete_since = update.usage_complete_since
--- a/src/sassafrasdale/gateway/asking.py
+++ b/src/sassafrasdale/gateway/asking.py
@@ -10,12 +10,12 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.deployment import RequestTraits
 from sassafrasdale.gateway.assignment import (
-    Ask,
-    Assigned,
+    Assignment,
+    AssignmentRequest,
     AttemptEnded,
+    AttemptReport,
     AttemptResult,
     FirstToken,
-    Notes,
 )
 from sassafrasdale.gateway.peer_states import Contact
 from sassafrasdale.green import Empty, Queue, sleep
@@ -33,7 +33,7 @@
 MAX_REPORT_INTERVAL = timedelta(milliseconds=200)
 
 
-class Asking:
+class DispatcherClient:
     """Requests assignments from the dispatcher and reports on the assigned attempts.
 
     :param own: this gateway's contact.
@@ -48,8 +48,8 @@
         self,
         own: Contact,
         dispatcher: Callable[[], Contact | None],
-        ask: Callable[[Contact, Ask], Assigned | None],
-        report: Callable[[Contact, Notes], bool],
+        ask: Callable[[Contact, AssignmentRequest], Assignment | None],
+        report: Callable[[Contact, AttemptReport], bool],
         clock: Clock,
     ) -> None:
         self._own = own
@@ -71,13 +71,13 @@
         return "" if self._current is None else self._current.name
 
     @property
-    def open_sends(self) -> tuple[int, ...]:
+    def open_attempts(self) -> tuple[int, ...]:
         """Numbers of the attempts that the dispatcher counts as in progress."""
         return tuple(self._open)
 
     def request_assignment(
         self, service: str, traits: RequestTraits, tried: Collection[str]
-    ) -> tuple[int, Assigned] | None:
+    ) -> tuple[int, Assignment] | None:
         """Return an attempt's number and its endpoint, if one is assigned."""
         contact = self._dispatcher()
         self._switch_dispatcher(contact)
@@ -85,7 +85,7 @@
             return None
         number = next(self._numbers)
         own = self._own
-        request = Ask.of(
+        request = AssignmentRequest.of(
             own.name, own.incarnation, number, service, traits, tuple(tried)
         )
         assigned = self._ask(contact, request)
@@ -156,7 +156,7 @@
         own = self._own
         # A lost report is made up for by the next load report, which lists the open
         # attempts.
-        self._report(contact, Notes(own.name, own.incarnation, first, ended))
+        self._report(contact, AttemptReport(own.name, own.incarnation, first, ended))
 
     def _switch_dispatcher(self, contact: Contact | None) -> None:
         """Count the open attempts locally if the dispatcher has changed."""
--- a/src/sassafrasdale/gateway/assignment.py
+++ b/src/sassafrasdale/gateway/assignment.py
@@ -18,7 +18,7 @@
     NEUTRAL = 2
 
 
-class Ask(Message):
+class AssignmentRequest(Message):
     """Request for the endpoint that a caller's request should be sent to.
 
     :param number: identifies the attempt within one incarnation of the gateway.
@@ -43,7 +43,7 @@
         service: str,
         traits: RequestTraits,
         tried: tuple[str, ...],
-    ) -> "Ask":
+    ) -> "AssignmentRequest":
         """Return the assignment request for a caller's request."""
         parts = tuple((part.name, part.tokens) for part in traits.parts)
         tokens = traits.prompt_tokens or 0
@@ -59,7 +59,7 @@
         )
 
 
-class Assigned(Message):
+class Assignment(Message):
     """The endpoint for an attempt, which counts as in progress there from now on.
 
     :param source: engine from which it fetches the KV cache of shared prompt parts.
@@ -69,7 +69,7 @@
 
     endpoint: str
     source: str = ""
-    unread_tokens: Count = 0
+    prefill_tokens: Count = 0
     queued_tokens: Count = 0
 
 
@@ -95,7 +95,7 @@
     gap_s: float = 0.0
 
 
-class Notes(Message):
+class AttemptReport(Message):
     """Report on a gateway's attempts."""
 
     gateway: str
@@ -104,6 +104,6 @@
     ended: tuple[AttemptEnded, ...] = ()
 
 
-ASK = Decoder(Ask)
-ASSIGNED = Decoder(Assigned)
-NOTES = Decoder(Notes)
+ASSIGNMENT_REQUEST = Decoder(AssignmentRequest)
+ASSIGNMENT = Decoder(Assignment)
+ATTEMPT_REPORT = Decoder(AttemptReport)
--- a/src/sassafrasdale/gateway/attempts.py
+++ b/src/sassafrasdale/gateway/attempts.py
@@ -27,7 +27,7 @@
     record: EndpointRecord
     service: str
     began_at: timedelta
-    unread_tokens: int
+    prefill_tokens: int
     source: EndpointRecord | None = None
     queued_tokens: int = 0
     peer_report_age: timedelta = timedelta()
--- a/src/sassafrasdale/gateway/directory.py
+++ b/src/sassafrasdale/gateway/directory.py
@@ -51,7 +51,7 @@
         self.connections: set[HttpConnection] = set()
         self.is_unreachable = False
         self.in_flight = 0
-        self.unread_tokens = 0
+        self.prefill_tokens = 0
 
     @property
     def name(self) -> str:
@@ -84,17 +84,17 @@
         rng: Random,
         drain_time: timedelta,
         since_outage: Callable[[], timedelta | None] = lambda: None,
-        opened: Callable[[], None] = lambda: None,
-        restarted: Callable[[str], None] = lambda name: None,
-        vanished: Callable[[EndpointRecord], None] = lambda record: None,
+        on_open: Callable[[], None] = lambda: None,
+        on_restart: Callable[[str], None] = lambda name: None,
+        on_expiry: Callable[[EndpointRecord], None] = lambda record: None,
     ) -> None:
         self._clock = clock
         self._rng = rng
         self._drain_time = drain_time
         self._since_outage = since_outage
-        self._opened = opened
-        self._restarted = restarted
-        self._vanished = vanished
+        self._opened = on_open
+        self._restarted = on_restart
+        self._vanished = on_expiry
         self._records: dict[str, EndpointRecord] = {}
         self._services: dict[str, list[EndpointRecord]] = {}
         self._fallback: dict[str, tuple[EndpointRecord, timedelta]] = {}
@@ -184,7 +184,7 @@
         )
         self._index()
 
-    def forget_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Drop endpoints whose registration has not come back in time."""
         now = self._clock.elapsed()
         for name, (record, expires_at) in list(self._fallback.items()):
--- a/src/sassafrasdale/gateway/dispatcher.py
+++ b/src/sassafrasdale/gateway/dispatcher.py
@@ -15,11 +15,11 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.aggregators import EXPIRY_TIMEOUT
 from sassafrasdale.gateway.assignment import (
-    Ask,
-    Assigned,
+    Assignment,
+    AssignmentRequest,
     AttemptEnded,
+    AttemptReport,
     FirstToken,
-    Notes,
 )
 from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.fleet import Fleet
@@ -53,7 +53,7 @@
         self._clock = clock
         self._gateways: dict[str, _GatewayAttempts] = {}
 
-    def assign(self, request: Ask) -> Assigned | None:
+    def assign(self, request: AssignmentRequest) -> Assignment | None:
         """Return the endpoint for an attempt; None if there is none."""
         is_retry = bool(request.tried)
         attempt = self._fleet.start_local_attempt(
@@ -64,14 +64,14 @@
         state = self._state_of(request.gateway, request.incarnation)
         state.attempts[request.number] = attempt
         source = attempt.source
-        return Assigned(
+        return Assignment(
             attempt.record.name,
             "" if source is None else source.name,
-            attempt.unread_tokens,
+            attempt.prefill_tokens,
             max(attempt.queued_tokens, 0),
         )
 
-    def note(self, notes: Notes) -> None:
+    def record_report(self, notes: AttemptReport) -> None:
         """Apply a gateway's report on its attempts."""
         state = self._state_of(notes.gateway, notes.incarnation)
         for first in notes.first:
@@ -90,14 +90,14 @@
             if number not in reported and now - attempt.began_at > RECONCILE_GRACE:
                 self._fleet.finish_local_attempt(state.attempts.pop(number))
 
-    def forget_silent(self) -> None:
+    def drop_unresponsive(self) -> None:
         """Drop the attempts of gateways that have stopped responding."""
         now = self._clock.elapsed()
         for gateway, state in list(self._gateways.items()):
             if now - state.last_seen_at > EXPIRY_TIMEOUT:
                 self._drop(gateway)
 
-    def lay_down(self) -> None:
+    def resign(self) -> None:
         """Drop all attempts: another gateway is the dispatcher from now on."""
         for gateway in list(self._gateways):
             self._drop(gateway)
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -24,13 +24,13 @@
 from sassafrasdale.gateway.exceptions import RequestRefused, StreamBrokenOff
 from sassafrasdale.gateway.failures import (
     CONNECTION_LOST,
-    SendFailed,
-    SendOutcome,
+    AttemptFailed,
+    AttemptOutcome,
     reason_of,
 )
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.fleet import Fleet
-from sassafrasdale.gateway.suspects import Suspects
+from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.http.connections import HttpConnection
 from sassafrasdale.http.exceptions import (
     CallerGone,
@@ -101,7 +101,7 @@
         admitted: AdmittedRequest,
         caller: ServerConnection,
         fleet: Fleet,
-        quarantine: Suspects,
+        quarantine: RequestQuarantine,
         clock: Clock,
     ) -> None:
         self._quarantine = quarantine
@@ -154,7 +154,7 @@
             attempt = self._start_attempt()
             try:
                 return self._run_attempt(attempt)
-            except SendFailed as failure:
+            except AttemptFailed as failure:
                 if not self._may_send_again(failure):
                     self._give_up(failure)
 
@@ -169,7 +169,7 @@
             is_retry=is_retry,
         )
         if attempt is None:
-            self._give_up(SendFailed(SendOutcome.NOT_SENT, "no endpoint"))
+            self._give_up(AttemptFailed(AttemptOutcome.NOT_SENT, "no endpoint"))
         self._tried.add(attempt.record.name)
         self._endpoint = attempt.record.name
         self._last_attempt = attempt
@@ -185,13 +185,13 @@
             try:
                 connection = record.pool.take(limit)
             except NotConnected as error:
-                raise SendFailed(SendOutcome.NOT_SENT, "not connected") from error
+                raise AttemptFailed(AttemptOutcome.NOT_SENT, "not connected") from error
             record.connections.add(connection)
             self._caller.when_gone(connection.close)
             if self._caller.is_gone:
                 raise CallerGone
             return self._forward(record, connection, attempt)
-        except SendFailed as failure:
+        except AttemptFailed as failure:
             self._record_failure(attempt, failure)
             raise
         except CallerGone:
@@ -215,7 +215,7 @@
         self._events_before_attempt = self._splitter.count
         left = admitted.deadline - self._clock.elapsed()
         if left <= timedelta():
-            raise SendFailed(SendOutcome.NOT_SENT, "no time left")
+            raise AttemptFailed(AttemptOutcome.NOT_SENT, "no time left")
         self._fleet.count_attempt(attempt, is_retry=self._attempts > 1)
         order = EndpointOrder(
             endpoint=record.name,
@@ -236,7 +236,7 @@
             connection.close()
             if isinstance(error, CallerGone) or self._caller.is_gone:
                 raise CallerGone from error
-            raise SendFailed(SendOutcome.UNKNOWN, reason_of(error)) from error
+            raise AttemptFailed(AttemptOutcome.UNKNOWN, reason_of(error)) from error
 
     def _priority(self) -> int | None:
         """Return the priority of a stream at its engine; None for plain services."""
@@ -257,7 +257,7 @@
         admitted = self._admitted
         if says_not_run(head):
             connection.read_body(admitted.deadline)
-            raise SendFailed(SendOutcome.NOT_RUN, f"refused with {head.status}")
+            raise AttemptFailed(AttemptOutcome.NOT_RUN, f"refused with {head.status}")
         succeeded = 200 <= head.status < 300
         if succeeded and not is_signed(head):
             raise MalformedAnswer("a success without a signature")
@@ -266,7 +266,7 @@
         body = connection.read_body(admitted.deadline)
         self._record_first_byte(attempt, is_prefilled=succeeded)
         if head.status >= 500 and self._may_retry_status():
-            raise SendFailed(SendOutcome.UNKNOWN, f"failed with {head.status}")
+            raise AttemptFailed(AttemptOutcome.UNKNOWN, f"failed with {head.status}")
         self._fleet.record_response(
             attempt, head.status, self._clock.elapsed() - attempt.began_at
         )
@@ -336,11 +336,11 @@
             self._first_at = self._clock.elapsed()
             self._fleet.count_usage(self._admitted.customer)
 
-    def _record_failure(self, attempt: Attempt, failure: SendFailed) -> None:
-        if failure.outcome is SendOutcome.UNKNOWN:
+    def _record_failure(self, attempt: Attempt, failure: AttemptFailed) -> None:
+        if failure.outcome is AttemptOutcome.UNKNOWN:
             self._may_have_run = True
         counts = failure.reason != "no time left"
-        is_fault = failure.outcome is not SendOutcome.NOT_RUN
+        is_fault = failure.outcome is not AttemptOutcome.NOT_RUN
         if counts:
             self._fleet.record_failure(attempt, is_fault)
         # This probes the endpoint, which takes time, so the failure is counted first.
@@ -360,7 +360,7 @@
             left_ms=milliseconds(self._admitted.deadline - self._clock.elapsed()),
         )
 
-    def _check_crash(self, attempt: Attempt, failure: SendFailed) -> bool | None:
+    def _check_crash(self, attempt: Attempt, failure: AttemptFailed) -> bool | None:
         """Return whether the endpoint has crashed; None if nothing suggests it."""
         if failure.reason != CONNECTION_LOST:
             return None
@@ -389,9 +389,9 @@
             )
         )
 
-    def _may_send_again(self, failure: SendFailed) -> bool:
+    def _may_send_again(self, failure: AttemptFailed) -> bool:
         admitted = self._admitted
-        if failure.outcome is SendOutcome.UNKNOWN and not admitted.route.repeatable:
+        if failure.outcome is AttemptOutcome.UNKNOWN and not admitted.route.repeatable:
             return False
         if self._endpoint_crashed and not self._quarantine.may_retry(self._fingerprint):
             return False
@@ -403,7 +403,7 @@
             return False
         return self._fleet.retry_budgets.allow_retry(admitted.service, spend=True)
 
-    def _give_up(self, failure: SendFailed) -> None:
+    def _give_up(self, failure: AttemptFailed) -> None:
         if self._caller.head_sent:
             log.info(
                 "stream broken off",
--- a/src/sassafrasdale/gateway/failures.py
+++ b/src/sassafrasdale/gateway/failures.py
@@ -14,7 +14,7 @@
 CONNECTION_LOST = "connection lost"
 
 
-class SendOutcome(StrEnum):
+class AttemptOutcome(StrEnum):
     """What is known of an attempt that got no response for the caller."""
 
     NOT_SENT = "not sent"
@@ -22,14 +22,14 @@
     UNKNOWN = "unknown"
 
 
-class SendFailed(SassafrasdaleError):
+class AttemptFailed(SassafrasdaleError):
     """An attempt got no response that the caller can be given.
 
     :param outcome: what is known of the request at the endpoint.
     :param reason: short description of the cause.
     """
 
-    def __init__(self, outcome: SendOutcome, reason: str) -> None:
+    def __init__(self, outcome: AttemptOutcome, reason: str) -> None:
         super().__init__(reason)
         self.outcome = outcome
         self.reason = reason
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -14,13 +14,13 @@
     RequestTraits,
     Service,
 )
-from sassafrasdale.gateway.asking import Asking
+from sassafrasdale.gateway.asking import DispatcherClient
 from sassafrasdale.gateway.assignment import AttemptResult
 from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.directory import Directory, EndpointRecord
 from sassafrasdale.gateway.peer_states import loads_by_endpoint
 from sassafrasdale.gateway.peering import Peering
-from sassafrasdale.gateway.placement import CacheBelief, Placement, shared_parts
+from sassafrasdale.gateway.placement import CacheEstimate, Placement, shared_parts
 from sassafrasdale.gateway.prefill_times import PrefillTimes
 from sassafrasdale.gateway.retry_budgets import RetryBudgets
 from sassafrasdale.gateway.rollouts import Rollouts
@@ -54,7 +54,7 @@
         self,
         directory: Directory,
         placement: Placement,
-        cache: CacheBelief,
+        cache: CacheEstimate,
         paces: EngineStepTimes,
         peering: Peering,
         usage: UsageCounts,
@@ -62,7 +62,7 @@
         bounds: Bounds,
         clock: Clock,
         rollouts: Rollouts,
-        dispatcher_client: Asking | None = None,
+        dispatcher_client: DispatcherClient | None = None,
     ) -> None:
         self._dispatcher_client = dispatcher_client
         self._rollouts = rollouts
@@ -192,12 +192,14 @@
         if record is None or not self._is_usable(record, service, tried):
             self._dispatcher_client.record_end(number, AttemptResult.NEUTRAL)
             return None
-        self._cache.sent(record.name, traits.parts, self._cache_tokens(service))
+        self._cache.record_prompt(
+            record.name, traits.parts, self._cache_tokens(service)
+        )
         attempt = Attempt(
             record,
             service,
             self._clock.elapsed(),
-            assigned.unread_tokens,
+            assigned.prefill_tokens,
             self._directory.records.get(assigned.source),
             assigned.queued_tokens,
             number=number,
@@ -232,7 +234,7 @@
         attempt.number = None
         attempt.record.in_flight += 1
         if not attempt.has_first_token:
-            attempt.record.unread_tokens += attempt.unread_tokens
+            attempt.record.prefill_tokens += attempt.prefill_tokens
 
     def start_local_attempt(
         self,
@@ -319,7 +321,7 @@
         prefill_tokens = 0
         source = None
         if service.engine is not None:
-            prefill_tokens = self._placement.unread_tokens(
+            prefill_tokens = self._placement.prefill_tokens(
                 record, registered or [record], traits
             )
             source = self._placement.source(
@@ -335,14 +337,16 @@
                 prefill_tokens = min(
                     prefill_tokens, max((traits.prompt_tokens or 0) - tokens, 0)
                 )
-            self._cache.sent(record.name, traits.parts, service.engine.cache_tokens)
+            self._cache.record_prompt(
+                record.name, traits.parts, service.engine.cache_tokens
+            )
             took = prefill_tokens * self._prefill_times.token_time(service.name)
             now = self._clock.elapsed()
             if not is_retry:
                 self._work.add(service.name, now, took.total_seconds())
-        queued = record.unread_tokens
+        queued = record.prefill_tokens
         record.in_flight += 1
-        record.unread_tokens += prefill_tokens
+        record.prefill_tokens += prefill_tokens
         return Attempt(
             record,
             service.name,
@@ -382,9 +386,9 @@
         if attempt.has_first_token:
             return
         attempt.has_first_token = True
-        attempt.record.unread_tokens -= attempt.unread_tokens
+        attempt.record.prefill_tokens -= attempt.prefill_tokens
         if took is not None:
-            self._prefill_times.observe(attempt.service, attempt.unread_tokens, took)
+            self._prefill_times.observe(attempt.service, attempt.prefill_tokens, took)
 
     def finish_attempt(self, attempt: Attempt) -> None:
         """Record that an attempt is no longer in progress."""
@@ -399,7 +403,7 @@
         """Record the end of an attempt that is counted locally."""
         if not attempt.has_first_token:
             attempt.has_first_token = True
-            attempt.record.unread_tokens -= attempt.unread_tokens
+            attempt.record.prefill_tokens -= attempt.prefill_tokens
         attempt.record.in_flight -= 1
 
     def record_remote_result(
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -14,7 +14,7 @@
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.routing import RouteTable, draw_service
-from sassafrasdale.gateway.suspects import Suspects
+from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.green import sleep
 from sassafrasdale.http.exceptions import CallerGone
 from sassafrasdale.http.messages import Request
@@ -59,7 +59,7 @@
         routes: Callable[[], RouteTable | None],
         fleet: Fleet,
         quotas: Quotas,
-        quarantine: Suspects,
+        quarantine: RequestQuarantine,
         metrics: LateMetrics,
         clock: Clock,
         rng: Random,
@@ -76,7 +76,7 @@
         self._may_serve = may_serve
         self._last_end = last_end
 
-    def answer(self, caller: ServerConnection, request: Request) -> None:
+    def handle(self, caller: ServerConnection, request: Request) -> None:
         """Handle one request; errors become responses and are never raised."""
         with request_context(request.header(REQUEST_ID) or "none"):
             began = self._clock.elapsed()
@@ -237,7 +237,7 @@
             fingerprint=record.fingerprint,
             sends=record.attempts,
             limit=record.limit,
-            unread=attempt and attempt.unread_tokens,
+            unread=attempt and attempt.prefill_tokens,
             queued=attempt and attempt.queued_tokens,
             news_ms=attempt and milliseconds(attempt.peer_report_age),
             named_by=(attempt and attempt.assigned_by) or None,
--- a/src/sassafrasdale/gateway/parts.py
+++ b/src/sassafrasdale/gateway/parts.py
@@ -8,8 +8,12 @@
 from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.decisions.quarantine import StrikeLedger
 from sassafrasdale.deployment import GatewaySettings
-from sassafrasdale.gateway.asking import Asking
-from sassafrasdale.gateway.assignment import Ask, Assigned, Notes
+from sassafrasdale.gateway.asking import DispatcherClient
+from sassafrasdale.gateway.assignment import (
+    Assignment,
+    AssignmentRequest,
+    AttemptReport,
+)
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.gateway.dispatcher import Dispatcher
@@ -25,16 +29,16 @@
     MemberState,
 )
 from sassafrasdale.gateway.peering import Peering
-from sassafrasdale.gateway.placement import CacheBelief, Placement
+from sassafrasdale.gateway.placement import CacheEstimate, Placement
 from sassafrasdale.gateway.planning import planned_services
 from sassafrasdale.gateway.polling import Poller
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.registration import Registration
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.roster import Roster
-from sassafrasdale.gateway.strike_news import StrikeLinks
+from sassafrasdale.gateway.strike_news import StrikeReplicator
 from sassafrasdale.gateway.strike_records import StrikeRecords
-from sassafrasdale.gateway.suspects import Suspects
+from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import (
     ClockReading,
@@ -71,7 +75,7 @@
         self.incarnation = int(clock.now().timestamp() * 1000)
         self.metrics = LateMetrics(settings.name, settings.availability_zone)
         self.time = TrueTime(clock)
-        self._cache = CacheBelief()
+        self._cache = CacheEstimate()
         self._paces = EngineStepTimes()
         self._usage = UsageCounts(settings.bounds.usage_window, self.time)
         self._contact = self._own_contact()
@@ -93,7 +97,7 @@
         clock = self._clock
         self._strikes = StrikeLedger()
         self._trials = Trials(self._store, self.time, clock)
-        self.suspects = Suspects(
+        self.suspects = RequestQuarantine(
             self._settings.name,
             self._strikes,
             self._trials,
@@ -111,8 +115,8 @@
             settings.bounds.endpoint_drain,
             lambda: self._store_health.since_failure,
             lambda: self.metrics.count("endpoint connection opened"),
-            self.suspects.ended,
-            self.suspects.vanished,
+            self.suspects.record_crash,
+            self.suspects.handle_expiry,
         )
         self.rollouts = Rollouts(
             settings.bounds.trial_share,
@@ -142,7 +146,7 @@
             self.knowledge.revisions,
             self._usage.report,
             self.knowledge.values_since,
-            lambda: self.asking.open_sends,
+            lambda: self.asking.open_attempts,
         )
         context = PeerContext(
             local_state,
@@ -152,12 +156,12 @@
             self.time,
             WORK_WINDOW,
             clock,
-            StrikeLinks(self._strikes, self.incarnation),
+            StrikeReplicator(self._strikes, self.incarnation),
         )
         calls = PeerCalls(context.roster, clock)
         zones = len(self._settings.availability_zones)
         self.peering = Peering(context, zones, self._rng, calls)
-        self.asking = Asking(
+        self.asking = DispatcherClient(
             self._contact,
             self.peering.dispatcher,
             calls.request_assignment,
@@ -274,13 +278,13 @@
         """Receive which attempts assigned here are still in flight at a member."""
         self.dispatcher.reconcile(member.name, member.incarnation, open_attempts)
 
-    def assign(self, ask: Ask) -> Assigned | None:
+    def assign(self, ask: AssignmentRequest) -> Assignment | None:
         """Return the endpoint for another gateway's attempt."""
         return self.dispatcher.assign(ask)
 
-    def receive_attempt_report(self, notes: Notes) -> None:
+    def receive_attempt_report(self, notes: AttemptReport) -> None:
         """Receive the outcomes of another gateway's attempts."""
-        self.dispatcher.note(notes)
+        self.dispatcher.record_report(notes)
 
     def _own_contact(self) -> Contact:
         settings = self._settings
@@ -300,7 +304,7 @@
             time=self.time.reading(),
             revisions=self.knowledge.revisions(),
             loads={
-                record.name: EndpointLoad(record.in_flight, record.unread_tokens)
+                record.name: EndpointLoad(record.in_flight, record.prefill_tokens)
                 for record in self.directory.records.values()
                 if record.in_flight
             },
--- a/src/sassafrasdale/gateway/peer_calls.py
+++ b/src/sassafrasdale/gateway/peer_calls.py
@@ -10,7 +10,12 @@
 from msgspec.msgpack import Decoder
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.gateway.assignment import ASSIGNED, Ask, Assigned, Notes
+from sassafrasdale.gateway.assignment import (
+    ASSIGNMENT,
+    Assignment,
+    AssignmentRequest,
+    AttemptReport,
+)
 from sassafrasdale.gateway.peer_states import (
     REDIRECT,
     STORE_VALUES,
@@ -25,7 +30,7 @@
     encode,
 )
 from sassafrasdale.gateway.roster import Roster
-from sassafrasdale.gateway.strike_news import StrikeLinks
+from sassafrasdale.gateway.strike_news import StrikeReplicator
 from sassafrasdale.gateway.usage import ClockReading, TrueTime, UsageLedger
 from sassafrasdale.http.connections import HttpClient
 from sassafrasdale.http.exceptions import HttpError
@@ -66,10 +71,10 @@
     ) -> None:
         """Receive which attempts assigned here are still in flight at a member."""
 
-    def assign(self, ask: Ask) -> Assigned | None:
+    def assign(self, ask: AssignmentRequest) -> Assignment | None:
         """Return the endpoint for another gateway's attempt."""
 
-    def receive_attempt_report(self, notes: Notes) -> None:
+    def receive_attempt_report(self, notes: AttemptReport) -> None:
         """Receive the outcomes of another gateway's attempts."""
 
 
@@ -109,7 +114,7 @@
     time: TrueTime
     work_window: timedelta
     clock: Clock
-    strikes: StrikeLinks
+    strikes: StrikeReplicator
 
 
 class PeerCalls:
@@ -155,19 +160,21 @@
         """Return an aggregator's counts of a window for all gateways."""
         return self._get(contact, f"{USAGE_TARGET}{window}", USAGE_TOTAL)
 
-    def request_assignment(self, contact: Contact, ask: Ask) -> Assigned | None:
+    def request_assignment(
+        self, contact: Contact, ask: AssignmentRequest
+    ) -> Assignment | None:
         """Return the endpoint assigned by a dispatcher; None if the call failed."""
         request = Request("POST", ASK_TARGET, body=encode(ask))
         try:
             response = self._client(contact, self._ask_clients, ASK_TIMEOUT).call(
                 request, ASK_TIMEOUT
             )
-            return ASSIGNED.decode(response.body) if response.status == 200 else None
+            return ASSIGNMENT.decode(response.body) if response.status == 200 else None
         except (HttpError, MessageMalformed) as error:
             log.debug("assignment request failed", peer=contact.name, why=str(error))
             return None
 
-    def send_attempt_report(self, contact: Contact, notes: Notes) -> bool:
+    def send_attempt_report(self, contact: Contact, notes: AttemptReport) -> bool:
         """Report outcomes of attempts to a dispatcher; return whether it got them."""
         try:
             self._call(contact, Request("POST", NOTES_TARGET, body=encode(notes)))
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -16,7 +16,7 @@
 
 from sassafrasdale.decisions.news import ReportedLoad
 from sassafrasdale.gateway.rollout_news import Count, TrialNews, without_rows
-from sassafrasdale.gateway.strike_news import StrikeNews
+from sassafrasdale.gateway.strike_news import StrikeUpdate
 from sassafrasdale.gateway.usage import ClockReading
 from sassafrasdale.structures import Address
 
@@ -209,7 +209,7 @@
     usage: tuple[UsageRow, ...] = ()
     open_attempts: tuple[int, ...] = ()
     leaves_group: bool = False
-    strikes: StrikeNews | None = None
+    strikes: StrikeUpdate | None = None
 
 
 class ReportReply(Message):
@@ -230,7 +230,7 @@
     roster_digest: int
     roster: tuple[Contact, ...] = ()
     clocks: dict[str, ClockReading] = field(default_factory=dict)
-    strikes: StrikeNews | None = None
+    strikes: StrikeUpdate | None = None
 
 
 class GroupUpdate(Message):
@@ -256,7 +256,7 @@
     usage_version: int = 0
     usage_received: int = 0
     members: tuple[str, ...] = ()
-    strikes: StrikeNews | None = None
+    strikes: StrikeUpdate | None = None
 
 
 class Redirect(Message):
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -21,7 +21,7 @@
 )
 from sassafrasdale.decisions.turns import PollSlot, poll_slot_of
 from sassafrasdale.gateway.aggregating import Aggregator
-from sassafrasdale.gateway.assignment import ASK, NOTES
+from sassafrasdale.gateway.assignment import ASSIGNMENT_REQUEST, ATTEMPT_REPORT
 from sassafrasdale.gateway.peer_calls import (
     ASK_TARGET,
     NEWS_TARGET,
@@ -311,12 +311,16 @@
             reply = self._aggregator.handle_report(REPORT.decode(request.body))
             return Answer(200, body=encode(reply))
         if target == ASK_TARGET:
-            assigned = self._context.listener.assign(ASK.decode(request.body))
+            assigned = self._context.listener.assign(
+                ASSIGNMENT_REQUEST.decode(request.body)
+            )
             return (
                 Answer(404) if assigned is None else Answer(200, body=encode(assigned))
             )
         if target == NOTES_TARGET:
-            self._context.listener.receive_attempt_report(NOTES.decode(request.body))
+            self._context.listener.receive_attempt_report(
+                ATTEMPT_REPORT.decode(request.body)
+            )
             return Answer(200)
         if target == NEWS_TARGET:
             return self._handle_update(request)
--- a/src/sassafrasdale/gateway/placement.py
+++ b/src/sassafrasdale/gateway/placement.py
@@ -27,7 +27,7 @@
 CACHE_WARMUP_TIME = timedelta(seconds=8)
 
 
-class CacheBelief:
+class CacheEstimate:
     """Estimate of the prompt parts that each engine has in its KV cache.
 
     It is based on this gateway's own attempts. In addition, a part is assumed to be
@@ -41,7 +41,9 @@
         self._parts: dict[str, OrderedDict[str, int]] = {}
         self._tokens: dict[str, int] = {}
 
-    def sent(self, endpoint: str, parts: Sequence[PromptPart], capacity: int) -> None:
+    def record_prompt(
+        self, endpoint: str, parts: Sequence[PromptPart], capacity: int
+    ) -> None:
         """Record that an engine gets a prompt."""
         cached = self._parts.setdefault(endpoint, OrderedDict())
         total = self._tokens.get(endpoint, 0)
@@ -89,7 +91,7 @@
     def __init__(
         self,
         availability_zone: str,
-        cache: CacheBelief,
+        cache: CacheEstimate,
         paces: EngineStepTimes,
         rng: Random,
     ) -> None:
@@ -171,7 +173,7 @@
         owner = self._owner(warmed_up, traits)
         return next(other for other in warmed_up if other.name == owner)
 
-    def unread_tokens(
+    def prefill_tokens(
         self,
         record: EndpointRecord,
         candidates: Sequence[EndpointRecord],
@@ -217,7 +219,7 @@
             return network_delay + PLAIN_REQUEST_TIME * (
                 1 + in_flight / record.endpoint.slots
             )
-        queued_tokens = record.unread_tokens + remaining_prefill_tokens(
+        queued_tokens = record.prefill_tokens + remaining_prefill_tokens(
             load, token_time
         )
         uncached = self._uncached_tokens(record, traits, owner)
--- a/src/sassafrasdale/gateway/process.py
+++ b/src/sassafrasdale/gateway/process.py
@@ -76,7 +76,7 @@
         settings = self._settings
         server = HttpServer(
             self._open_listener(settings.address),
-            self._parts.frontend.answer,
+            self._parts.frontend.handle,
             self._clock,
             limits=self._caller_limits,
             is_draining=lambda: self._lifecycle.state == "draining",
@@ -123,12 +123,12 @@
             self._reload_requested = False
             self._reload()
         self._parts.fleet.refresh_peer_loads()
-        self._parts.dispatcher.forget_silent()
+        self._parts.dispatcher.drop_unresponsive()
         if not self._parts.peering.is_aggregator:
-            self._parts.dispatcher.lay_down()
-        self._parts.directory.forget_lapsed()
+            self._parts.dispatcher.resign()
+        self._parts.directory.drop_expired()
         self._parts.time.keep()
-        self._parts.suspects.note_changes()
+        self._parts.suspects.log_changes()
         self._may_serve()
 
     def _become_ready(self) -> None:
@@ -146,7 +146,7 @@
         return (
             self._parts.knowledge.is_complete
             and self._parts.registration.has_listed
-            and self._parts.strike_records.is_read
+            and self._parts.strike_records.is_loaded
         )
 
     def _stop(self, server: HttpServer) -> None:
@@ -218,9 +218,9 @@
         suspects = self._parts.suspects
         name = request.target.removeprefix(QUARANTINE_TARGET).removeprefix("/")
         if request.method == "GET" and not name:
-            self._answer_document(connection, suspects.described())
+            self._answer_document(connection, suspects.describe())
         elif request.method == "DELETE" and name:
-            connection.answer(204 if suspects.lift(name) else 404)
+            connection.answer(204 if suspects.release(name) else 404)
         else:
             connection.answer(405)
 
--- a/src/sassafrasdale/gateway/reporting.py
+++ b/src/sassafrasdale/gateway/reporting.py
@@ -82,7 +82,7 @@
             () if known else tuple(self._roster.own_zone_contacts()),
             tuple(self._usage_row(window, counts) for window, counts in rows.items()),
             self._context.local_state.open_attempts(),
-            strikes=self._context.strikes.news_for(contact.name),
+            strikes=self._context.strikes.update_for(contact.name),
         )
         reply = self._calls.send(contact, REPORT_TARGET, report, REPORT_REPLY)
         if not isinstance(reply, ReportReply):
@@ -121,7 +121,7 @@
         listener = self._context.listener
         sender = reply.sender
         self._roster.record_contact(sender)
-        self._context.strikes.take(sender.name, sender.incarnation, reply.strikes)
+        self._context.strikes.apply(sender.name, sender.incarnation, reply.strikes)
         self._aggregator_digest = reply.roster_digest
         if reply.sender.incarnation != self._aggregator_incarnation:
             # An aggregator that restarted since the last report has no rows.
--- a/src/sassafrasdale/gateway/strike_news.py
+++ b/src/sassafrasdale/gateway/strike_news.py
@@ -60,7 +60,7 @@
         )
 
 
-class StrikeNews(Struct, frozen=True, array_like=True):
+class StrikeUpdate(Struct, frozen=True, array_like=True):
     """Update on strikes from one gateway to another.
 
     :param since: version of the sender's ledger that the rows follow.
@@ -94,7 +94,7 @@
     received_from: int = 0
 
 
-class StrikeLinks:
+class StrikeReplicator:
     """Sends strikes to other gateways and applies the updates from them.
 
     :param ledger: the strikes that are known here.
@@ -106,12 +106,12 @@
         self._incarnation = incarnation
         self._peers: dict[str, _PeerState] = {}
 
-    def news_for(self, name: str) -> StrikeNews:
+    def update_for(self, name: str) -> StrikeUpdate:
         """Return the update for another gateway: all that it has not confirmed."""
         peer = self._peer(name)
         changed = self._ledger.since(peer.acked, MAX_ROWS)
         version = changed[-1].changed if changed else self._ledger.version
-        return StrikeNews(
+        return StrikeUpdate(
             peer.acked,
             version,
             tuple(StrikeRow.of(held) for held in changed),
@@ -119,7 +119,7 @@
             peer.received_from,
         )
 
-    def take(self, name: str, incarnation: int, news: StrikeNews | None) -> None:
+    def apply(self, name: str, incarnation: int, news: StrikeUpdate | None) -> None:
         """Apply another gateway's update, and note which version it has received."""
         if news is None:
             return
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -85,7 +85,7 @@
         self._has_pending = False
 
     @property
-    def is_read(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether the strikes from before the start have been loaded."""
         return self._is_loaded
 
--- a/src/sassafrasdale/gateway/suspects.py
+++ b/src/sassafrasdale/gateway/suspects.py
@@ -62,7 +62,7 @@
 NO_RESTRICTION = Verdict()
 
 
-class Suspects:
+class RequestQuarantine:
     """Records which requests crash endpoints, and refuses those that do so repeatedly.
 
     :param name: this gateway's name.
@@ -140,7 +140,7 @@
         self._lost_runs = [*self._lost_runs, (now, run)][-MAX_LOST_RUNS:]
         return False
 
-    def vanished(self, record: EndpointRecord) -> None:
+    def handle_expiry(self, record: EndpointRecord) -> None:
         """Handle a registration that disappeared without the endpoint leaving.
 
         If its instance has lost power, connections are not reset, and its requests
@@ -155,7 +155,7 @@
         if reach is Reach.OPEN:
             # It has lost its connection to the store, or is leaving.
             return
-        self.ended(record.name)
+        self.record_crash(record.name)
         if reach is Reach.UNANSWERED and record.connections:
             self._abort_requests(record)
 
@@ -167,7 +167,7 @@
         for connection in list(record.connections):
             connection.close()
 
-    def ended(self, endpoint: str) -> None:
+    def record_crash(self, endpoint: str) -> None:
         """Record the crash of an endpoint that had lost connections before."""
         now = self._clock.elapsed()
         lost, self._lost_runs = self._lost_runs, []
@@ -184,21 +184,21 @@
         name = fingerprint(request, customer)
         if self._ledger.clear(name):
             log.info("strikes cleared", fingerprint=name, why="answered")
-            self.note_changes()
+            self.log_changes()
 
-    def lift(self, name: str) -> bool:
+    def release(self, name: str) -> bool:
         """Release a request from quarantine, as an operator asks."""
         lifted = self._ledger.clear(name)
         if lifted:
             log.notice("strikes cleared", fingerprint=name, why="lifted by an operator")
-            self.note_changes()
+            self.log_changes()
         return lifted
 
     def may_retry(self, name: str) -> bool:
         """Return whether a request may be retried at another endpoint."""
         return self._ledger.may_retry(name)
 
-    def note_changes(self) -> None:
+    def log_changes(self) -> None:
         """Log which requests have entered or left quarantine."""
         now = self._ledger.quarantined
         for name in sorted(now - self._quarantined):
@@ -209,7 +209,7 @@
             log.notice("quarantine ended", fingerprint=name)
         self._quarantined = now
 
-    def described(self) -> list[dict[str, object]]:
+    def describe(self) -> list[dict[str, object]]:
         """Return the requests that have open strikes, for an operator."""
         return [
             {
@@ -251,4 +251,4 @@
             self._name,
         )
         self._ledger.take(strike)
-        self.note_changes()
+        self.log_changes()
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -20,7 +20,7 @@
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.roster import Roster
-from sassafrasdale.gateway.strike_news import StrikeLinks
+from sassafrasdale.gateway.strike_news import StrikeReplicator
 from sassafrasdale.gateway.usage import ClockReading, TrueTime, UsageLedger
 from sassafrasdale.green import sleep
 from sassafrasdale.http.exceptions import AnswerTimeout, NotConnected
@@ -144,7 +144,7 @@
             self.time,
             WORK_WINDOW,
             fleet.clock,
-            StrikeLinks(self.strikes, incarnation),
+            StrikeReplicator(self.strikes, incarnation),
         )
         calls = LocalCalls(fleet, name, self.roster, fleet.clock)
         self.peering = Peering(context, len(fleet.zones), Random(name), calls)
@@ -273,7 +273,7 @@
         lambda own: member(own.name), dict, dict, lambda prefix, since: None
     )
     time = TrueTime(clock)
-    strikes = StrikeLinks(StrikeLedger(), roster.own.incarnation)
+    strikes = StrikeReplicator(StrikeLedger(), roster.own.incarnation)
     context = PeerContext(
         own,
         roster,
--- a/tests/gateway/test_asking.py
+++ b/tests/gateway/test_asking.py
@@ -5,7 +5,11 @@
 import pytest
 
 from sassafrasdale.clock import SystemClock
-from sassafrasdale.gateway.asking import BATCH_DELAY, MAX_REPORT_INTERVAL, Asking
+from sassafrasdale.gateway.asking import (
+    BATCH_DELAY,
+    MAX_REPORT_INTERVAL,
+    DispatcherClient,
+)
 from sassafrasdale.gateway.assignment import AttemptResult
 from sassafrasdale.green import sleep, spawn
 from tests.gateway.fleets import contact
@@ -20,7 +24,7 @@
         self.dispatcher = contact("central")
         self.lookups = 0
         self.reports = []
-        self.asking = Asking(
+        self.asking = DispatcherClient(
             contact("g-1"), self._look_up, lambda *_: None, self._report, SystemClock()
         )
         self.task = spawn(self.asking.run)
--- a/tests/gateway/test_crash_detection.py
+++ b/tests/gateway/test_crash_detection.py
@@ -18,7 +18,7 @@
 
 
 def record_at(address: Address, opened=lambda: None):
-    directory = Directory(CLOCK, None, LIMIT, opened=opened)
+    directory = Directory(CLOCK, None, LIMIT, on_open=opened)
     directory.put(Endpoint("i-1", "models", address, "a", EndpointState.READY))
     return directory.records["i-1"]
 
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -17,21 +17,21 @@
     RequestTraits,
     Service,
 )
-from sassafrasdale.gateway.asking import FALLBACK_TIME, Asking
+from sassafrasdale.gateway.asking import FALLBACK_TIME, DispatcherClient
 from sassafrasdale.gateway.assignment import (
-    ASK,
-    ASSIGNED,
-    NOTES,
-    Ask,
+    ASSIGNMENT,
+    ASSIGNMENT_REQUEST,
+    ATTEMPT_REPORT,
+    AssignmentRequest,
     AttemptEnded,
+    AttemptReport,
     AttemptResult,
-    Notes,
 )
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.gateway.dispatcher import RECONCILE_GRACE, Dispatcher
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.peer_states import encode
-from sassafrasdale.gateway.placement import CacheBelief, Placement
+from sassafrasdale.gateway.placement import CacheEstimate, Placement
 from sassafrasdale.gateway.usage import TrueTime, UsageCounts
 from sassafrasdale.structures import Address
 from tests.gateway.fleets import contact, lone_peering, no_rollouts
@@ -55,7 +55,7 @@
             self.directory.put(
                 Endpoint(f"i-{number}", "models", address, "a", EndpointState.READY, 32)
             )
-        cache, paces = CacheBelief(), EngineStepTimes()
+        cache, paces = CacheEstimate(), EngineStepTimes()
         self.fleet = Fleet(
             self.directory,
             Placement("a", cache, paces, rng),
@@ -76,7 +76,7 @@
 
     def prefill_tokens(self):
         records = self.directory.records.values()
-        return sum(record.unread_tokens for record in records)
+        return sum(record.prefill_tokens for record in records)
 
 
 class Zone:
@@ -90,7 +90,7 @@
         self.receives_reports = True
         self.contact = contact("central")
         self.asking = [
-            Asking(
+            DispatcherClient(
                 contact(f"g-{number}"),
                 lambda: self.contact,
                 self._ask,
@@ -105,14 +105,14 @@
         ]
 
     def _ask(self, _, ask):
-        assigned = self.dispatcher.assign(ASK.decode(encode(ask)))
+        assigned = self.dispatcher.assign(ASSIGNMENT_REQUEST.decode(encode(ask)))
         if not self.answers or assigned is None:
             return None
-        return ASSIGNED.decode(encode(assigned))
+        return ASSIGNMENT.decode(encode(assigned))
 
     def _report(self, _, notes):
         if self.receives_reports:
-            self.dispatcher.note(NOTES.decode(encode(notes)))
+            self.dispatcher.record_report(ATTEMPT_REPORT.decode(encode(notes)))
         return self.receives_reports
 
     def send(self, number, tokens=5000):
@@ -126,7 +126,7 @@
 
     def report(self):
         for number, asking in enumerate(self.asking):
-            self.dispatcher.reconcile(f"g-{number}", 1, asking.open_sends)
+            self.dispatcher.reconcile(f"g-{number}", 1, asking.open_attempts)
 
 
 def prompt(tokens):
@@ -242,9 +242,9 @@
     zone.send(0)
     zone.send(1)
     zone.clock.advance(EXPIRY_TIMEOUT / 2)
-    zone.dispatcher.reconcile("g-1", 1, zone.asking[1].open_sends)
+    zone.dispatcher.reconcile("g-1", 1, zone.asking[1].open_attempts)
     zone.clock.advance(EXPIRY_TIMEOUT * 0.7)
-    zone.dispatcher.forget_silent()
+    zone.dispatcher.drop_unresponsive()
     assert sum(zone.central.under_way()) == 1
 
 
@@ -257,7 +257,7 @@
 def test_a_dispatcher_that_resigns_drops_all_attempts(zone):
     """Guards against two gateways counting the same attempts after a resignation."""
     zone.send(0)
-    zone.dispatcher.lay_down()
+    zone.dispatcher.resign()
     assert sum(zone.central.under_way()) == 0
     assert zone.central.prefill_tokens() == 0
 
@@ -296,14 +296,16 @@
 
 
 def test_results_of_unknown_attempts_are_ignored(zone):
-    zone.dispatcher.note(Notes("g-0", 1, (), (AttemptEnded(99, AttemptResult.FAILED),)))
+    zone.dispatcher.record_report(
+        AttemptReport("g-0", 1, (), (AttemptEnded(99, AttemptResult.FAILED),))
+    )
     assert sum(zone.central.under_way()) == 0
 
 
 def test_an_assignment_request_keeps_the_traits():
     traits = prompt(700)
-    ask = Ask.of("g-0", 1, 5, "models", traits, ("i-1",))
-    again = ASK.decode(encode(ask)).traits
+    ask = AssignmentRequest.of("g-0", 1, 5, "models", traits, ("i-1",))
+    again = ASSIGNMENT_REQUEST.decode(encode(ask)).traits
     assert (again.prompt_tokens, again.parts) == (700, traits.parts)
 
 
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -371,7 +371,7 @@
     for number in range(3):
         world.ask(request("/certificates/7", f"r-{number}"))
     assert world.directory.records["i-1"].in_flight == 0
-    assert world.directory.records["i-1"].unread_tokens == 0
+    assert world.directory.records["i-1"].prefill_tokens == 0
 
 
 def test_usage_counts_requests_that_ran():
@@ -480,7 +480,7 @@
     answer = world.ask(request("/reports/7", **STREAM))
     assert body_of(answer) == b"".join(event(number) for number in range(1, 7))
     assert answer.endswith(b"0\r\n\r\n")
-    assert world.suspects.described() == []
+    assert world.suspects.describe() == []
 
 
 @pytest.mark.parametrize("how", ["draining", "removed"])
@@ -498,7 +498,7 @@
 
     world.add("i-1", "models", CrashingEndpoint(leave))
     assert status_of(world.ask(request("/reports/7", **STREAM))) == 502
-    assert world.suspects.described() == []
+    assert world.suspects.describe() == []
 
 
 def test_a_request_is_retried_once_its_endpoint_is_unreachable():
@@ -549,7 +549,7 @@
     world.directory.remove("i-1")
     answer = caller.read()
     assert body_of(answer) == event(1) + event(2)
-    assert world.suspects.described() == []
+    assert world.suspects.describe() == []
 
 
 def test_a_crashed_endpoint_is_used_again_after_its_restart():
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_knowledge.py
@@ -12,7 +12,7 @@
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.gateway.following import PrefixChanges
 from sassafrasdale.gateway.knowledge import StoreView
-from sassafrasdale.gateway.placement import CacheBelief
+from sassafrasdale.gateway.placement import CacheEstimate
 from tests.gateway.fleets import no_rollouts
 
 REGISTRATION = {
@@ -30,7 +30,7 @@
     def __init__(self):
         clock = ManualClock()
         self.directory = Directory(clock, Random(1), timedelta(seconds=2))
-        self.cache = CacheBelief()
+        self.cache = CacheEstimate()
         self.rollouts = no_rollouts(clock)
         self.store_view = StoreView(
             None,
@@ -103,6 +103,6 @@
 def test_the_cache_estimate_of_a_restarted_engine_is_empty(world):
     """Prompts would be sent to an engine for a KV cache that it lost in a crash."""
     world.register("i-1", born=1)
-    world.cache.sent("i-1", PARTS, 10_000)
+    world.cache.record_prompt("i-1", PARTS, 10_000)
     world.register("i-1", born=2)
     assert world.cache.cached_tokens("i-1", PARTS) == 0
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -17,7 +17,7 @@
     Service,
 )
 from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.placement import CacheBelief, Placement, owner_of
+from sassafrasdale.gateway.placement import CacheEstimate, Placement, owner_of
 from sassafrasdale.structures import Address
 
 TOKEN_TIME = timedelta(microseconds=20)
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def cache():
-    return CacheBelief()
+    return CacheEstimate()
 
 
 @pytest.fixture
@@ -90,7 +90,7 @@
         for rec in records
         if rec.name == owner_of("x", [other.name for other in records])
     )
-    owner.unread_tokens = 40_000
+    owner.prefill_tokens = 40_000
     assert choose(placement, records, prompt("x", "y")) != owner.name
 
 
@@ -119,13 +119,13 @@
 
 def test_the_cache_estimate_is_bounded(cache):
     for number in range(40):
-        cache.sent("i-1", prompt(f"s-{number}", f"o-{number}").parts, 100_000)
+        cache.record_prompt("i-1", prompt(f"s-{number}", f"o-{number}").parts, 100_000)
     assert cache.cached_tokens("i-1", prompt("s-0", "o-0").parts) == 0
     assert cache.cached_tokens("i-1", prompt("s-39", "new").parts) == 6000
 
 
 def test_a_part_counts_only_if_its_prefix_is_cached(cache):
-    cache.sent("i-1", (PromptPart("b", 100),), 100_000)
+    cache.record_prompt("i-1", (PromptPart("b", 100),), 100_000)
     parts = (PromptPart("a", 50), PromptPart("b", 100))
     assert cache.cached_tokens("i-1", parts) == 0
 
@@ -148,13 +148,13 @@
     prefill takes 120 ms; fetching them over a link of 550 Gbit/s takes 3 ms.
     """
     traits = prompt("x", "y")
-    cache.sent("i-2", traits.parts, 100_000)
+    cache.record_prompt("i-2", traits.parts, 100_000)
     assert source(placement, records[0], records, traits) == "i-2"
 
 
 def test_an_engine_with_cached_parts_fetches_nothing(placement, cache, records):
     traits = prompt("x", "y")
-    cache.sent("i-1", traits.parts, 100_000)
+    cache.record_prompt("i-1", traits.parts, 100_000)
     assert source(placement, records[0], records, traits) is None
 
 
@@ -196,7 +196,7 @@
 
 def test_nothing_is_fetched_over_a_slow_link(placement, cache, records):
     traits = prompt("x", "y")
-    cache.sent("i-2", traits.parts, 100_000)
+    cache.record_prompt("i-2", traits.parts, 100_000)
     assert source(placement, records[0], records, traits, SLOW_LINK) is None
 
 
--- a/tests/gateway/test_quarantine_model.py
+++ b/tests/gateway/test_quarantine_model.py
@@ -92,7 +92,7 @@
                     continue
 
     def ready(self) -> list[str]:
-        return [name for name, records in self.records.items() if records.is_read]
+        return [name for name, records in self.records.items() if records.is_loaded]
 
     def is_connected(self, name: str) -> bool:
         since = max(self.connected_since[name], self.store_reachable_since)
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -241,7 +241,7 @@
             assert record.endpoint.state is EndpointState.READY
     for number in range(2):
         served.directory.remove(f"n-{number}")
-        served.directory.forget_lapsed()
+        served.directory.drop_expired()
     served.rollout.allowance.may_try = lambda route, *, full: True
     records = [rec for rec in served.directory.of_service("records") if rec.is_ready]
     assert served.rollouts.sample("records", "r", records) == ()
--- a/tests/gateway/test_strike_news.py
+++ b/tests/gateway/test_strike_news.py
@@ -8,9 +8,9 @@
 from sassafrasdale.gateway.strike_news import (
     MAX_ROWS,
     STRIKE_ROW,
-    StrikeLinks,
-    StrikeNews,
+    StrikeReplicator,
     StrikeRow,
+    StrikeUpdate,
     encode,
 )
 from tests.decisions.test_quarantine import strike
@@ -23,7 +23,7 @@
         self.name = name
         self.incarnation = incarnation
         self.ledger = StrikeLedger()
-        self.links = StrikeLinks(self.ledger, incarnation)
+        self.links = StrikeReplicator(self.ledger, incarnation)
 
     @property
     def known(self) -> set[tuple[str, str, StrikeState]]:
@@ -35,8 +35,8 @@
 
     def send_to(self, other: "Node") -> int:
         """Send an update to another gateway, and return the number of its rows."""
-        news = self.links.news_for(other.name)
-        other.links.take(self.name, self.incarnation, news)
+        news = self.links.update_for(other.name)
+        other.links.apply(self.name, self.incarnation, news)
         return len(news.rows)
 
 
@@ -71,7 +71,7 @@
     """Guards against a strike that only one gateway ever knows."""
     a, b = nodes
     a.strike(1)
-    a.links.news_for("b")
+    a.links.update_for("b")
     exchange(a, b)
     assert a.known == b.known != set()
 
@@ -114,7 +114,7 @@
 def test_an_unknown_state_is_ignored(nodes):
     a, b = nodes
     row = StrikeRow("x", "i-1", "v1", False, 0.0, "a", state=64 | 2)
-    b.links.take("a", 1, StrikeNews(0, 1, (row,), 0, 0))
+    b.links.apply("a", 1, StrikeUpdate(0, 1, (row,), 0, 0))
     assert not b.ledger.open_strikes("x")
 
 
@@ -147,7 +147,7 @@
                 nodes[number] = Node(old.name, old.incarnation + 1)
             case 3:
                 one, other = rng.sample(nodes, 2)
-                one.links.news_for(other.name)
+                one.links.update_for(other.name)
             case _:
                 one, other = rng.sample(nodes, 2)
                 one.send_to(other)
--- a/tests/gateway/test_strike_records.py
+++ b/tests/gateway/test_strike_records.py
@@ -79,9 +79,9 @@
     gateway.strike(1, 2, 3)
     gateway.records.step()
     later = Gateway(store, "g-2")
-    assert not later.records.is_read
+    assert not later.records.is_loaded
     later.records.step()
-    assert later.records.is_read
+    assert later.records.is_loaded
     assert later.ledger.quarantined == {"crashing"}
 
 
@@ -140,9 +140,9 @@
     gateway = Gateway(store)
     with pytest.raises(StoreNotReached):
         gateway.records.step()
-    assert not gateway.records.is_read
+    assert not gateway.records.is_loaded
     gateway.records.step()
-    assert gateway.records.is_read
+    assert gateway.records.is_loaded
 
 
 def test_cleared_strikes_are_deleted(store, gateway):
@@ -194,5 +194,5 @@
     store.create(STRIKES_PREFIX + "x/i-1/0", b"\xff")
     gateway = Gateway(store)
     gateway.records.step()
-    assert gateway.records.is_read
+    assert gateway.records.is_loaded
     assert len(gateway.ledger) == 0
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -10,7 +10,7 @@
 from sassafrasdale.deployment import Endpoint, EndpointState
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.gateway.fingerprints import fingerprint
-from sassafrasdale.gateway.suspects import Suspects
+from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import TrueTime
 from sassafrasdale.green import sleep
@@ -33,7 +33,7 @@
         self.ledger = StrikeLedger()
         time = TrueTime(CLOCK)
         self.store = FakeStore(CLOCK)
-        self.suspects = Suspects(
+        self.suspects = RequestQuarantine(
             "g-1",
             self.ledger,
             Trials(self.store, time, CLOCK),
@@ -45,8 +45,8 @@
             CLOCK,
             None,
             timedelta(seconds=2),
-            restarted=self.suspects.ended,
-            vanished=self.suspects.vanished,
+            on_restart=self.suspects.record_crash,
+            on_expiry=self.suspects.handle_expiry,
         )
 
     def list_endpoint(self, address: Address, name: str = "i-1", **fields):
@@ -173,11 +173,11 @@
 def test_an_operator_can_list_and_release_requests(gateway):
     for end in range(3):
         gateway.ledger.take(strike(NAME, end, at=now()))
-    gateway.suspects.note_changes()
-    shown = gateway.suspects.described()
+    gateway.suspects.log_changes()
+    shown = gateway.suspects.describe()
     assert [(row["fingerprint"], row["quarantined"]) for row in shown] == [(NAME, True)]
     assert {end["endpoint"] for end in shown[0]["ends"]} == {"i-0", "i-1", "i-2"}
-    assert gateway.suspects.lift(NAME)
-    assert not gateway.suspects.lift(NAME)
+    assert gateway.suspects.release(NAME)
+    assert not gateway.suspects.release(NAME)
     assert not gateway.verdict().is_refused
-    assert gateway.suspects.described() == []
+    assert gateway.suspects.describe() == []
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -13,11 +13,11 @@
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.frontend import Frontend
-from sassafrasdale.gateway.placement import CacheBelief, Placement
+from sassafrasdale.gateway.placement import CacheEstimate, Placement
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.routing import RouteTable
-from sassafrasdale.gateway.suspects import Suspects
+from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import TrueTime, UsageCounts
 from sassafrasdale.green import listen, spawn
@@ -198,8 +198,8 @@
             CLOCK,
             self.rng,
             self.settings.bounds.endpoint_drain,
-            restarted=lambda name: self.suspects.ended(name),
-            vanished=lambda record: self.suspects.vanished(record),
+            on_restart=lambda name: self.suspects.record_crash(name),
+            on_expiry=lambda record: self.suspects.handle_expiry(record),
         )
         self.usage = UsageCounts(timedelta(seconds=5), TrueTime(CLOCK))
         self.rollouts = Rollouts(
@@ -210,7 +210,7 @@
             self.rng,
         )
         peering = lone_peering(CLOCK, self.rng)
-        cache = CacheBelief()
+        cache = CacheEstimate()
         paces = EngineStepTimes()
         self.fleet = Fleet(
             self.directory,
@@ -227,7 +227,7 @@
         self.quotas = Quotas(self.settings.bounds, lambda: 1, CLOCK)
         self.strikes = StrikeLedger()
         time = TrueTime(CLOCK)
-        self.suspects = Suspects(
+        self.suspects = RequestQuarantine(
             "front-a-1",
             self.strikes,
             Trials(FakeStore(CLOCK), time, CLOCK),
@@ -247,7 +247,7 @@
             last_end=last_end,
         )
         listener = listen(LOOPBACK)
-        self.server = HttpServer(listener, self.frontend.answer, CLOCK)
+        self.server = HttpServer(listener, self.frontend.handle, CLOCK)
         spawn(self.server.serve)
         self.address = bound(listener)
 
