--- a/src/sassafrasdale/gateway/aggregating.py
+++ b/src/sassafrasdale/gateway/aggregating.py
@@ -17,8 +17,8 @@
     Contact,
     GroupState,
     GroupUpdate,
-    HeardGroup,
     MemberState,
+    ReceivedGroup,
     Redirect,
     Report,
     ReportReply,
@@ -99,7 +99,7 @@
         """Interval between a member's reports, and between exchanges."""
         return report_interval(len(self._group.members))
 
-    def start(self, groups: list[HeardGroup]) -> None:
+    def start(self, groups: list[ReceivedGroup]) -> None:
         """Start aggregating, with the other zones' totals last received as member."""
         now = self._clock.elapsed()
         for group in groups:
@@ -127,7 +127,7 @@
         :param gateway_count: number of all gateways.
         """
         self._gateway_count = gateway_count
-        self._group.take(state)
+        self._group.record_report(state)
         own = self._roster.own
         for window, counts in self._context.local_state.usage().items():
             self._context.ledger.take(own.name, own.incarnation, window, counts)
@@ -171,7 +171,7 @@
         if report.leaves_group or state.contact.leaving:
             self._group.remove(name)
         else:
-            self._group.take(state)
+            self._group.record_report(state)
         self._roster.record_contact(state.contact)
         self._roster.merge(report.roster)
         strikes = self._context.strikes
@@ -209,15 +209,17 @@
         self._apply_update(update)
         return self._update_for(update.sender)
 
-    def groups_for(self, name: str, *, concise: bool = False) -> tuple[HeardGroup, ...]:
+    def groups_for(
+        self, name: str, *, concise: bool = False
+    ) -> tuple[ReceivedGroup, ...]:
         """Return the totals over all gateways except one, this group first.
 
         :param concise: whether to omit the counts that only aggregators need.
         """
         now = self._clock.elapsed()
-        own = HeardGroup(self._totals(without=name, concise=concise))
+        own = ReceivedGroup(self._totals(without=name, concise=concise))
         others = [
-            HeardGroup(other.state, (now - other.received_at).total_seconds())
+            ReceivedGroup(other.state, (now - other.received_at).total_seconds())
             for other in self._peer_groups.values()
         ]
         if concise:
@@ -251,7 +253,7 @@
 
     def _totals(self, without: str = "", *, concise: bool = False) -> GroupState:
         own = self._roster.own
-        return self._group.sums(
+        return self._group.totals(
             own,
             without=without,
             listed=self._listed(),
--- a/src/sassafrasdale/gateway/duties.py
+++ b/src/sassafrasdale/gateway/duties.py
@@ -11,7 +11,7 @@
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.decisions.ordering import PlannedService
 from sassafrasdale.deployment import GatewaySettings
-from sassafrasdale.gateway.metering import USAGE_FORM, USAGE_RECORD, UsageReporter
+from sassafrasdale.gateway.metering import USAGE_ADAPTER, USAGE_RECORD, UsageReporter
 from sassafrasdale.gateway.peer_states import DutyClaim
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.records import DutyRecord
@@ -103,7 +103,7 @@
             reporter = UsageReporter(
                 self._lease,
                 client,
-                DutyRecord(self._store, USAGE_RECORD, USAGE_FORM),
+                DutyRecord(self._store, USAGE_RECORD, USAGE_ADAPTER),
                 self._peering.usage,
                 self._time,
                 self._clock,
@@ -131,7 +131,7 @@
     def _should_defer(self) -> bool:
         """Return whether another gateway is the leader or should become it."""
         now = self._clock.elapsed()
-        if self._peering.names_holder():
+        if self._peering.knows_leader():
             self._leader_seen_at = now
             return True
         time_without_leader = now - self._leader_seen_at
@@ -141,6 +141,6 @@
         ):
             return True
         age = now - self._started_at
-        return age < OLDER_GATEWAY_PRIORITY and self._peering.may_have_older(
+        return age < OLDER_GATEWAY_PRIORITY and self._peering.may_have_older_gateway(
             self._incarnation
         )
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -74,8 +74,8 @@
         self._usage = usage
         self._configuration = configuration
         self._clock = clock
-        self._retry_budgets = RetryBudgets(bounds, peering.count, clock)
-        self._prefill_times = PrefillTimes(peering.token_times)
+        self._retry_budgets = RetryBudgets(bounds, peering.gateway_count, clock)
+        self._prefill_times = PrefillTimes(peering.prefill_times)
         self._work = DemandShares(WORK_WINDOW)
         self._peer_loads: dict[str, ReportedLoad] = {}
         self._peer_report_age = timedelta()
@@ -294,7 +294,7 @@
     def _get_peer_work(self, service: str) -> float:
         """Return the peers' work as of the last refresh; many requests need it."""
         if service not in self._peer_work:
-            work = self._peering.work(service)
+            work = self._peering.engine_time(service)
             self._peer_work[service] = work
         return self._peer_work[service]
 
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -113,7 +113,7 @@
         except RequestRefused as refusal:
             # A 503 means that the request did not run, so its quota is returned.
             if refusal.status == 503 and admitted.customer is not None:
-                self._quotas.restore(admitted.customer, admitted.traits)
+                self._quotas.refund(admitted.customer, admitted.traits)
             raise
         finally:
             record.attempts = exchange.attempts
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -70,7 +70,7 @@
             if now - member.reported_at <= limit
         }
 
-    def take(self, state: MemberState) -> None:
+    def record_report(self, state: MemberState) -> None:
         """Record a member's report.
 
         The usage of a new member that no aggregator has counted yet is counted here;
@@ -109,7 +109,7 @@
             if name not in listed and name not in living:
                 self.remove(name)
 
-    def sums(
+    def totals(
         self,
         aggregator: Contact,
         *,
--- a/src/sassafrasdale/gateway/knowledge.py
+++ b/src/sassafrasdale/gateway/knowledge.py
@@ -108,7 +108,7 @@
         return self._routes.configuration.limits if self._routes else CallerLimits()
 
     @property
-    def is_complete(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether both configuration and endpoints have been read."""
         listed = self._followers[ENDPOINTS_PREFIX].revision > 0
         return self._routes is not None and listed
--- a/src/sassafrasdale/gateway/metering.py
+++ b/src/sassafrasdale/gateway/metering.py
@@ -25,7 +25,7 @@
 
 USAGE_RECORD = "sassafrasdale/usage"
 # Counts by customer, by window.
-USAGE_FORM = TypeAdapter(dict[int, dict[str, int]])
+USAGE_ADAPTER = TypeAdapter(dict[int, dict[str, int]])
 # Longest wait for peers' counts of a window's last moments. The window is reported as
 # soon as all peers have reported theirs, since an unreported window is lost if all
 # gateways are killed at once.
--- a/src/sassafrasdale/gateway/parts.py
+++ b/src/sassafrasdale/gateway/parts.py
@@ -25,8 +25,8 @@
 from sassafrasdale.gateway.peer_states import (
     Contact,
     EndpointLoad,
-    HeardGroup,
     MemberState,
+    ReceivedGroup,
 )
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.placement import CacheEstimate, Placement
@@ -50,7 +50,7 @@
 from sassafrasdale.platform.store import PlatformStore
 
 
-class GatewayParts:
+class GatewayComponents:
     """All components of one gateway.
 
     Their references are circular, so some of them are looked up only on use.
@@ -126,7 +126,7 @@
             self._rng,
             self.metrics.count,
         )
-        self.knowledge = StoreView(
+        self.store_view = StoreView(
             self._store,
             self._store_health,
             self.directory,
@@ -143,9 +143,9 @@
         clock = self._clock
         local_state = LocalState(
             self._build_state,
-            self.knowledge.revisions,
+            self.store_view.revisions,
             self._usage.report,
-            self.knowledge.values_since,
+            self.store_view.values_since,
             lambda: self.asking.open_attempts,
         )
         context = PeerContext(
@@ -178,7 +178,7 @@
         clock = self._clock
         self._quotas = Quotas(
             settings.bounds,
-            self.peering.count,
+            self.peering.gateway_count,
             clock,
             self.peering.counted_usage,
             self.peering.propagation_time,
@@ -191,7 +191,7 @@
             self._paces,
             self.peering,
             self._usage,
-            lambda: self.knowledge.configuration,
+            lambda: self.store_view.configuration,
             settings.bounds,
             clock,
             self.rollouts,
@@ -199,7 +199,7 @@
         )
         self.dispatcher = Dispatcher(self.fleet, clock)
         self.frontend = Frontend(
-            lambda: self.knowledge.routes,
+            lambda: self.store_view.routes,
             self.fleet,
             self._quotas,
             self.suspects,
@@ -231,8 +231,8 @@
             self._clock,
             self._rng,
         )
-        self.polling = Poller(
-            self.knowledge.followers(),
+        self.poller = Poller(
+            self.store_view.followers(),
             self._store,
             self.peering.poll_slot,
             self.time,
@@ -243,7 +243,7 @@
             self._store,
             self.peering,
             lambda: planned_services(
-                self.knowledge.configuration,
+                self.store_view.configuration,
                 self.directory,
                 self._load,
                 self.rollouts,
@@ -259,7 +259,7 @@
         self._cache.forget(name)
         self._paces.forget(name)
 
-    def receive_groups(self, groups: Sequence[HeardGroup]) -> None:
+    def receive_groups(self, groups: Sequence[ReceivedGroup]) -> None:
         """Receive the totals over all other gateways."""
         self._quotas.receive_groups(groups)
         self.rollouts.hear_groups(groups)
@@ -270,7 +270,7 @@
 
     def receive_revisions(self, peer: str, revisions: Mapping[str, int]) -> None:
         """Receive the store revisions that another gateway knows."""
-        self.knowledge.receive_revisions(peer, revisions)
+        self.store_view.receive_revisions(peer, revisions)
 
     def receive_open_attempts(
         self, member: Contact, open_attempts: tuple[int, ...]
@@ -295,14 +295,14 @@
             address.host,
             address.port,
             self.incarnation,
-            power=settings.power,
+            cpu_cores=settings.power,
         )
 
     def _build_state(self, contact: Contact) -> MemberState:
         return MemberState(
             contact=contact,
             time=self.time.reading(),
-            revisions=self.knowledge.revisions(),
+            revisions=self.store_view.revisions(),
             loads={
                 record.name: EndpointLoad(record.in_flight, record.prefill_tokens)
                 for record in self.directory.records.values()
@@ -321,4 +321,4 @@
 
     def _load(self, service: str) -> float:
         own = self.fleet.work().get(service, 0.0)
-        return own + self.peering.work(service)
+        return own + self.peering.engine_time(service)
--- a/src/sassafrasdale/gateway/peer_calls.py
+++ b/src/sassafrasdale/gateway/peer_calls.py
@@ -21,9 +21,9 @@
     STORE_VALUES,
     USAGE_TOTAL,
     Contact,
-    HeardGroup,
     MemberState,
     MessageMalformed,
+    ReceivedGroup,
     Redirect,
     StoreValues,
     UsageTotal,
@@ -57,7 +57,7 @@
 class PeerListener(Protocol):
     """Receives the state and the calls of other gateways."""
 
-    def receive_groups(self, groups: tuple[HeardGroup, ...]) -> None:
+    def receive_groups(self, groups: tuple[ReceivedGroup, ...]) -> None:
         """Receive the totals over all other gateways."""
 
     def receive_clock(self, name: str, reading: ClockReading) -> None:
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -36,7 +36,7 @@
     :param incarnation: start number of the process, higher for later starts; 0 for a
         gateway that is only known from the store.
     :param leaving: whether it is shutting down.
-    :param power: CPU seconds per second that it may use.
+    :param cpu_cores: CPU seconds per second that it may use.
     """
 
     name: str
@@ -45,7 +45,7 @@
     port: int
     incarnation: int = 0
     leaving: bool = False
-    power: float = 1.0
+    cpu_cores: float = 1.0
 
     @property
     def address(self) -> Address:
@@ -172,7 +172,7 @@
         return (self.aggregator.name, self.aggregator.incarnation, self.epoch)
 
 
-class HeardGroup(Message):
+class ReceivedGroup(Message):
     """A group's totals and the time since they were received."""
 
     state: GroupState
@@ -183,12 +183,12 @@
         """Time since they were received."""
         return timedelta(seconds=self.age_s)
 
-    def without_canary_counts(self) -> "HeardGroup":
+    def without_canary_counts(self) -> "ReceivedGroup":
         """Return a copy without the canary counts, which only aggregators need."""
         if not self.state.trials:
             return self
         concluded = replace(self.state, trials=without_rows(self.state.trials))
-        return HeardGroup(concluded, self.age_s)
+        return ReceivedGroup(concluded, self.age_s)
 
 
 class Report(Message):
@@ -225,7 +225,7 @@
     sender: Contact
     time: ClockReading
     revisions: dict[str, int]
-    groups: tuple[HeardGroup, ...]
+    groups: tuple[ReceivedGroup, ...]
     interval_s: float
     roster_digest: int
     roster: tuple[Contact, ...] = ()
@@ -304,7 +304,7 @@
 MessageMalformed = DecodeError
 
 
-def loads_by_endpoint(groups: Iterable[HeardGroup]) -> dict[str, ReportedLoad]:
+def loads_by_endpoint(groups: Iterable[ReceivedGroup]) -> dict[str, ReportedLoad]:
     """Return the total load of the groups at each endpoint."""
     in_flight: Counter[str] = Counter()
     prefill: Counter[str] = Counter()
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -36,8 +36,8 @@
     GROUP_UPDATE,
     REPORT,
     Contact,
-    HeardGroup,
     MessageMalformed,
+    ReceivedGroup,
     Redirect,
     StoreValues,
     UsageTotal,
@@ -80,20 +80,22 @@
         self._calls = calls
         self._aggregator = Aggregator(context, self._calls)
         self._reporter = Reporter(context, self._calls, self._set_groups)
-        self._groups: tuple[HeardGroup, ...] = ()
+        self._groups: tuple[ReceivedGroup, ...] = ()
         self._received_at = self._clock.elapsed()
         self._last_round_at = self._clock.elapsed()
 
-    def groups(self) -> list[HeardGroup]:
+    def groups(self) -> list[ReceivedGroup]:
         """Return the totals over the other gateways, with their ages."""
         since = (self._clock.elapsed() - self._received_at).total_seconds()
-        return [HeardGroup(group.state, group.age_s + since) for group in self._groups]
+        return [
+            ReceivedGroup(group.state, group.age_s + since) for group in self._groups
+        ]
 
-    def in_touch(self) -> list[HeardGroup]:
+    def in_touch(self) -> list[ReceivedGroup]:
         """Return the groups that were received within the expiry timeout."""
         return [group for group in self.groups() if group.age <= EXPIRY_TIMEOUT]
 
-    def names_holder(self) -> bool:
+    def knows_leader(self) -> bool:
         """Return whether a gateway in touch claims to be the leader.
 
         Only recent claims count: until a killed leader's claim is outdated, no gateway
@@ -104,7 +106,7 @@
             for group in self.groups()
         )
 
-    def may_have_older(self, incarnation: int) -> bool:
+    def may_have_older_gateway(self, incarnation: int) -> bool:
         """Return whether another gateway may have started before this one.
 
         A gateway that the store lists and that has not reported yet may be older.
@@ -117,7 +119,7 @@
             for group in groups
         )
 
-    def work(self, service: str) -> float:
+    def engine_time(self, service: str) -> float:
         """Return the engine time per second that the others' requests take.
 
         The engine time of a silent group decays at the rate at which its callers show
@@ -130,7 +132,7 @@
             total += group.state.engine_time.get(service, 0.0) * part
         return total
 
-    def token_times(self, service: str) -> list[float]:
+    def prefill_times(self, service: str) -> list[float]:
         """Return each group's mean prefill time per token, in seconds."""
         return [
             group.state.prefill_times[service]
@@ -138,7 +140,7 @@
             if service in group.state.prefill_times
         ]
 
-    def count(self) -> int:
+    def gateway_count(self) -> int:
         """Return the number of gateways, silent ones and this one included.
 
         A silent gateway may be partitioned and still use its share of the limits.
@@ -152,7 +154,7 @@
         )
         return 1 + reported + unreported
 
-    def hears_all(self) -> bool:
+    def reaches_all_zones(self) -> bool:
         """Return whether others are in touch, for an aggregator from every zone."""
         groups = self.in_touch()
         zones = {group.state.aggregator.zone for group in groups}
@@ -220,11 +222,11 @@
         """Return the gateways of this zone that watch the store, in order."""
         own = self._roster.own
         cpu_shares = {
-            contact.name: contact.power
+            contact.name: contact.cpu_cores
             for contact in self._roster.in_zone(own.zone)
             if not self._roster.is_avoided(contact.name)
         }
-        cpu_shares[own.name] = own.power
+        cpu_shares[own.name] = own.cpu_cores
         return store_watchers(own.zone, cpu_shares, self._zones)
 
     def counted_usage(self, customer: str) -> float:
@@ -239,7 +241,7 @@
         total = self._reporter.usage(window)
         return self._aggregator.usage(window) if total is None else total
 
-    def introduce(self, contact: Contact) -> None:
+    def add_listed(self, contact: Contact) -> None:
         """Add a gateway that the store lists."""
         if contact.name != self._roster.own.name and not self._roster.get(contact.name):
             self._roster.merge([contact])
@@ -277,7 +279,7 @@
         """Mark this gateway as shutting down, so that another one aggregates."""
         self._roster.leave()
 
-    def tell_all(self) -> None:
+    def report_now(self) -> None:
         """Report this gateway's state now, and wait until that is done."""
         aggregator = self._roster.get(self._reporter.aggregator)
         if aggregator is not None:
@@ -296,7 +298,7 @@
             else self._calls.fetch_values(contact, prefix, since)
         )
 
-    def answer(self, connection: ServerConnection, request: Request) -> None:
+    def handle(self, connection: ServerConnection, request: Request) -> None:
         """Respond to another gateway's request."""
         try:
             response = self._handle(request)
@@ -352,10 +354,10 @@
 
     def _add_own_state(self) -> None:
         state = self._context.local_state.build(self._roster.own)
-        self._aggregator.add_own_state(state, self.count())
+        self._aggregator.add_own_state(state, self.gateway_count())
         self._reporter.mark_counted(state)
 
-    def _set_groups(self, groups: tuple[HeardGroup, ...]) -> None:
+    def _set_groups(self, groups: tuple[ReceivedGroup, ...]) -> None:
         self._groups = groups
         self._received_at = self._clock.elapsed()
         self._context.listener.receive_groups(groups)
--- a/src/sassafrasdale/gateway/process.py
+++ b/src/sassafrasdale/gateway/process.py
@@ -15,7 +15,7 @@
 from sassafrasdale.clock import Clock, SuspendAwareClock
 from sassafrasdale.deployment import GatewaySettings
 from sassafrasdale.gateway.drain import Drain
-from sassafrasdale.gateway.parts import GatewayParts
+from sassafrasdale.gateway.parts import GatewayComponents
 from sassafrasdale.green import listen, make_green, sleep, spawn
 from sassafrasdale.http.messages import Request
 from sassafrasdale.http.server import HttpServer, ServerConnection, ServerLimits
@@ -63,7 +63,7 @@
         self._stop_requested = False
         self._reload_requested = False
         self._drain: Drain | None = None
-        self._parts = GatewayParts(
+        self._parts = GatewayComponents(
             settings,
             self._clock,
             rng or random.Random(),
@@ -83,7 +83,7 @@
         )
         spawn(server.serve)
         self._serve(settings.ready_address, self._answer_ready)
-        self._serve(settings.peer_address, self._parts.peering.answer)
+        self._serve(settings.peer_address, self._parts.peering.handle)
         if self._metrics_address is not None:
             self._serve(self._metrics_address, self._answer_metrics)
         heed_signals(
@@ -94,8 +94,8 @@
             }
         )
         parts = self._parts
-        tasks = parts.knowledge.tasks() + parts.duties.tasks()
-        tasks += [parts.registration.run, parts.polling.run]
+        tasks = parts.store_view.tasks() + parts.duties.tasks()
+        tasks += [parts.registration.run, parts.poller.run]
         tasks += [parts.peering.run, parts.asking.run, parts.strike_records.run]
         for task in tasks:
             spawn(run_for_good, task)
@@ -135,7 +135,7 @@
         self._lifecycle.fire("prepare")
         log.notice(
             "gateway ready",
-            version=self._parts.knowledge.configuration.version,
+            version=self._parts.store_view.configuration.version,
             endpoints=len(self._parts.directory.records),
         )
 
@@ -144,7 +144,7 @@
         # whole limit of each customer. Without the stored strikes, a request that
         # crashes endpoints would crash as many again.
         return (
-            self._parts.knowledge.is_complete
+            self._parts.store_view.is_loaded
             and self._parts.registration.has_listed
             and self._parts.strike_records.is_loaded
         )
@@ -154,10 +154,10 @@
         self._parts.peering.leave()
         log.notice("gateway stopping", busy=server.busy_connections)
         spawn(self._release_leases)
-        spawn(self._parts.peering.tell_all)
+        spawn(self._parts.peering.report_now)
         self._drain = Drain(server, self._settings.bounds.stop_grace, self._clock)
         self._drain.run()
-        self._parts.peering.tell_all()
+        self._parts.peering.report_now()
         self._lifecycle.fire("drained")
         log.notice("gateway stopped", busy=server.busy_connections)
 
@@ -191,7 +191,7 @@
         log.notice("settings reloaded")
 
     def _caller_limits(self) -> ServerLimits:
-        limits = self._parts.knowledge.caller_limits
+        limits = self._parts.store_view.caller_limits
         return ServerLimits(
             limits.header_bytes,
             limits.body_bytes,
--- a/src/sassafrasdale/gateway/quotas.py
+++ b/src/sassafrasdale/gateway/quotas.py
@@ -27,7 +27,7 @@
 )
 from sassafrasdale.decisions.shares import DemandShares
 from sassafrasdale.deployment import Bounds, Customer, RequestTraits
-from sassafrasdale.gateway.peer_states import HeardGroup, LimitUsage
+from sassafrasdale.gateway.peer_states import LimitUsage, ReceivedGroup
 
 # Fraction of the slack that is added to each limit's depth for large requests. The rest
 # covers requests that overdraw the limit and usage that is not reported yet.
@@ -86,7 +86,7 @@
         self._counted = counted
         self._propagation_time = propagation_time
         self._rng = rng or Random()
-        self._groups: Sequence[HeardGroup] = ()
+        self._groups: Sequence[ReceivedGroup] = ()
         self._received_at = clock.elapsed()
         self._customers: dict[str, Customer] = {}
         self._started_at = clock.elapsed()
@@ -165,7 +165,7 @@
             f" not set aside {available.fraction:.2f}"
         )
 
-    def restore(self, customer: Customer, traits: RequestTraits) -> None:
+    def refund(self, customer: Customer, traits: RequestTraits) -> None:
         """Refund a request that was admitted and did not run."""
         if customer.rate and customer.name in self._limits:
             amount = request_size(customer, traits)
@@ -187,7 +187,7 @@
         counted = self._counted(customer.name)
         return LimitUsage(demand, limit.admitted, counted, limit.used(now), share)
 
-    def receive_groups(self, groups: Sequence[HeardGroup]) -> None:
+    def receive_groups(self, groups: Sequence[ReceivedGroup]) -> None:
         """Replace the totals over all other gateways."""
         now = self._clock.elapsed()
         self._groups = groups
@@ -243,7 +243,7 @@
         reserved += max(gateways - counted, 0) / gateways
         return _AvailableLimit(max(1 - reserved, 0.0), in_touch, demand)
 
-    def _is_fresh(self, group: HeardGroup, now: timedelta) -> bool:
+    def _is_fresh(self, group: ReceivedGroup, now: timedelta) -> bool:
         return now - self._received_at + group.age <= CONTACT_TIMEOUT
 
     def _share(
--- a/src/sassafrasdale/gateway/registration.py
+++ b/src/sassafrasdale/gateway/registration.py
@@ -88,7 +88,7 @@
     def _step(self) -> None:
         if self._lease is not None:
             self._store.keep_alive(self._lease)
-            if self._peering.hears_all():
+            if self._peering.reaches_all_zones():
                 return
         else:
             lease = self._store.grant_lease(ENTRY_TTL)
@@ -101,6 +101,6 @@
 
     def _add_peer(self, item: StoredValue) -> None:
         try:
-            self._peering.introduce(CONTACT.decode(item.value))
+            self._peering.add_listed(CONTACT.decode(item.value))
         except MessageMalformed as error:
             log.warning("registration malformed", key=item.key, why=str(error))
--- a/src/sassafrasdale/gateway/reporting.py
+++ b/src/sassafrasdale/gateway/reporting.py
@@ -9,8 +9,8 @@
 from sassafrasdale.gateway.peer_states import (
     REPORT_REPLY,
     Contact,
-    HeardGroup,
     MemberState,
+    ReceivedGroup,
     Report,
     ReportReply,
     UsageRow,
@@ -31,7 +31,7 @@
         self,
         context: PeerContext,
         calls: PeerCalls,
-        set_groups: Callable[[tuple[HeardGroup, ...]], None],
+        set_groups: Callable[[tuple[ReceivedGroup, ...]], None],
     ) -> None:
         self._context = context
         self._calls = calls
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -23,7 +23,7 @@
     RolloutView,
 )
 from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.peer_states import HeardGroup
+from sassafrasdale.gateway.peer_states import ReceivedGroup
 from sassafrasdale.gateway.rollout import Rollout
 from sassafrasdale.gateway.rollout_news import (
     OutcomeTable,
@@ -221,7 +221,7 @@
         """Return the canary reports to send to the other gateways."""
         return tuple(rollout.news() for rollout in self.open())
 
-    def hear_groups(self, groups: Sequence[HeardGroup]) -> None:
+    def hear_groups(self, groups: Sequence[ReceivedGroup]) -> None:
         """Merge the reports of the other gateways, and evaluate the canaries."""
         for rollout in self.open():
             reports = [
--- a/src/sassafrasdale/gateway/roster.py
+++ b/src/sassafrasdale/gateway/roster.py
@@ -83,7 +83,7 @@
         if own.zone == zone and not own.leaving:
             known[own.name] = own
         now = self._clock.elapsed()
-        cpu_shares = {name: contact.power for name, contact in known.items()}
+        cpu_shares = {name: contact.cpu_cores for name, contact in known.items()}
         for name in rank_aggregators(zone, cpu_shares):
             if self._avoided_until.get(name, now) <= now:
                 return known[name]
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -62,8 +62,8 @@
     """Return the totals over some gateways, the first of which is the aggregator."""
     group = Group(WORK_WINDOW, clock or ManualClock())
     for state in states:
-        group.take(state)
-    return group.sums(states[0].contact)
+        group.record_report(state)
+    return group.totals(states[0].contact)
 
 
 class RecordingListener:
@@ -202,7 +202,7 @@
         self.down.discard(name)
         for other in self.nodes.values():
             if other.name not in self.down:
-                node.peering.introduce(contact(other.name, other.zone, 0))
+                node.peering.add_listed(contact(other.name, other.zone, 0))
         return node
 
     def kill(self, *names: str) -> None:
@@ -266,7 +266,7 @@
     return Rollouts(0.1, lambda service: [], TrueTime(clock), clock, Random(1))
 
 
-def lone_peering(clock: Clock, rng: Random) -> Peering:
+def single_peering(clock: Clock, rng: Random) -> Peering:
     """Return the peering of a gateway without peers."""
     roster = Roster(contact("front-a-1"), clock)
     own = LocalState(
--- a/tests/gateway/test_crash_detection.py
+++ b/tests/gateway/test_crash_detection.py
@@ -10,7 +10,7 @@
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.http.connections import Reach
 from sassafrasdale.structures import Address
-from tests.gateway.world import DarkEndpoint
+from tests.gateway.world import PowerLossEndpoint
 from tests.http.wires import serve_raw
 
 CLOCK = SystemClock()
@@ -69,7 +69,7 @@
 
 
 def test_an_endpoint_without_three_replies_is_unreachable():
-    dark = DarkEndpoint()
+    dark = PowerLossEndpoint()
     sock = socket.create_connection((dark.address.host, dark.address.port))
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
     sleep(timedelta(milliseconds=50))
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -34,7 +34,7 @@
 from sassafrasdale.gateway.placement import CacheEstimate, Placement
 from sassafrasdale.gateway.usage import TrueTime, UsageCounts
 from sassafrasdale.structures import Address
-from tests.gateway.fleets import contact, lone_peering, no_rollouts
+from tests.gateway.fleets import contact, no_rollouts, single_peering
 from tests.gateway.test_quotas import bounds
 
 SECOND = timedelta(seconds=1)
@@ -61,7 +61,7 @@
             Placement("a", cache, paces, rng),
             cache,
             paces,
-            lone_peering(clock, rng),
+            single_peering(clock, rng),
             UsageCounts(5 * SECOND, TrueTime(clock)),
             lambda: CONFIGURATION,
             bounds(),
--- a/tests/gateway/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -5,7 +5,7 @@
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.gateway.drain import ACCEPT_ALL_PERIOD, MARGIN, SERVE_ON, Drain
 from sassafrasdale.green import sleep, spawn
-from tests.gateway.world import ScriptedEndpoint, World, header, plain, request
+from tests.gateway.world import ScriptedEndpoint, World, header, request, respond_with
 
 CLOCK = SystemClock()
 GRACE = timedelta(seconds=8)
@@ -53,7 +53,7 @@
 
 def test_late_requests_get_a_retry_after():
     world = World(last_end=lambda: CLOCK.elapsed() + timedelta(seconds=2))
-    endpoint = ScriptedEndpoint(plain())
+    endpoint = ScriptedEndpoint(respond_with())
     world.add("i-1", "records", endpoint)
     answer = world.ask(request("/reports/7", token_count="10,2"))
     assert answer.startswith(b"HTTP/1.1 503")
--- a/tests/gateway/test_duties.py
+++ b/tests/gateway/test_duties.py
@@ -29,10 +29,10 @@
         self.has_older = False
         self.is_aggregator = False
 
-    def names_holder(self):
+    def knows_leader(self):
         return self.has_leader
 
-    def may_have_older(self, incarnation):
+    def may_have_older_gateway(self, incarnation):
         return self.has_older
 
 
--- a/tests/gateway/test_duty_model.py
+++ b/tests/gateway/test_duty_model.py
@@ -12,7 +12,7 @@
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.decisions.ordering import OrderKey, PlannedService
 from sassafrasdale.deployment import ScaleBounds
-from sassafrasdale.gateway.metering import USAGE_FORM, USAGE_RECORD, UsageReporter
+from sassafrasdale.gateway.metering import USAGE_ADAPTER, USAGE_RECORD, UsageReporter
 from sassafrasdale.gateway.peer_states import UsageTotal
 from sassafrasdale.gateway.records import DutyRecord
 from sassafrasdale.gateway.scaling import ORDERS_FORM, ORDERS_RECORD, Scaler
@@ -90,7 +90,7 @@
         self.reporter = UsageReporter(
             self.lease,
             platform,
-            DutyRecord(store, USAGE_RECORD, USAGE_FORM),
+            DutyRecord(store, USAGE_RECORD, USAGE_ADAPTER),
             lambda window: UsageTotal({"lab": window + number}, 0.0),
             TrueTime(clock),
             clock,
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -11,14 +11,14 @@
 from standins.gateway_fleet import wait_for
 from tests.gateway.world import (
     CrashingEndpoint,
-    DarkEndpoint,
+    PowerLossEndpoint,
     ScriptedEndpoint,
     World,
     chunk,
     event,
     header,
-    plain,
     request,
+    respond_with,
     stream_head,
 )
 from tests.http.wires import serve_raw
@@ -83,7 +83,7 @@
 
 def test_an_endpoints_response_is_relayed():
     world = World()
-    endpoint = ScriptedEndpoint(plain(b"record"))
+    endpoint = ScriptedEndpoint(respond_with(b"record"))
     world.add("i-1", "records", endpoint)
     answer = world.ask(request("/certificates/7"))
     assert status_of(answer) == 200
@@ -98,7 +98,7 @@
 
 def test_an_endpoints_error_response_is_relayed():
     world = World()
-    world.add("i-1", "records", ScriptedEndpoint(plain(b"no", "500 Error")))
+    world.add("i-1", "records", ScriptedEndpoint(respond_with(b"no", "500 Error")))
     answer = world.ask(request("/certificates/7"))
     assert status_of(answer) == 500
     assert header(answer, "replica-stamp") == "stamp"
@@ -146,7 +146,7 @@
 
 def test_a_request_that_did_not_run_gets_status_503():
     world = World()
-    shed = plain(b"", "503 Unavailable", "Not-Run: 1\r\n")
+    shed = respond_with(b"", "503 Unavailable", "Not-Run: 1\r\n")
     world.add("i-1", "records", ScriptedEndpoint(shed))
     answer = world.ask(request("/certificates/7"))
     assert status_of(answer) == 503
@@ -156,7 +156,7 @@
 def test_an_idempotent_request_is_retried():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(reset))
-    world.add("i-2", "records", ScriptedEndpoint(plain(b"page")))
+    world.add("i-2", "records", ScriptedEndpoint(respond_with(b"page")))
     for number in range(4):
         answer = world.ask(request("/reports/open/1", f"r-{number}", method="GET"))
         assert status_of(answer) == 200
@@ -176,10 +176,10 @@
 def test_a_refused_connection_counts_as_no_attempt():
     world = World()
     address = serve_raw(hang)
-    gone = ScriptedEndpoint(plain())
+    gone = ScriptedEndpoint(respond_with())
     gone.address = type(address)("127.0.0.1", 1)
     world.add("i-1", "records", gone)
-    world.add("i-2", "records", ScriptedEndpoint(plain(b"record")))
+    world.add("i-2", "records", ScriptedEndpoint(respond_with(b"record")))
     for number in range(4):
         assert status_of(world.ask(request("/certificates/7", f"r-{number}"))) == 200
 
@@ -234,8 +234,8 @@
     """
     world = World(routes=_only_reports())
     engines = [
-        ScriptedEndpoint(plain(b"", "500 Error"), streamed(1, 2)),
-        ScriptedEndpoint(plain(b"", "500 Error"), streamed(1, 2)),
+        ScriptedEndpoint(respond_with(b"", "500 Error"), streamed(1, 2)),
+        ScriptedEndpoint(respond_with(b"", "500 Error"), streamed(1, 2)),
     ]
     engines[1]._scripts.pop(0)
     for number, engine in enumerate(engines):
@@ -285,8 +285,8 @@
     )
     world = World(routes=_only_reports())
     engines = [
-        ScriptedEndpoint(plain(b"", "500 Error"), pausing(0.15, 0.15)),
-        ScriptedEndpoint(plain(b"", "500 Error"), pausing(0.15, 0.15)),
+        ScriptedEndpoint(respond_with(b"", "500 Error"), pausing(0.15, 0.15)),
+        ScriptedEndpoint(respond_with(b"", "500 Error"), pausing(0.15, 0.15)),
     ]
     world.add("i-0", "models", engines[0])
     caller = world.caller()
@@ -320,7 +320,7 @@
     """
     world = World()
     taken = []
-    world.quotas.restore = lambda customer, traits: taken.append(customer.name)
+    world.quotas.refund = lambda customer, traits: taken.append(customer.name)
     endpoint = ScriptedEndpoint(hang)
     world.add("i-1", "records", endpoint)
     caller = world.caller()
@@ -329,7 +329,7 @@
     caller.close()
     sleep(timedelta(milliseconds=40))
     assert taken == []
-    shed = plain(b"", "503 Unavailable", "Not-Run: 1\r\n")
+    shed = respond_with(b"", "503 Unavailable", "Not-Run: 1\r\n")
     world.add("i-1", "records", ScriptedEndpoint(shed))
     world.ask(request("/certificates/8"))
     assert taken == ["lab-a"]
@@ -343,7 +343,7 @@
     """
     world = World()
     endpoint = ScriptedEndpoint(hang)
-    other = ScriptedEndpoint(plain())
+    other = ScriptedEndpoint(respond_with())
     world.add("i-1", "records", endpoint)
     caller = world.caller()
     caller.send(request("/reports/open/1", method="GET"))
@@ -367,7 +367,7 @@
 
 def test_load_counts_return_to_zero():
     world = World()
-    world.add("i-1", "records", ScriptedEndpoint(plain(), reset, plain()))
+    world.add("i-1", "records", ScriptedEndpoint(respond_with(), reset, respond_with()))
     for number in range(3):
         world.ask(request("/certificates/7", f"r-{number}"))
     assert world.directory.records["i-1"].in_flight == 0
@@ -376,7 +376,7 @@
 
 def test_usage_counts_requests_that_ran():
     world = World()
-    world.add("i-1", "records", ScriptedEndpoint(plain()))
+    world.add("i-1", "records", ScriptedEndpoint(respond_with()))
     world.ask(request("/certificates/7"))
     world.ask(request("/nowhere/"))
     (counts,) = world.usage.report().values()
@@ -391,7 +391,7 @@
     world = World()
     dead = ScriptedEndpoint(reset)
     world.add("i-1", "records", dead)
-    world.add("i-2", "records", ScriptedEndpoint(plain()))
+    world.add("i-2", "records", ScriptedEndpoint(respond_with()))
     for number in range(20):
         world.ask(request("/certificates/7", f"r-{number}"))
     assert len(dead.requests) <= 2
@@ -401,7 +401,7 @@
     """Guards against failing engines that are taken for the fastest ones."""
     world = World()
     world.quotas.admit = lambda customer, traits: None
-    world.add("m-1", "models", ScriptedEndpoint(plain(b"no", "500 No")))
+    world.add("m-1", "models", ScriptedEndpoint(respond_with(b"no", "500 No")))
     for number in range(20):
         headers = dict(STREAM, token_count=f"{'100' if number % 2 else '9000'},20")
         world.ask(request("/reports/7", f"r-{number}", **headers))
@@ -410,7 +410,7 @@
 
 def test_metrics_count_and_time_requests():
     world = World()
-    world.add("i-1", "records", ScriptedEndpoint(plain()))
+    world.add("i-1", "records", ScriptedEndpoint(respond_with()))
     world.ask(request("/certificates/7"))
     page = world.metrics.metrics_page().decode()
     assert 'event="request",outcome="answered"' in page
@@ -508,7 +508,7 @@
     reset, and new ones get no reply. Its registration expires.
     """
     world = World(routes=_only_reports())
-    silent = DarkEndpoint()
+    silent = PowerLossEndpoint()
     world.add("i-1", "models", silent)
     caller = world.caller()
     caller.send(request("/reports/7", **STREAM))
@@ -525,7 +525,7 @@
 def test_a_request_that_makes_endpoints_unreachable_is_quarantined():
     """Guards against losing one instance, without a reset, per retry by the caller."""
     world = World(routes=_only_reports(allowResume=False))
-    silent = [DarkEndpoint() for _ in range(3)]
+    silent = [PowerLossEndpoint() for _ in range(3)]
     for number, endpoint in enumerate(silent):
         world.add(f"i-{number}", "models", endpoint)
         caller = world.caller()
--- a/tests/gateway/test_groups.py
+++ b/tests/gateway/test_groups.py
@@ -21,14 +21,14 @@
         self.group = Group(WORK_WINDOW, self.clock)
 
     def take(self, name, **fields):
-        self.group.take(member(name, **fields))
+        self.group.record_report(member(name, **fields))
 
     def spend(self, name, spent, *, counted=0.0, demand=0.0, share=0.0, incarnation=1):
         limit = limit_usage(demand, spent, counted=counted, share=share)
         self.take(name, incarnation=incarnation, limit_usage={"lab": limit})
 
     def sums(self, **options):
-        return self.group.sums(OWN, **options)
+        return self.group.totals(OWN, **options)
 
     def lab(self, **options):
         return self.sums(**options).limit_usage["lab"]
--- a/tests/gateway/test_metering.py
+++ b/tests/gateway/test_metering.py
@@ -7,7 +7,7 @@
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.coordination.exceptions import LeaseNotHeld, StoreAnswerLost
 from sassafrasdale.coordination.stores import StoredValue, Swap
-from sassafrasdale.gateway.metering import USAGE_FORM, USAGE_RECORD, UsageReporter
+from sassafrasdale.gateway.metering import USAGE_ADAPTER, USAGE_RECORD, UsageReporter
 from sassafrasdale.gateway.peer_states import UsageTotal
 from sassafrasdale.gateway.records import DutyRecord
 from sassafrasdale.gateway.usage import TrueTime
@@ -69,7 +69,7 @@
         return UsageReporter(
             self.leases[number],
             self.platform,
-            DutyRecord(self.store, USAGE_RECORD, USAGE_FORM),
+            DutyRecord(self.store, USAGE_RECORD, USAGE_ADAPTER),
             lambda window: UsageTotal(self.totals[number], self.complete_since),
             self.time,
             self.clock,
--- a/tests/gateway/test_peer_states.py
+++ b/tests/gateway/test_peer_states.py
@@ -8,8 +8,8 @@
 from sassafrasdale.gateway.peer_states import (
     REPORT,
     EndpointLoad,
-    HeardGroup,
     MessageMalformed,
+    ReceivedGroup,
     Report,
     encode,
     loads_by_endpoint,
@@ -22,8 +22,10 @@
 def test_loads_add_up():
     loads = loads_by_endpoint(
         [
-            HeardGroup(group_of(member("b", loads={"i": EndpointLoad(2, 100)})), 1.0),
-            HeardGroup(
+            ReceivedGroup(
+                group_of(member("b", loads={"i": EndpointLoad(2, 100)})), 1.0
+            ),
+            ReceivedGroup(
                 group_of(
                     member(
                         "c",
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -47,7 +47,7 @@
 
 def test_each_zone_has_one_aggregator(fleet):
     assert [len(fleet.aggregators(zone)) for zone in THREE_ZONES] == [1, 1, 1]
-    assert {node.peering.count() for node in fleet.nodes.values()} == {10}
+    assert {node.peering.gateway_count() for node in fleet.nodes.values()} == {10}
 
 
 def test_all_know_the_total_of_the_others(fleet):
@@ -73,7 +73,7 @@
     seen = known_loads(fleet)
     assert {seen[name] for name in seen if name != "b-1"} == {700}
     # The killed gateway counts until it is removed from the rosters.
-    assert {fleet.nodes[name].peering.count() for name in seen} == {10}
+    assert {fleet.nodes[name].peering.gateway_count() for name in seen} == {10}
 
 
 def test_a_paused_aggregator_is_replaced_and_comes_back(fleet):
@@ -90,7 +90,7 @@
     fleet.play(6)
     assert len(fleet.aggregators("a")) == 1
     for node in fleet.nodes.values():
-        assert node.peering.count() == 10
+        assert node.peering.gateway_count() == 10
         assert sum(group.state.silent for group in node.peering.groups()) == 0
     assert fleet.nodes["b-0"].known_load("i-1") == 500
 
@@ -124,7 +124,7 @@
                 fleet.cuts.add((name, other))
     fleet.play(3)
     for name, node in fleet.nodes.items():
-        assert node.peering.count() == 10
+        assert node.peering.gateway_count() == 10
         old = [group for group in node.peering.groups() if group.age > CONTACT_TIMEOUT]
         zones = {group.state.aggregator.zone for group in old}
         assert zones == ({"b", "c"} if name[0] == "a" else {"a"})
@@ -152,7 +152,7 @@
     fleet.play(8)
     assert [len(fleet.aggregators(zone)) for zone in THREE_ZONES] == [1, 1, 1]
     for node in fleet.nodes.values():
-        assert node.peering.count() == 10
+        assert node.peering.gateway_count() == 10
         assert sum(group.state.silent for group in node.peering.groups()) == 0
 
 
@@ -163,19 +163,19 @@
     """
     fleet = Fleet(THREE_ZONES)
     fleet.play(SETTLE_SECONDS)
-    assert {node.peering.count() for node in fleet.nodes.values()} == {10}
+    assert {node.peering.gateway_count() for node in fleet.nodes.values()} == {10}
 
 
 def test_a_leaving_aggregator_is_replaced_before_it_stops(fleet):
     [first] = fleet.aggregators("b")
     fleet.nodes[first].peering.leave()
-    fleet.nodes[first].peering.tell_all()
+    fleet.nodes[first].peering.report_now()
     fleet.play(2)
     assert first not in fleet.aggregators("b")
     fleet.kill(first)
     fleet.play(1)
     living = [node for name, node in fleet.nodes.items() if name != first]
-    assert {node.peering.count() for node in living} == {9}
+    assert {node.peering.gateway_count() for node in living} == {9}
 
 
 def test_invalid_reports_are_refused_and_change_nothing(fleet):
@@ -303,19 +303,19 @@
     """No orders would be given for seconds after the leader was killed."""
     fleet.nodes["c-1"].duty = DutyClaim(7)
     fleet.play(0.5)
-    assert fleet.nodes["a-0"].peering.names_holder()
+    assert fleet.nodes["a-0"].peering.knows_leader()
     fleet.kill("c-1")
     fleet.play(CONTACT_TIMEOUT.total_seconds() + 0.5)
-    assert not fleet.nodes["a-0"].peering.names_holder()
+    assert not fleet.nodes["a-0"].peering.knows_leader()
 
 
 def test_a_listed_gateway_that_never_reported_may_be_older():
     """A gateway would become the leader before it knows anything of the deployment."""
     fleet = Fleet({"a": 1})
     node = fleet.nodes["a-0"]
-    assert not node.peering.may_have_older(9)
-    node.peering.introduce(contact("b-0", "b", 0))
-    assert node.peering.may_have_older(9)
+    assert not node.peering.may_have_older_gateway(9)
+    node.peering.add_listed(contact("b-0", "b", 0))
+    assert node.peering.may_have_older_gateway(9)
 
 
 def test_the_engine_time_of_silent_gateways_decays(fleet):
@@ -326,10 +326,10 @@
     fleet.nodes[name].engine_time = {"models": 2.0}
     fleet.play(1)
     node = fleet.nodes["a-0"]
-    assert node.peering.work("models") == 2.0
+    assert node.peering.engine_time("models") == 2.0
     fleet.kill(name)
     fleet.play(CONTACT_TIMEOUT.total_seconds() + 5)
-    assert 0.5 < node.peering.work("models") < 1.0
+    assert 0.5 < node.peering.engine_time("models") < 1.0
 
 
 def test_newer_revisions_come_from_a_connected_gateway(fleet):
@@ -479,7 +479,7 @@
     fleet.paused.add(name)
     fleet.play(CONTACT_TIMEOUT.total_seconds() + 1)
     other = next(node for n, node in fleet.nodes.items() if n[0] != name[0])
-    assert other.peering.count() == 10
+    assert other.peering.gateway_count() == 10
     assert sum(group.state.silent for group in other.peering.groups()) == 1
 
 
--- a/tests/gateway/test_quotas.py
+++ b/tests/gateway/test_quotas.py
@@ -9,7 +9,7 @@
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.decisions.quotas import FORGET
 from sassafrasdale.deployment import Bounds, Customer, RequestTraits
-from sassafrasdale.gateway.peer_states import REPORT, HeardGroup, Report, encode
+from sassafrasdale.gateway.peer_states import REPORT, ReceivedGroup, Report, encode
 from sassafrasdale.gateway.quotas import DEPTH_SLACK_FRACTION, Quotas, request_size
 from tests.gateway.fleets import Fleet, group_of, member
 
@@ -60,7 +60,7 @@
 def test_requests_that_did_not_run_are_refunded():
     quotas = Quotas(bounds(), lambda: 1, ManualClock(), rng=Random(5))
     quotas.admit(CUSTOMER, tokens(2000))
-    quotas.restore(CUSTOMER, tokens(2000))
+    quotas.refund(CUSTOMER, tokens(2000))
     assert quotas.admit(CUSTOMER, tokens(10)) is None
 
 
@@ -175,7 +175,7 @@
             continue
         quotas.receive_groups(
             [
-                HeardGroup(state, (clock.elapsed() - at).total_seconds())
+                ReceivedGroup(state, (clock.elapsed() - at).total_seconds())
                 for other, peer in enumerate(fleet)
                 if other != number
                 for state, at in [peer.last_totals]
@@ -242,7 +242,7 @@
             admitted += 100
         new = Quotas(bounds(), lambda: 2, clock, rng=Random(seed + 100))
         new.receive_groups(
-            [HeardGroup(group_of(member("old", limit_usage=old.report())))]
+            [ReceivedGroup(group_of(member("old", limit_usage=old.report())))]
         )
         admitted_by_new = 0
         while new.admit(CUSTOMER, tokens(100)) is None:
@@ -262,7 +262,7 @@
         other.admit(CUSTOMER, tokens(10))
         quotas.admit(CUSTOMER, tokens(10))
         state = member(f"front-{number}", limit_usage=other.report())
-        quotas.receive_groups([HeardGroup(group_of(state))])
+        quotas.receive_groups([ReceivedGroup(group_of(state))])
         clock.advance(FORGET / 5)
     assert len(quotas._limits["lab"]._groups) < 10
 
@@ -280,7 +280,7 @@
     for name, node in fleet.nodes.items():
         quotas[name] = Quotas(
             bounds(110_000),
-            node.peering.count,
+            node.peering.gateway_count,
             fleet.clock,
             node.peering.counted_usage,
             node.peering.propagation_time,
@@ -355,8 +355,8 @@
             other.admit(CUSTOMER, tokens(100))
         states = [member(name) for name in others]
         states.append(member("busy", limit_usage=other.report()))
-        quotas.receive_groups([HeardGroup(group_of(*states, clock=clock))])
-        other.receive_groups([HeardGroup(group_of(*states[:-1], clock=clock))])
+        quotas.receive_groups([ReceivedGroup(group_of(*states, clock=clock))])
+        other.receive_groups([ReceivedGroup(group_of(*states[:-1], clock=clock))])
     assert quotas.admit(CUSTOMER, tokens(10)) is None
     assert quotas.report()["lab"].used < 200
 
--- a/tests/gateway/test_rollout_model.py
+++ b/tests/gateway/test_rollout_model.py
@@ -24,7 +24,7 @@
 )
 from sassafrasdale.deployment import Endpoint, EndpointState
 from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.peer_states import HeardGroup
+from sassafrasdale.gateway.peer_states import ReceivedGroup
 from sassafrasdale.gateway.rollout_duty import RolloutDuty
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.usage import TrueTime
@@ -277,7 +277,7 @@
                 for other, trials in enumerate(news)
                 if other != number
             ]
-            groups = [HeardGroup(group_of(*states))] if states else []
+            groups = [ReceivedGroup(group_of(*states))] if states else []
             gateway.rollouts.hear_groups(groups)
 
 
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -13,14 +13,14 @@
 )
 from sassafrasdale.deployment import EndpointState
 from sassafrasdale.gateway.groups import Group
-from sassafrasdale.gateway.peer_states import HeardGroup
+from sassafrasdale.gateway.peer_states import ReceivedGroup
 from sassafrasdale.gateway.rollout import DELISTING_TIME
 from sassafrasdale.gateway.rollout_news import TrialNews, rows_of
 from sassafrasdale.gateway.rollouts import ROTATION_PERIOD
 from sassafrasdale.green import sleep, spawn
 from standins.gateway_fleet import wait_for
 from tests.gateway.fleets import contact, group_of, member
-from tests.gateway.world import ScriptedEndpoint, World, plain, request
+from tests.gateway.world import ScriptedEndpoint, World, request, respond_with
 
 SECOND = timedelta(seconds=1)
 ORDER = RolloutOrder("records", "v2", 20 * SECOND)
@@ -37,8 +37,8 @@
 
     def __init__(self, *new):
         super().__init__()
-        self.old = [ScriptedEndpoint(plain()) for _ in range(2)]
-        self.new = [ScriptedEndpoint(*(new or (plain(),))) for _ in range(2)]
+        self.old = [ScriptedEndpoint(respond_with()) for _ in range(2)]
+        self.new = [ScriptedEndpoint(*(new or (respond_with(),))) for _ in range(2)]
         for number, endpoint in enumerate(self.old):
             self.add(f"i-{number}", "records", endpoint, "v1")
 
@@ -91,7 +91,7 @@
 
 def test_a_failed_canary_request_is_retried_at_the_baseline_version():
     """Guards against failures of a faulty version that reach callers."""
-    served = ServedWorld(plain(status="500 Oops"))
+    served = ServedWorld(respond_with(status="500 Oops"))
     served.order()
     served.set_status(RolloutState.RUNNING)
     served.start_new()
@@ -102,7 +102,7 @@
 
 def test_a_rejected_version_gets_no_more_requests(served):
     """Guards against a gateway that applies its own verdict only via the store."""
-    served.new = [ScriptedEndpoint(plain(status="500 Oops")) for _ in range(2)]
+    served.new = [ScriptedEndpoint(respond_with(status="500 Oops")) for _ in range(2)]
     served.order()
     served.set_status(RolloutState.RUNNING)
     served.start_new()
@@ -121,7 +121,7 @@
     served.start_new()
     news = TrialNews("records", 5, condemned=True)
     heard = group_of(member("b-1", trials=(news,)))
-    served.rollouts.hear_groups([HeardGroup(heard)])
+    served.rollouts.hear_groups([ReceivedGroup(heard)])
     served.ask_repeatedly(100)
     assert served.sampled == 0
 
@@ -131,7 +131,9 @@
     served.order(revision=9)
     served.set_status(RolloutState.RUNNING, 10)
     news = TrialNews("records", 5, condemned=True)
-    served.rollouts.hear_groups([HeardGroup(group_of(member("b-1", trials=(news,))))])
+    served.rollouts.hear_groups(
+        [ReceivedGroup(group_of(member("b-1", trials=(news,))))]
+    )
     assert served.rollout.state == "running"
 
 
@@ -285,8 +287,8 @@
     served.start_new()
     served.ask_repeatedly(60)
     group = Group(5 * SECOND, ManualClock())
-    group.take(member("a-2", trials=(served.rollout.news(),)))
-    [report] = group.sums(contact("a-1"), concise=True).trials
+    group.record_report(member("a-2", trials=(served.rollout.news(),)))
+    [report] = group.totals(contact("a-1"), concise=True).trials
     assert report.rows == ()
     assert report.order == 5
 
--- a/tests/gateway/test_roster.py
+++ b/tests/gateway/test_roster.py
@@ -34,7 +34,7 @@
 
 
 def test_the_fastest_instances_go_first(roster):
-    strong = replace(contact("e"), incarnation=2, power=2.15)
+    strong = replace(contact("e"), incarnation=2, cpu_cores=2.15)
     roster.merge([strong])
     assert roster.aggregator_candidate("a").name == "e"
 
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -3,7 +3,7 @@
 import re
 
 from tests.gateway.test_exchange import STREAM, body_of, streamed
-from tests.gateway.world import ScriptedEndpoint, World, plain, request
+from tests.gateway.world import ScriptedEndpoint, World, request, respond_with
 
 # Values that differ between runs: the time left until the deadline, and retry-after.
 _VARYING = re.compile(r"(deadline-ms|retry-after): [\d.]+", re.IGNORECASE)
@@ -22,8 +22,10 @@
 
 def test_a_session(snapshot):
     world = World()
-    shed = plain(b"", "503 Unavailable", "Not-Run: 1\r\n")
-    records = ScriptedEndpoint(plain(b"record"), plain(b"no", "500 Error"), shed)
+    shed = respond_with(b"", "503 Unavailable", "Not-Run: 1\r\n")
+    records = ScriptedEndpoint(
+        respond_with(b"record"), respond_with(b"no", "500 Error"), shed
+    )
     models = ScriptedEndpoint(streamed(1, 2, 3))
     world.add("r-1", "records", records)
     world.add("m-1", "models", models)
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -26,7 +26,7 @@
 from sassafrasdale.platform.configuration import decode_configuration
 from sassafrasdale.platform.settings import decode_settings
 from tests.coordination.fakes import FakeStore
-from tests.gateway.fleets import lone_peering
+from tests.gateway.fleets import single_peering
 from tests.http.wires import LOOPBACK, RawCaller, bound, read_request, serve_raw
 from tests.platform.documents import configuration, settings
 
@@ -44,7 +44,9 @@
     return ""
 
 
-def plain(body: bytes = b"done", status: str = "200 OK", extra: str = "") -> Script:
+def respond_with(
+    body: bytes = b"done", status: str = "200 OK", extra: str = ""
+) -> Script:
     """Return a script that responds to each request with a complete body."""
 
     def script(sock: socket.socket, request: bytes) -> None:
@@ -147,7 +149,7 @@
         sock.close()
 
 
-class DarkEndpoint:
+class PowerLossEndpoint:
     """An endpoint whose instance loses power after it has read its first request.
 
     Its connections stay open without data, and new ones are not accepted, since the
@@ -209,7 +211,7 @@
             CLOCK,
             self.rng,
         )
-        peering = lone_peering(CLOCK, self.rng)
+        peering = single_peering(CLOCK, self.rng)
         cache = CacheEstimate()
         paces = EngineStepTimes()
         self.fleet = Fleet(
