--- a/src/sassafrasdale/burn.py
+++ b/src/sassafrasdale/burn.py
@@ -127,7 +127,7 @@
     windows: tuple[WindowCount, ...]
 
 
-class BurnBook:
+class BurnCounters:
     """Counters of all services in the configuration text.
 
     Usage::
--- a/src/sassafrasdale/decisions/aggregators.py
+++ b/src/sassafrasdale/decisions/aggregators.py
@@ -46,7 +46,7 @@
     smaller instances have.
 
     :param zone: the availability zone.
-    :param cpu_shares: CPU time per second that each may use, by name.
+    :param cpu_cores: CPU time per second that each may use, by name.
     """
     return sorted(
         cpu_cores,
@@ -65,7 +65,7 @@
     """Return the gateways of a zone that watch the store.
 
     :param zone: the availability zone.
-    :param cpu_shares: CPU shares of the gateways of the zone that are in contact, by
+    :param cpu_cores: CPU cores of the gateways of the zone that are in contact, by
         name.
     :param zones: number of availability zones of the deployment.
     """
--- a/src/sassafrasdale/decisions/ordering.py
+++ b/src/sassafrasdale/decisions/ordering.py
@@ -91,17 +91,19 @@
     on_demand = _on_demand_needed(service, has_unavailable=has_unavailable)
     # The same number in each zone, so that the loss of one zone costs as little as
     # possible.
-    per_zone = min(max(ceil((needed - on_demand) / len(zones)), 1), bounds.most)
+    per_zone = min(
+        max(ceil((needed - on_demand) / len(zones)), 1), bounds.max_endpoints
+    )
     orders = {}
     for zone in zones:
         reserved = MIN_ON_DEMAND if zone == zones[0] else 0
         count = min(on_demand, max(_on_demand_places(service, zone), reserved))
         # Places that reclaimable endpoints do not fill go to on-demand ones. The lower
         # bound is one of orders: an order counts even if it cannot be filled now.
-        count = max(count, bounds.least - per_zone, 0)
+        count = max(count, bounds.min_endpoints - per_zone, 0)
         on_demand -= count
         orders[OrderKey(service.service, zone, False)] = count
-        reclaimable = min(per_zone, bounds.most - count)
+        reclaimable = min(per_zone, bounds.max_endpoints - count)
         orders[OrderKey(service.service, zone, True)] = reclaimable
     available = sum(
         _reclaimable_count(service, zone, per_zone, unavailable) for zone in zones
@@ -134,7 +136,7 @@
     endpoint, so that it continues to be ordered.
     """
     running = service.running.get(OrderKey(service.service, zone, True), 0)
-    return service.bounds.most - max(running, 1)
+    return service.bounds.max_endpoints - max(running, 1)
 
 
 def _left_after_reclaim(service: PlannedService) -> int:
--- a/src/sassafrasdale/deployment.py
+++ b/src/sassafrasdale/deployment.py
@@ -54,7 +54,7 @@
     prefix: str
     kind: RequestKind
     services: tuple[WeightedService, ...]
-    max_sends: int = 1
+    max_attempts: int = 1
     timeout: timedelta = timedelta(seconds=30)
     priority: int = 0
     public: bool = False
@@ -81,8 +81,8 @@
     :param zone_prices: price of an endpoint per second, by availability zone.
     """
 
-    least: int
-    most: int
+    min_endpoints: int
+    max_endpoints: int
     start_time: timedelta
     reclaimable_price: float
     zone_prices: Mapping[str, float]
@@ -127,11 +127,11 @@
     rate: float = 0.0
     burst: float = 0.0
     counts_tokens: bool = False
-    plain_tokens: int = 0
+    default_tokens: int = 0
     priority: int | None = None
 
 
-def name_of(customer: Customer | None) -> str:
+def customer_name(customer: Customer | None) -> str:
     """Return a customer's name; empty without a customer, on a public route."""
     return customer.name if customer else ""
 
@@ -208,7 +208,7 @@
     min_lease: timedelta = timedelta(seconds=1)
     configuration_delay: timedelta = timedelta(seconds=2)
     checks_fencing: bool = True
-    trial_share: float = 0.1
+    canary_share: float = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -223,7 +223,7 @@
     :param cloud: address of the duty API; None if there are no duties.
     :param reports_usage: whether the leader reports customers' usage.
     :param orders_endpoints: whether the leader orders endpoints.
-    :param cpu_share: CPU seconds per second that the process may use.
+    :param cpu_cores: CPU seconds per second that the process may use.
     """
 
     name: str
@@ -237,7 +237,7 @@
     reports_usage: bool
     orders_endpoints: bool
     bounds: Bounds
-    power: float = 1.0
+    cpu_cores: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/sassafrasdale/entry/process.py
+++ b/src/sassafrasdale/entry/process.py
@@ -52,9 +52,9 @@
 from sassafrasdale.requests.structures import OutcomeName
 from sassafrasdale.requests.transfers import Transfers
 from sassafrasdale.settings import EntrySettings
-from sassafrasdale.signals import heed_signals
+from sassafrasdale.signals import handle_signals
 from sassafrasdale.structures import Address
-from sassafrasdale.tasks import run_for_good
+from sassafrasdale.tasks import run_forever
 from sassafrasdale.text.current import CurrentText
 from sassafrasdale.text.structures import ServiceKind
 
@@ -158,7 +158,7 @@
     def run(self) -> None:
         """Serve until the process is asked to stop, then shut down in order."""
         listener = listen(self._settings.address)
-        heed_signals({signal.SIGTERM: self._stop, signal.SIGINT: self._stop})
+        handle_signals({signal.SIGTERM: self._stop, signal.SIGINT: self._stop})
         self._peers.start()
         watcher_arguments = (self._cloud, self._inbox, self._rng)
         for task in (
@@ -171,9 +171,9 @@
             self._sweep,
             self._plan_moves,
         ):
-            spawn(run_for_good, task)
+            spawn(run_forever, task)
         duties = [
-            spawn(run_for_good, task) for task in (self._lease.run, self._capacity.run)
+            spawn(run_forever, task) for task in (self._lease.run, self._capacity.run)
         ]
         spawn(self._server.serve, listener)
         log.info("listening on {}", self._settings.address)
--- a/src/sassafrasdale/gateway/aggregating.py
+++ b/src/sassafrasdale/gateway/aggregating.py
@@ -130,7 +130,7 @@
         self._group.record_report(state)
         own = self._roster.own
         for window, counts in self._context.local_state.usage().items():
-            self._context.ledger.take(own.name, own.incarnation, window, counts)
+            self._context.ledger.merge(own.name, own.incarnation, window, counts)
 
     def exchange(self, *, include_recent: bool = False) -> list[GreenThread]:
         """Start exchanges with the other aggregators.
@@ -191,7 +191,7 @@
             interval_s=self.interval.total_seconds(),
             roster_digest=digest,
             roster=() if known else tuple(self._roster.own_zone_contacts()),
-            clocks=self._context.time.others(MAX_CLOCKS),
+            clocks=self._context.time.peer_readings(MAX_CLOCKS),
             strikes=strikes.update_for(name),
         )
 
@@ -406,7 +406,7 @@
 
     def _merge_usage(self, rows: tuple[UsageRow, ...]) -> None:
         for row in rows:
-            self._context.ledger.take(
+            self._context.ledger.merge(
                 row.gateway, row.incarnation, row.window, row.counts
             )
 
--- a/src/sassafrasdale/gateway/crash_detection.py
+++ b/src/sassafrasdale/gateway/crash_detection.py
@@ -5,7 +5,7 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.gateway.directory import EndpointRecord
 from sassafrasdale.green import Event, sleep
-from sassafrasdale.http.connections import Reach
+from sassafrasdale.http.connections import ProbeResult
 
 # All requests of a crashed endpoint lose their connections within milliseconds, and
 # share one probe. The endpoint may be back seconds later.
@@ -40,12 +40,12 @@
         self._probes[record.name] = (now, result)
         refused = False
         try:
-            refused = record.pool.look() is Reach.REFUSED
+            refused = record.pool.probe() is ProbeResult.REFUSED
         finally:
             result.send(refused)
         return refused
 
-    def probe_repeatedly(self, record: EndpointRecord) -> Reach:
+    def probe_repeatedly(self, record: EndpointRecord) -> ProbeResult:
         """Return the result of probing an endpoint whose registration has expired.
 
         It counts as unresponsive only if several probes get no reply.
@@ -53,10 +53,10 @@
         for number in range(PROBES):
             if number:
                 sleep(PROBE_INTERVAL)
-            reach = record.pool.look()
-            if reach is not Reach.UNANSWERED:
+            reach = record.pool.probe()
+            if reach is not ProbeResult.UNANSWERED:
                 return reach
-        return Reach.UNANSWERED
+        return ProbeResult.UNANSWERED
 
     def _forget_old(self, now: timedelta) -> None:
         for name, (began_at, result) in list(self._probes.items()):
--- a/src/sassafrasdale/gateway/duties.py
+++ b/src/sassafrasdale/gateway/duties.py
@@ -18,7 +18,7 @@
 from sassafrasdale.gateway.rollout_duty import RolloutDuty
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.scaling import ORDERS_FORM, ORDERS_RECORD, Scaler
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.platform.duties import DutyClient
 from sassafrasdale.platform.store import PlatformStore
 
@@ -54,7 +54,7 @@
         peering: Peering,
         view: Callable[[], tuple[PlannedService, ...]],
         rollouts: Rollouts,
-        time: TrueTime,
+        time: ClusterTime,
         clock: Clock,
         rng: Random,
         incarnation: int,
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -16,7 +16,7 @@
     RequestKind,
     RequestTraits,
     Route,
-    name_of,
+    customer_name,
 )
 from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.directory import EndpointRecord
@@ -33,20 +33,20 @@
 from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.http.connections import HttpConnection
 from sassafrasdale.http.exceptions import (
-    CallerGone,
+    CallerDisconnected,
     HttpError,
-    MalformedAnswer,
+    MalformedResponse,
     NotConnected,
 )
-from sassafrasdale.http.messages import AnswerHead, Request
+from sassafrasdale.http.messages import Request, ResponseHead
 from sassafrasdale.http.server import ServerConnection
 from sassafrasdale.platform.headers import (
     REQUEST_ID,
-    EndpointOrder,
+    EndpointHeaders,
     caller_headers,
     endpoint_request,
     is_signed,
-    says_not_run,
+    states_not_run,
 )
 
 log = Logger("exchange")
@@ -83,7 +83,7 @@
     @property
     def customer_name(self) -> str:
         """Name of its customer; empty for a public route."""
-        return name_of(self.customer)
+        return customer_name(self.customer)
 
 
 class RequestExchange:
@@ -148,7 +148,7 @@
         :raises RequestRefused: if no endpoint responds and no response has begun; with
             status 503 the request did not run.
         :raises StreamBrokenOff: if a stream that has begun can't be resumed.
-        :raises CallerGone: if the caller disconnects.
+        :raises CallerDisconnected: if the caller disconnects.
         """
         while True:
             attempt = self._start_attempt()
@@ -183,28 +183,28 @@
         connection: HttpConnection | None = None
         try:
             try:
-                connection = record.pool.take(limit)
+                connection = record.pool.acquire(limit)
             except NotConnected as error:
                 raise AttemptFailed(AttemptOutcome.NOT_SENT, "not connected") from error
             record.connections.add(connection)
-            self._caller.when_gone(connection.close)
-            if self._caller.is_gone:
-                raise CallerGone
+            self._caller.on_disconnect(connection.close)
+            if self._caller.is_disconnected:
+                raise CallerDisconnected
             return self._forward(record, connection, attempt)
         except AttemptFailed as failure:
             self._record_failure(attempt, failure)
             raise
-        except CallerGone:
+        except CallerDisconnected:
             if connection is not None:
                 connection.close()
                 self._fleet.record_disconnect(attempt)
             raise
         finally:
-            self._caller.when_gone(None)
+            self._caller.on_disconnect(None)
             self._fleet.finish_attempt(attempt)
             if connection is not None:
                 record.connections.discard(connection)
-                record.pool.give_back(connection)
+                record.pool.release(connection)
 
     def _forward(
         self, record: EndpointRecord, connection: HttpConnection, attempt: Attempt
@@ -217,7 +217,7 @@
         if left <= timedelta():
             raise AttemptFailed(AttemptOutcome.NOT_SENT, "no time left")
         self._fleet.count_attempt(attempt, is_retry=self._attempts > 1)
-        order = EndpointOrder(
+        order = EndpointHeaders(
             endpoint=record.name,
             customer=admitted.customer_name,
             time_left=left,
@@ -234,8 +234,8 @@
             return self._relay_response(record, connection, head, attempt)
         except HttpError as error:
             connection.close()
-            if isinstance(error, CallerGone) or self._caller.is_gone:
-                raise CallerGone from error
+            if isinstance(error, CallerDisconnected) or self._caller.is_disconnected:
+                raise CallerDisconnected from error
             raise AttemptFailed(AttemptOutcome.UNKNOWN, reason_of(error)) from error
 
     def _priority(self) -> int | None:
@@ -251,16 +251,16 @@
         self,
         record: EndpointRecord,
         connection: HttpConnection,
-        head: AnswerHead,
+        head: ResponseHead,
         attempt: Attempt,
     ) -> int:
         admitted = self._admitted
-        if says_not_run(head):
+        if states_not_run(head):
             connection.read_body(admitted.deadline)
             raise AttemptFailed(AttemptOutcome.NOT_RUN, f"refused with {head.status}")
         succeeded = 200 <= head.status < 300
         if succeeded and not is_signed(head):
-            raise MalformedAnswer("a success without a signature")
+            raise MalformedResponse("a success without a signature")
         if admitted.route.kind is RequestKind.STREAM and succeeded:
             return self._relay_stream(connection, head, attempt)
         body = connection.read_body(admitted.deadline)
@@ -276,7 +276,7 @@
         return head.status
 
     def _relay_stream(
-        self, connection: HttpConnection, head: AnswerHead, attempt: Attempt
+        self, connection: HttpConnection, head: ResponseHead, attempt: Attempt
     ) -> int:
         """Relay a stream, complete events only."""
         admitted = self._admitted
@@ -297,7 +297,7 @@
                     gaps.append(now - last_at)
                 last_at = now
                 self._record_first_byte(attempt)
-                if not self._caller.head_sent:
+                if not self._caller.response_started:
                     self._caller.begin(head.status, caller_headers(head))
                 self._caller.write(complete)
         except HttpError:
@@ -305,8 +305,8 @@
             raise
         if splitter.has_partial:
             splitter.drop_partial()
-            raise MalformedAnswer("the stream ended within an event")
-        if not self._caller.head_sent:
+            raise MalformedResponse("the stream ended within an event")
+        if not self._caller.response_started:
             self._caller.begin(head.status, caller_headers(head))
         self._caller.end()
         self._fleet.record_stream(attempt, gaps)
@@ -321,7 +321,7 @@
         admitted = self._admitted
         may_go_on = (
             admitted.route.repeatable
-            and self._attempts < admitted.route.max_sends
+            and self._attempts < admitted.route.max_attempts
             and self._fleet.has_alternative(admitted.service, self._tried)
         )
         if not may_go_on:
@@ -356,7 +356,7 @@
             outcome=str(failure.outcome),
             why=failure.reason,
             send=self._attempts,
-            begun=self._caller.head_sent,
+            begun=self._caller.response_started,
             left_ms=milliseconds(self._admitted.deadline - self._clock.elapsed()),
         )
 
@@ -382,7 +382,7 @@
         """Return whether a 5xx response may be retried at another endpoint."""
         return (
             self._admitted.route.repeatable
-            and self._attempts < self._admitted.route.max_sends
+            and self._attempts < self._admitted.route.max_attempts
             and self._fleet.has_alternative(self._admitted.service, self._tried)
             and self._fleet.retry_budgets.allow_retry(
                 self._admitted.service, spend=False
@@ -399,12 +399,12 @@
             return False
         if self._attempts == 0:
             return True
-        if self._attempts >= admitted.route.max_sends:
+        if self._attempts >= admitted.route.max_attempts:
             return False
         return self._fleet.retry_budgets.allow_retry(admitted.service, spend=True)
 
     def _give_up(self, failure: AttemptFailed) -> None:
-        if self._caller.head_sent:
+        if self._caller.response_started:
             log.info(
                 "stream broken off",
                 why=failure.reason,
--- a/src/sassafrasdale/gateway/failures.py
+++ b/src/sassafrasdale/gateway/failures.py
@@ -4,10 +4,10 @@
 
 from sassafrasdale.exceptions import SassafrasdaleError
 from sassafrasdale.http.exceptions import (
-    AnswerTimeout,
     ConnectionLost,
     HttpError,
-    MalformedAnswer,
+    MalformedResponse,
+    ResponseTimeout,
 )
 
 # Reason of an attempt whose connection was lost before the response.
@@ -38,11 +38,11 @@
 def reason_of(error: HttpError) -> str:
     """Return a short description of an error, for logs."""
     match error:
-        case AnswerTimeout():
+        case ResponseTimeout():
             return "no answer in time"
         case ConnectionLost():
             return CONNECTION_LOST
-        case MalformedAnswer():
+        case MalformedResponse():
             return "malformed answer"
         case _:
             return error.message
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -7,7 +7,7 @@
 from logbook import Logger
 
 from sassafrasdale.clock import Clock, milliseconds
-from sassafrasdale.deployment import Customer, RequestTraits, Route, name_of
+from sassafrasdale.deployment import Customer, RequestTraits, Route, customer_name
 from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.exceptions import RequestRefused, StreamBrokenOff
 from sassafrasdale.gateway.exchange import AdmittedRequest, RequestExchange
@@ -16,10 +16,10 @@
 from sassafrasdale.gateway.routing import RouteTable, draw_service
 from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.green import sleep
-from sassafrasdale.http.exceptions import CallerGone
+from sassafrasdale.http.exceptions import CallerDisconnected
 from sassafrasdale.http.messages import Request
 from sassafrasdale.http.server import ServerConnection
-from sassafrasdale.late_metrics import LateMetrics
+from sassafrasdale.late_metrics import LazyMetrics
 from sassafrasdale.logs import request_context
 from sassafrasdale.platform.exceptions import ValueMalformed
 from sassafrasdale.platform.headers import REQUEST_ID, read_traits
@@ -60,7 +60,7 @@
         fleet: Fleet,
         quotas: Quotas,
         quarantine: RequestQuarantine,
-        metrics: LateMetrics,
+        metrics: LazyMetrics,
         clock: Clock,
         rng: Random,
         may_serve: Callable[[], bool],
@@ -88,12 +88,12 @@
             except StreamBrokenOff as error:
                 record.outcome = "broken off"
                 record.reason = error.message
-            except CallerGone:
+            except CallerDisconnected:
                 record.outcome = record.outcome or "caller gone"
             except Exception:
                 record.outcome = "internal error"
                 log.exception("unhandled exception while serving a request")
-                if caller.head_sent:
+                if caller.response_started:
                     caller.abort()
                 else:
                     caller.answer(500)
@@ -170,7 +170,7 @@
         :raises RequestRefused: if the request is quarantined.
         """
         verdict = self._quarantine.check(
-            request, name_of(customer), self._fleet.endpoints(service)
+            request, customer_name(customer), self._fleet.endpoints(service)
         )
         if not verdict.is_refused:
             return verdict.avoided
@@ -213,7 +213,7 @@
             headers.append(("retry-after", f"{seconds:.2f}"))
         try:
             caller.answer(refusal.status, headers)
-        except CallerGone:
+        except CallerDisconnected:
             record.outcome = "caller gone"
 
     def _log_end(self, record: "_AccessRecord", took: timedelta) -> None:
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -17,7 +17,7 @@
     GroupState,
     MemberState,
 )
-from sassafrasdale.gateway.rollout_news import TrialNews, summed, without_rows
+from sassafrasdale.gateway.rollout_news import CanaryReport, sum_reports, without_rows
 
 
 @dataclass(slots=True)
@@ -222,11 +222,11 @@
 
 def _canary_results(
     members: Iterable[_Member], *, concise: bool
-) -> tuple[TrialNews, ...]:
+) -> tuple[CanaryReport, ...]:
     reported = tuple(news for member in members for news in member.state.trials)
     if not reported:
         return ()
-    return summed(without_rows(reported) if concise else reported)
+    return sum_reports(without_rows(reported) if concise else reported)
 
 
 def _leader(in_touch: Iterable[_Member]) -> DutyClaim | None:
--- a/src/sassafrasdale/gateway/knowledge.py
+++ b/src/sassafrasdale/gateway/knowledge.py
@@ -37,7 +37,7 @@
     ordered_service,
 )
 from sassafrasdale.platform.store import PlatformStore
-from sassafrasdale.tasks import run_for_good
+from sassafrasdale.tasks import run_forever
 
 log = Logger("knowledge")
 
@@ -214,7 +214,7 @@
         """Watch the status shown to operators, from the first order on."""
         if not self._watches_rollouts:
             self._watches_rollouts = True
-            spawn(run_for_good, self._followers[STATUS_PREFIX].run)
+            spawn(run_forever, self._followers[STATUS_PREFIX].run)
 
     def _apply_status_changes(self, changes: PrefixChanges) -> None:
         for key, value in changes.written.items():
--- a/src/sassafrasdale/gateway/metering.py
+++ b/src/sassafrasdale/gateway/metering.py
@@ -16,7 +16,7 @@
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.gateway.peer_states import UsageTotal
 from sassafrasdale.gateway.records import DutyRecord
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep
 from sassafrasdale.platform.duties import DutyClient
 from sassafrasdale.platform.exceptions import DutyCallFailed, DutyCallRefused
@@ -54,7 +54,7 @@
         client: DutyClient,
         record: DutyRecord,
         total: Callable[[int], UsageTotal],
-        time: TrueTime,
+        time: ClusterTime,
         clock: Clock,
         window: timedelta,
         delay: timedelta,
--- a/src/sassafrasdale/gateway/parts.py
+++ b/src/sassafrasdale/gateway/parts.py
@@ -42,11 +42,11 @@
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import (
     ClockReading,
-    TrueTime,
+    ClusterTime,
     UsageCounts,
     UsageLedger,
 )
-from sassafrasdale.late_metrics import LateMetrics
+from sassafrasdale.late_metrics import LazyMetrics
 from sassafrasdale.platform.store import PlatformStore
 
 
@@ -73,8 +73,8 @@
         self._clock = clock
         self._rng = rng
         self.incarnation = int(clock.now().timestamp() * 1000)
-        self.metrics = LateMetrics(settings.name, settings.availability_zone)
-        self.time = TrueTime(clock)
+        self.metrics = LazyMetrics(settings.name, settings.availability_zone)
+        self.time = ClusterTime(clock)
         self._cache = CacheEstimate()
         self._paces = EngineStepTimes()
         self._usage = UsageCounts(settings.bounds.usage_window, self.time)
@@ -119,7 +119,7 @@
             self.suspects.handle_expiry,
         )
         self.rollouts = Rollouts(
-            settings.bounds.trial_share,
+            settings.bounds.canary_share,
             self.directory.of_service,
             self.time,
             clock,
@@ -266,7 +266,7 @@
 
     def receive_clock(self, name: str, reading: ClockReading) -> None:
         """Receive a present reading of another gateway's clock."""
-        self.time.hear(name, reading)
+        self.time.add_reading(name, reading)
 
     def receive_revisions(self, peer: str, revisions: Mapping[str, int]) -> None:
         """Receive the store revisions that another gateway knows."""
@@ -295,7 +295,7 @@
             address.host,
             address.port,
             self.incarnation,
-            cpu_cores=settings.power,
+            cpu_cores=settings.cpu_cores,
         )
 
     def _build_state(self, contact: Contact) -> MemberState:
@@ -313,7 +313,7 @@
             duty=self.duties.claim(),
             follows_store=self._follows_store(),
             prefill_times=self.fleet.token_times(),
-            trials=self.rollouts.news(),
+            trials=self.rollouts.canary_reports(),
         )
 
     def _follows_store(self) -> bool:
--- a/src/sassafrasdale/gateway/peer_calls.py
+++ b/src/sassafrasdale/gateway/peer_calls.py
@@ -31,10 +31,10 @@
 )
 from sassafrasdale.gateway.roster import Roster
 from sassafrasdale.gateway.strike_news import StrikeReplicator
-from sassafrasdale.gateway.usage import ClockReading, TrueTime, UsageLedger
+from sassafrasdale.gateway.usage import ClockReading, ClusterTime, UsageLedger
 from sassafrasdale.http.connections import HttpClient
 from sassafrasdale.http.exceptions import HttpError
-from sassafrasdale.http.messages import Answer, Request
+from sassafrasdale.http.messages import Request, Response
 
 log = Logger("peers")
 
@@ -111,7 +111,7 @@
     roster: Roster
     ledger: UsageLedger
     listener: PeerListener
-    time: TrueTime
+    time: ClusterTime
     work_window: timedelta
     clock: Clock
     strikes: StrikeReplicator
@@ -200,7 +200,7 @@
             log.info("call to peer failed", peer=contact.name, why=str(error))
             return None
 
-    def _call(self, contact: Contact, request: Request) -> Answer:
+    def _call(self, contact: Contact, request: Request) -> Response:
         client = self._client(contact, self._clients, CALL_TIMEOUT)
         return client.call(request, CALL_TIMEOUT)
 
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from sassafrasdale.decisions.news import ReportedLoad
-from sassafrasdale.gateway.rollout_news import Count, TrialNews, without_rows
+from sassafrasdale.gateway.rollout_news import CanaryReport, Count, without_rows
 from sassafrasdale.gateway.strike_news import StrikeUpdate
 from sassafrasdale.gateway.usage import ClockReading
 from sassafrasdale.structures import Address
@@ -132,7 +132,7 @@
     duty: DutyClaim | None = None
     follows_store: bool = True
     prefill_times: dict[str, NonNegative] = field(default_factory=dict)
-    trials: tuple[TrialNews, ...] = ()
+    trials: tuple[CanaryReport, ...] = ()
 
 
 class GroupState(Message):
@@ -164,7 +164,7 @@
     follows_store: bool
     prefill_times: dict[str, NonNegative] = field(default_factory=dict)
     counting_s: NonNegative = 0.0
-    trials: tuple[TrialNews, ...] = ()
+    trials: tuple[CanaryReport, ...] = ()
 
     @property
     def counter_id(self) -> tuple[str, int, int]:
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -45,7 +45,7 @@
 )
 from sassafrasdale.gateway.reporting import Reporter
 from sassafrasdale.green import sleep, spawn
-from sassafrasdale.http.messages import Answer, Request
+from sassafrasdale.http.messages import Request, Response
 from sassafrasdale.http.server import ServerConnection
 
 log = Logger("peering")
@@ -221,13 +221,13 @@
     def _zone_watchers(self) -> list[str]:
         """Return the gateways of this zone that watch the store, in order."""
         own = self._roster.own
-        cpu_shares = {
+        cpu_cores = {
             contact.name: contact.cpu_cores
             for contact in self._roster.in_zone(own.zone)
             if not self._roster.is_avoided(contact.name)
         }
-        cpu_shares[own.name] = own.cpu_cores
-        return store_watchers(own.zone, cpu_shares, self._zones)
+        cpu_cores[own.name] = own.cpu_cores
+        return store_watchers(own.zone, cpu_cores, self._zones)
 
     def counted_usage(self, customer: str) -> float:
         """Return how much of this gateway's limit usage an aggregator has counted."""
@@ -304,41 +304,45 @@
             response = self._handle(request)
         except (MessageMalformed, ValueError) as error:
             log.warning("malformed message", target=request.target, why=str(error))
-            response = Answer(400)
+            response = Response(400)
         connection.answer(response.status, response.headers, response.body)
 
-    def _handle(self, request: Request) -> Answer:
+    def _handle(self, request: Request) -> Response:
         target = request.target
         if target == REPORT_TARGET:
             reply = self._aggregator.handle_report(REPORT.decode(request.body))
-            return Answer(200, body=encode(reply))
+            return Response(200, body=encode(reply))
         if target == ASK_TARGET:
             assigned = self._context.listener.assign(
                 ASSIGNMENT_REQUEST.decode(request.body)
             )
             return (
-                Answer(404) if assigned is None else Answer(200, body=encode(assigned))
+                Response(404)
+                if assigned is None
+                else Response(200, body=encode(assigned))
             )
         if target == NOTES_TARGET:
             self._context.listener.receive_attempt_report(
                 ATTEMPT_REPORT.decode(request.body)
             )
-            return Answer(200)
+            return Response(200)
         if target == NEWS_TARGET:
             return self._handle_update(request)
         if target.startswith(USAGE_TARGET):
             total = self._aggregator.usage(int(target.removeprefix(USAGE_TARGET)))
-            return Answer(200, body=encode(total))
+            return Response(200, body=encode(total))
         if target.startswith(VALUES_TARGET):
             since, _, prefix = target.removeprefix(VALUES_TARGET).partition("/")
             values = self._context.local_state.values_since(prefix, int(since))
-            return Answer(404) if values is None else Answer(200, body=encode(values))
-        return Answer(404)
+            return (
+                Response(404) if values is None else Response(200, body=encode(values))
+            )
+        return Response(404)
 
-    def _handle_update(self, request: Request) -> Answer:
+    def _handle_update(self, request: Request) -> Response:
         update = GROUP_UPDATE.decode(request.body)
         response = self._aggregator.handle_update(update, self._reporter.aggregator)
-        return Answer(
+        return Response(
             409 if isinstance(response, Redirect) else 200, body=encode(response)
         )
 
--- a/src/sassafrasdale/gateway/polling.py
+++ b/src/sassafrasdale/gateway/polling.py
@@ -2,8 +2,9 @@
 
 While the store is unresponsive, it may lose the watches of all gateways at once. The
 gateways that watch therefore also poll in turn, without waiting for changes; see
-:mod:`sassafrasdale.decisions.turns` for the reasons and the cost. A gateway that finds
-a change renews its watches, and reports the change to the others like any other.
+:mod:`sassafrasdale.decisions.turns` for the reasons and the cost. A gateway
+that finds a change renews its watches, and reports the change to the others like any
+other.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,7 +14,7 @@
 
 from sassafrasdale.decisions.turns import PollSlot
 from sassafrasdale.gateway.following import Follower
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.store import PlatformStore
 
@@ -42,7 +43,7 @@
         followers: Sequence[Follower],
         store: PlatformStore,
         slot: Callable[[], PollSlot | None],
-        time: TrueTime,
+        time: ClusterTime,
         delay: timedelta,
     ) -> None:
         self._followers = followers
--- a/src/sassafrasdale/gateway/process.py
+++ b/src/sassafrasdale/gateway/process.py
@@ -22,9 +22,9 @@
 from sassafrasdale.logs import start_logs
 from sassafrasdale.platform.early import take_early_listener
 from sassafrasdale.platform.exceptions import AdapterError
-from sassafrasdale.signals import heed_signals
+from sassafrasdale.signals import handle_signals
 from sassafrasdale.structures import Address
-from sassafrasdale.tasks import run_for_good
+from sassafrasdale.tasks import run_forever
 
 log = Logger("gateway")
 
@@ -86,7 +86,7 @@
         self._serve(settings.peer_address, self._parts.peering.handle)
         if self._metrics_address is not None:
             self._serve(self._metrics_address, self._answer_metrics)
-        heed_signals(
+        handle_signals(
             {
                 signal.SIGTERM: self._request_stop,
                 signal.SIGINT: self._request_stop,
@@ -98,7 +98,7 @@
         tasks += [parts.registration.run, parts.poller.run]
         tasks += [parts.peering.run, parts.asking.run, parts.strike_records.run]
         for task in tasks:
-            spawn(run_for_good, task)
+            spawn(run_forever, task)
         log.info(
             "gateway started",
             address=str(settings.address),
@@ -127,7 +127,7 @@
         if not self._parts.peering.is_aggregator:
             self._parts.dispatcher.resign()
         self._parts.directory.drop_expired()
-        self._parts.time.keep()
+        self._parts.time.update()
         self._parts.suspects.log_changes()
         self._may_serve()
 
--- a/src/sassafrasdale/gateway/quotas.py
+++ b/src/sassafrasdale/gateway/quotas.py
@@ -309,5 +309,5 @@
     if not customer.counts_tokens:
         return 1
     if traits.prompt_tokens is None:
-        return customer.plain_tokens
+        return customer.default_tokens
     return traits.prompt_tokens + traits.output_tokens
--- a/src/sassafrasdale/gateway/rollout.py
+++ b/src/sassafrasdale/gateway/rollout.py
@@ -10,8 +10,8 @@
 from sassafrasdale.gateway.directory import EndpointRecord
 from sassafrasdale.gateway.rollout_news import (
     OTHERS,
+    CanaryReport,
     OutcomeTable,
-    TrialNews,
     group_of,
     rows_of,
 )
@@ -109,9 +109,9 @@
             key = (group, "")
         return self.table.setdefault(key, Outcomes())
 
-    def news(self) -> TrialNews:
+    def news(self) -> CanaryReport:
         """Return the report to send to the other gateways."""
-        return TrialNews(
+        return CanaryReport(
             self.order.service,
             self.revision,
             rows_of(self.table),
--- a/src/sassafrasdale/gateway/rollout_news.py
+++ b/src/sassafrasdale/gateway/rollout_news.py
@@ -38,7 +38,7 @@
     times: dict[int, Count]
 
 
-class TrialNews(Struct, frozen=True, array_like=True):
+class CanaryReport(Struct, frozen=True, array_like=True):
     """Canary report for one order.
 
     :param order: revision of the order.
@@ -76,7 +76,7 @@
         table.setdefault((row.group, row.route), Outcomes()).add(outcomes)
 
 
-def summed(reports: Iterable[TrialNews]) -> tuple[TrialNews, ...]:
+def sum_reports(reports: Iterable[CanaryReport]) -> tuple[CanaryReport, ...]:
     """Return the sums of reports from several gateways, by order."""
     tables: dict[tuple[str, int], OutcomeTable] = {}
     flags: dict[tuple[str, int], tuple[bool, bool, bool]] = {}
@@ -90,11 +90,11 @@
             full or report.full,
         )
     return tuple(
-        TrialNews(service, order, rows_of(table), *flags[service, order])
+        CanaryReport(service, order, rows_of(table), *flags[service, order])
         for (service, order), table in tables.items()
     )
 
 
-def without_rows(reports: tuple[TrialNews, ...]) -> tuple[TrialNews, ...]:
+def without_rows(reports: tuple[CanaryReport, ...]) -> tuple[CanaryReport, ...]:
     """Return the reports without their outcome rows."""
     return tuple(replace(report, rows=()) for report in reports)
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -26,12 +26,12 @@
 from sassafrasdale.gateway.peer_states import ReceivedGroup
 from sassafrasdale.gateway.rollout import Rollout
 from sassafrasdale.gateway.rollout_news import (
+    CanaryReport,
     OutcomeTable,
-    TrialNews,
     add_rows,
     rows_of,
 )
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import Event
 
 log = Logger("rollouts")
@@ -59,7 +59,7 @@
         self,
         share: float,
         listed: Callable[[str], list[EndpointRecord]],
-        time: TrueTime,
+        time: ClusterTime,
         clock: Clock,
         rng: Random,
         count: Callable[..., None] = lambda name, **labels: None,
@@ -217,7 +217,7 @@
             return None
         return rollout
 
-    def news(self) -> tuple[TrialNews, ...]:
+    def canary_reports(self) -> tuple[CanaryReport, ...]:
         """Return the canary reports to send to the other gateways."""
         return tuple(rollout.news() for rollout in self.open())
 
@@ -236,7 +236,7 @@
             )
             self._evaluate(rollout, reports)
 
-    def _evaluate(self, rollout: Rollout, reports: Sequence[TrialNews]) -> None:
+    def _evaluate(self, rollout: Rollout, reports: Sequence[CanaryReport]) -> None:
         if rollout.is_condemned:
             return
         if any(report.condemned for report in reports):
--- a/src/sassafrasdale/gateway/roster.py
+++ b/src/sassafrasdale/gateway/roster.py
@@ -83,8 +83,8 @@
         if own.zone == zone and not own.leaving:
             known[own.name] = own
         now = self._clock.elapsed()
-        cpu_shares = {name: contact.cpu_cores for name, contact in known.items()}
-        for name in rank_aggregators(zone, cpu_shares):
+        cpu_cores = {name: contact.cpu_cores for name, contact in known.items()}
+        for name in rank_aggregators(zone, cpu_cores):
             if self._avoided_until.get(name, now) <= now:
                 return known[name]
         return None
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -22,7 +22,7 @@
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.strike_news import STRIKE_ROW, StrikeRow
 from sassafrasdale.gateway.trials import Trials
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep
 
 log = Logger("strike records")
@@ -66,7 +66,7 @@
         ledger: StrikeLedger,
         trials: Trials,
         peering: Peering,
-        time: TrueTime,
+        time: ClusterTime,
         clock: Clock,
         rng: Random,
     ) -> None:
--- a/src/sassafrasdale/gateway/suspects.py
+++ b/src/sassafrasdale/gateway/suspects.py
@@ -17,9 +17,9 @@
 from sassafrasdale.gateway.directory import EndpointRecord
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.trials import Trials
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import spawn
-from sassafrasdale.http.connections import Reach
+from sassafrasdale.http.connections import ProbeResult
 from sassafrasdale.http.messages import Request
 
 log = Logger("suspects")
@@ -77,7 +77,7 @@
         name: str,
         ledger: StrikeLedger,
         trials: Trials,
-        time: TrueTime,
+        time: ClusterTime,
         clock: Clock,
         count: Callable[[str], None],
     ) -> None:
@@ -152,11 +152,11 @@
 
     def _probe_expired(self, record: EndpointRecord) -> None:
         reach = self._crash_detector.probe_repeatedly(record)
-        if reach is Reach.OPEN:
+        if reach is ProbeResult.OPEN:
             # It has lost its connection to the store, or is leaving.
             return
         self.record_crash(record.name)
-        if reach is Reach.UNANSWERED and record.connections:
+        if reach is ProbeResult.UNANSWERED and record.connections:
             self._abort_requests(record)
 
     def _abort_requests(self, record: EndpointRecord) -> None:
--- a/src/sassafrasdale/gateway/trials.py
+++ b/src/sassafrasdale/gateway/trials.py
@@ -15,7 +15,7 @@
 from sassafrasdale.coordination.exceptions import StoreError
 from sassafrasdale.coordination.stores import ABSENT, BaseStore
 from sassafrasdale.decisions.quarantine import is_trial_due
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 
 log = Logger("trials")
 
@@ -49,7 +49,7 @@
     :param time: cluster time.
     """
 
-    def __init__(self, store: BaseStore, time: TrueTime, clock: Clock) -> None:
+    def __init__(self, store: BaseStore, time: ClusterTime, clock: Clock) -> None:
         self._store = store
         self._time = time
         self._clock = clock
--- a/src/sassafrasdale/gateway/usage.py
+++ b/src/sassafrasdale/gateway/usage.py
@@ -59,7 +59,7 @@
     heard_at: timedelta
 
 
-class TrueTime:
+class ClusterTime:
     """Cluster time, which is immune to steps of one or most machines' clocks.
 
     It advances with the elapsed time. A gateway that starts adopts the time of gateways
@@ -86,7 +86,7 @@
         wall = self._clock.now().timestamp()
         return ClockReading(wall, self.seconds, self._age().total_seconds())
 
-    def hear(self, peer: str, reading: ClockReading) -> None:
+    def add_reading(self, peer: str, reading: ClockReading) -> None:
         """Add a reading that a peer has just sent."""
         elapsed = self._clock.elapsed().total_seconds()
         self._peers[peer] = _PeerClock(
@@ -96,7 +96,7 @@
             self._clock.elapsed(),
         )
 
-    def others(self, most: int) -> dict[str, ClockReading]:
+    def peer_readings(self, most: int) -> dict[str, ClockReading]:
         """Return readings of some other gateways, extrapolated to now, for a peer.
 
         Only recent ones: forwarded for longer, the clock of a stopped gateway would
@@ -116,7 +116,7 @@
             for name, peer in fresh[:most]
         }
 
-    def keep(self) -> None:
+    def update(self) -> None:
         """Drop peers without recent readings, and correct the time if necessary."""
         now = self._clock.elapsed()
         self._peers = {
@@ -171,7 +171,7 @@
     :param time: cluster time.
     """
 
-    def __init__(self, window: timedelta, time: TrueTime) -> None:
+    def __init__(self, window: timedelta, time: ClusterTime) -> None:
         self._window = window.total_seconds()
         self._time = time
         self._counts: dict[int, dict[str, int]] = {}
@@ -212,7 +212,7 @@
         """Version of the ledger, incremented by each change."""
         return self._version
 
-    def take(
+    def merge(
         self, gateway: str, incarnation: int, window: int, counts: Mapping[str, int]
     ) -> None:
         """Merge one incarnation's counts of a window."""
--- a/src/sassafrasdale/http/connections.py
+++ b/src/sassafrasdale/http/connections.py
@@ -16,16 +16,16 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.green import connect, receive, spawn
 from sassafrasdale.http.exceptions import (
-    AnswerTimeout,
     ConnectionLost,
     ConnectionRefused,
-    MalformedAnswer,
+    MalformedResponse,
     NotConnected,
+    ResponseTimeout,
 )
 from sassafrasdale.http.messages import (
-    Answer,
-    AnswerHead,
     Request,
+    Response,
+    ResponseHead,
     decoded_headers,
     encoded_headers,
 )
@@ -44,7 +44,7 @@
 KEEP_ALIVE_MARGIN = timedelta(seconds=1)
 
 
-class Reach(Enum):
+class ProbeResult(Enum):
     """Result of a connection probe."""
 
     OPEN = auto()
@@ -71,7 +71,7 @@
         self._sock = sock
         self._clock = clock
         self._codec = h11.Connection(h11.CLIENT)
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._events: list[h11.Request | h11.Data | h11.EndOfMessage] = []
         self._closed = False
         self._sending = False
@@ -159,7 +159,7 @@
 
     def read_head(
         self, deadline: timedelta, *, echoed: tuple[str, str] | None = None
-    ) -> AnswerHead:
+    ) -> ResponseHead:
         """Return the response's status and headers.
 
         :param deadline: elapsed time until which to wait.
@@ -176,7 +176,7 @@
                 self._head = head
                 return head
             self._skip_response(deadline)
-        raise MalformedAnswer("too many responses to other requests")
+        raise MalformedResponse("too many responses to other requests")
 
     def read_data(self, deadline: timedelta) -> bytes:
         """Return the next part of the body, or no bytes at its end.
@@ -201,7 +201,7 @@
             parts.append(data)
             size += len(data)
             if size > MAX_BODY_BYTES:
-                raise MalformedAnswer(f"the body is over {MAX_BODY_BYTES} bytes")
+                raise MalformedResponse(f"the body is over {MAX_BODY_BYTES} bytes")
         return b"".join(parts)
 
     def close(self) -> None:
@@ -239,16 +239,18 @@
                     limit - KEEP_ALIVE_MARGIN, limit / 2
                 )
 
-    def _next_head(self, deadline: timedelta) -> AnswerHead:
+    def _next_head(self, deadline: timedelta) -> ResponseHead:
         while True:
             event = self._next_event(deadline)
             match event:
                 case h11.InformationalResponse():
                     continue
                 case h11.Response():
-                    return AnswerHead(event.status_code, decoded_headers(event.headers))
+                    return ResponseHead(
+                        event.status_code, decoded_headers(event.headers)
+                    )
                 case _:
-                    raise MalformedAnswer("expected the head of a response")
+                    raise MalformedResponse("expected the head of a response")
 
     def _skip_response(self, deadline: timedelta) -> None:
         """Skip a response to another request, and restart the codec after it."""
@@ -271,7 +273,7 @@
             except h11.RemoteProtocolError as error:
                 if self._closed_by_peer:
                     raise ConnectionLost(str(error)) from error
-                raise MalformedAnswer(str(error)) from error
+                raise MalformedResponse(str(error)) from error
             if isinstance(event, h11.ConnectionClosed):
                 raise ConnectionLost("the connection was closed without a response")
             return event
@@ -279,14 +281,14 @@
     def _receive(self, deadline: timedelta) -> bytes:
         time_left = deadline - self._clock.elapsed()
         if time_left <= timedelta():
-            raise AnswerTimeout("no answer in time")
+            raise ResponseTimeout("no answer in time")
         if self._closed:
             raise ConnectionLost("closed on this side")
         self._reading = True
         try:
             data = receive(self._sock, READ_BYTES, time_left)
         except TimeoutError as error:
-            raise AnswerTimeout("no answer in time") from error
+            raise ResponseTimeout("no answer in time") from error
         except OSError as error:
             raise ConnectionLost(str(error)) from error
         finally:
@@ -338,7 +340,7 @@
         self._opened = opened
         self._idle: list[HttpConnection] = []
 
-    def take(self, newest_use: timedelta | None = None) -> HttpConnection:
+    def acquire(self, newest_use: timedelta | None = None) -> HttpConnection:
         """Return a usable connection, an idle one or a new one.
 
         :param newest_use: maximum idle time of a reused connection.
@@ -354,7 +356,7 @@
         self._opened()
         return HttpConnection.open(self._address, self._connect_limit, self._clock)
 
-    def look(self) -> Reach:
+    def probe(self) -> ProbeResult:
         """Return the result of opening a new connection to the server.
 
         An open connection is kept in the pool.
@@ -365,13 +367,13 @@
                 self._address, self._connect_limit, self._clock
             )
         except ConnectionRefused:
-            return Reach.REFUSED
+            return ProbeResult.REFUSED
         except NotConnected:
-            return Reach.UNANSWERED
+            return ProbeResult.UNANSWERED
         self._idle.append(connection)
-        return Reach.OPEN
+        return ProbeResult.OPEN
 
-    def give_back(self, connection: HttpConnection) -> None:
+    def release(self, connection: HttpConnection) -> None:
         """Return a connection to the pool, or close it if it can't be reused."""
         if connection.is_reusable:
             self._idle.append(connection)
@@ -410,7 +412,7 @@
         """Address of the server."""
         return self._address
 
-    def call(self, request: Request, limit: timedelta) -> Answer:
+    def call(self, request: Request, limit: timedelta) -> Response:
         """Return the response to a request.
 
         :raises NotConnected: if nothing was sent.
@@ -418,7 +420,7 @@
             the request.
         """
         deadline = self._clock.elapsed() + limit
-        connection = self._pool.take()
+        connection = self._pool.acquire()
         self._active.add(connection)
         try:
             connection.send(self._with_host(request))
@@ -432,8 +434,8 @@
             raise
         finally:
             self._active.discard(connection)
-        self._pool.give_back(connection)
-        return Answer(head.status, head.headers, body)
+        self._pool.release(connection)
+        return Response(head.status, head.headers, body)
 
     def close(self) -> None:
         """Close the idle connections."""
--- a/src/sassafrasdale/http/exceptions.py
+++ b/src/sassafrasdale/http/exceptions.py
@@ -19,11 +19,11 @@
     """The peer closed or reset the connection before the message was complete."""
 
 
-class AnswerTimeout(HttpError):
+class ResponseTimeout(HttpError):
     """No response arrived before the deadline."""
 
 
-class MalformedAnswer(HttpError):
+class MalformedResponse(HttpError):
     """The server sent bytes that are not a valid response."""
 
 
@@ -38,5 +38,5 @@
         self.status = status
 
 
-class CallerGone(HttpError):
+class CallerDisconnected(HttpError):
     """The caller closed its connection."""
--- a/src/sassafrasdale/http/messages.py
+++ b/src/sassafrasdale/http/messages.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of a response whose body is read separately."""
 
     status: int
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A response with its whole body."""
 
     status: int
--- a/src/sassafrasdale/http/server.py
+++ b/src/sassafrasdale/http/server.py
@@ -16,7 +16,7 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.green import Empty, Queue, receive, sleep, spawn
-from sassafrasdale.http.exceptions import CallerGone, MalformedRequest
+from sassafrasdale.http.exceptions import CallerDisconnected, MalformedRequest
 from sassafrasdale.http.messages import (
     Headers,
     Request,
@@ -72,7 +72,7 @@
         self._unsent_head = b""
 
     @property
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the caller has closed its connection."""
         return self._disconnected
 
@@ -82,11 +82,11 @@
         return self._busy
 
     @property
-    def head_sent(self) -> bool:
+    def response_started(self) -> bool:
         """Whether a response has started."""
         return self._head_sent
 
-    def when_gone(self, callback: Callable[[], None] | None) -> None:
+    def on_disconnect(self, callback: Callable[[], None] | None) -> None:
         """Set a callback for the caller's disconnect; None removes it."""
         self._on_disconnect = callback
         if self._disconnected and callback is not None:
@@ -100,7 +100,7 @@
             while self._serve_one():
                 pass
             self._linger()
-        except CallerGone:
+        except CallerDisconnected:
             pass
         finally:
             reader.kill()
@@ -184,7 +184,7 @@
     def _flush(self, data: bytes) -> None:
         data, self._unsent_head = self._unsent_head + data, b""
         if self._disconnected:
-            raise CallerGone
+            raise CallerDisconnected
         if not data:
             return
         try:
@@ -192,7 +192,7 @@
             self._sock.sendall(data)
         except (OSError, EOFError) as error:
             self._handle_disconnect()
-            raise CallerGone from error
+            raise CallerDisconnected from error
 
     def _read(self) -> None:
         """Read bytes for the parser, and detect the end of the connection."""
@@ -230,7 +230,7 @@
             self._server.handle(self, request)
         finally:
             self._busy = False
-            self.when_gone(None)
+            self.on_disconnect(None)
         return not self._aborted and self._start_next_cycle()
 
     def _start_next_cycle(self) -> bool:
@@ -296,7 +296,7 @@
                 case _:
                     data = self._wait_for_bytes(limits.idle_timeout)
                     if not data:
-                        raise CallerGone
+                        raise CallerDisconnected
                     self._codec.receive_data(data)
 
     def _check(self, head: h11.Request, headers: Headers) -> None:
--- a/src/sassafrasdale/late_metrics.py
+++ b/src/sassafrasdale/late_metrics.py
@@ -17,7 +17,7 @@
 MAX_BUFFERED_DURATIONS = 10_000
 
 
-class LateMetrics:
+class LazyMetrics:
     """Metrics of a gateway, buffered for :class:`~sassafrasdale.metrics.Metrics`.
 
     :param name: name of the gateway.
--- a/src/sassafrasdale/platform/configuration.py
+++ b/src/sassafrasdale/platform/configuration.py
@@ -125,7 +125,7 @@
         prefix=route.prefix,
         kind=route.kind,
         services=tuple(WeightedService(part.service, part.weight) for part in parts),
-        max_sends=max(1, route.max_tries),
+        max_attempts=max(1, route.max_tries),
         timeout=timedelta(milliseconds=route.timeout_ms),
         priority=route.priority,
         public=route.no_auth,
@@ -153,8 +153,8 @@
 
 def _scale(scale: _Scale) -> ScaleBounds:
     return ScaleBounds(
-        least=scale.min,
-        most=scale.max,
+        min_endpoints=scale.min,
+        max_endpoints=scale.max,
         start_time=timedelta(seconds=scale.boot_s),
         reclaimable_price=scale.spot_price,
         zone_prices=dict(scale.zone_prices),
@@ -168,7 +168,7 @@
         rate=tenant.rate_per_s,
         burst=tenant.burst,
         counts_tokens=tenant.unit == "tokens",
-        plain_tokens=tenant.plain_tokens,
+        default_tokens=tenant.plain_tokens,
         priority=tenant.priority,
     )
 
--- a/src/sassafrasdale/platform/duties.py
+++ b/src/sassafrasdale/platform/duties.py
@@ -7,7 +7,7 @@
 from sassafrasdale.clock import Clock
 from sassafrasdale.http.connections import HttpClient
 from sassafrasdale.http.exceptions import HttpError
-from sassafrasdale.http.messages import Answer, Request
+from sassafrasdale.http.messages import Request, Response
 from sassafrasdale.platform.exceptions import (
     DutyCallFailed,
     DutyCallRefused,
@@ -74,7 +74,7 @@
             )
         raise DutyCallRefused("orders: a newer fencing number was seen")
 
-    def _post(self, target: str, document: dict, fencing_number: int) -> Answer:
+    def _post(self, target: str, document: dict, fencing_number: int) -> Response:
         headers = (
             ("content-type", "application/json"),
             ("duty-holder", self._holder),
--- a/src/sassafrasdale/platform/headers.py
+++ b/src/sassafrasdale/platform/headers.py
@@ -6,7 +6,7 @@
 
 from sassafrasdale.clock import milliseconds
 from sassafrasdale.deployment import PromptPart, RequestTraits
-from sassafrasdale.http.messages import AnswerHead, Headers, Request
+from sassafrasdale.http.messages import Headers, Request, ResponseHead
 from sassafrasdale.platform.exceptions import ValueMalformed
 from sassafrasdale.structures import Address
 
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointOrder:
+class EndpointHeaders:
     """Values that the gateway sends to an endpoint in the headers of a request.
 
     :param endpoint: name of the intended endpoint; any other one rejects the request.
@@ -102,7 +102,7 @@
     )
 
 
-def endpoint_request(request: Request, order: EndpointOrder) -> Request:
+def endpoint_request(request: Request, order: EndpointHeaders) -> Request:
     """Return the request to send to an endpoint for a caller's request."""
     left = max(1, milliseconds(order.time_left))
     headers = [
@@ -121,17 +121,17 @@
     return Request(request.method, request.target, tuple(headers), request.body)
 
 
-def caller_headers(head: AnswerHead) -> Headers:
+def caller_headers(head: ResponseHead) -> Headers:
     """Return an endpoint's headers without hop-by-hop headers, for the caller."""
     return tuple(_forwarded(head.headers, frozenset()))
 
 
-def says_not_run(head: AnswerHead) -> bool:
+def states_not_run(head: ResponseHead) -> bool:
     """Return whether an endpoint states that it did not run the request."""
     return bool(head.header(_NOT_RUN)) or head.status == _MISDIRECTED
 
 
-def is_signed(head: AnswerHead) -> bool:
+def is_signed(head: ResponseHead) -> bool:
     """Return whether a response has an endpoint's signature header."""
     return bool(head.header(_SIGNATURE))
 
--- a/src/sassafrasdale/platform/settings.py
+++ b/src/sassafrasdale/platform/settings.py
@@ -137,7 +137,7 @@
         orders_endpoints=SCALE_DUTY in duties,
         bounds=_bounds(file.bounds, file.platform),
         # The file's number of cores stands for the relative speed of one core.
-        power=file.limits.cpu_share * file.limits.cores,
+        cpu_cores=file.limits.cpu_share * file.limits.cores,
     )
 
 
@@ -154,5 +154,5 @@
         min_lease=timedelta(milliseconds=store.ttl_min_ms),
         configuration_delay=timedelta(milliseconds=bounds.config_apply_ms),
         checks_fencing=bounds.require_fence,
-        trial_share=bounds.canary_share,
+        canary_share=bounds.canary_share,
     )
--- a/src/sassafrasdale/platform/store.py
+++ b/src/sassafrasdale/platform/store.py
@@ -28,7 +28,7 @@
 )
 from sassafrasdale.http.connections import HttpClient
 from sassafrasdale.http.exceptions import HttpError, NotConnected
-from sassafrasdale.http.messages import Answer, Request
+from sassafrasdale.http.messages import Request, Response
 from sassafrasdale.structures import Address
 
 # The store normally answers in milliseconds. A longer call has lost its response, or
@@ -253,7 +253,7 @@
             )
         return tuple(Swap(True, document["rev"]) for _ in conditions)
 
-    def _transaction(self, body: dict) -> Answer:
+    def _transaction(self, body: dict) -> Response:
         return self._call("POST", "/v1/kv-txn", body)
 
     def _call(
@@ -264,7 +264,7 @@
         *,
         limit: timedelta = CALL_LIMIT,
         client: HttpClient | None = None,
-    ) -> Answer:
+    ) -> Response:
         data = b"" if body is None else json.dumps(body).encode()
         request = Request(method, target, _JSON if data else (), data)
         try:
@@ -290,7 +290,7 @@
     return written
 
 
-def _document(response: Answer, also: tuple[int, ...] = ()) -> dict:
+def _document(response: Response, also: tuple[int, ...] = ()) -> dict:
     if response.status != 200 and response.status not in also:
         raise StoreRejected(f"the store answered {response.status}")
     try:
--- a/src/sassafrasdale/requests/ledger.py
+++ b/src/sassafrasdale/requests/ledger.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from sassafrasdale.burn import BurnBook, burns_to_json
+from sassafrasdale.burn import BurnCounters, burns_to_json
 from sassafrasdale.clock import Clock
 from sassafrasdale.metrics import Metrics
 from sassafrasdale.requests.generation import Generation
@@ -29,7 +29,7 @@
     def __init__(self, metrics: Metrics, clock: Clock) -> None:
         self._metrics = metrics
         self._clock = clock
-        self._burn_counters = BurnBook()
+        self._burn_counters = BurnCounters()
         self._services: dict[str, Service] = {}
 
     def set_text(self, text: Text) -> None:
--- a/src/sassafrasdale/signals.py
+++ b/src/sassafrasdale/signals.py
@@ -15,7 +15,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-def heed_signals(handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
+def handle_signals(handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
     """Install handlers and unblock the signals, which delivers pending ones."""
     for number, handle in handlers.items():
         signal.signal(number, _handler(handle))
--- a/src/sassafrasdale/tasks.py
+++ b/src/sassafrasdale/tasks.py
@@ -13,7 +13,7 @@
 RESTART_DELAY = timedelta(seconds=1)
 
 
-def run_for_good(task: Callable[[], None]) -> None:
+def run_forever(task: Callable[[], None]) -> None:
     """Run a task for ever, restarting it after an unexpected error.
 
     Otherwise an error would silently end the task, and its process would go on without,
--- a/standins/gateway_endpoints.py
+++ b/standins/gateway_endpoints.py
@@ -9,7 +9,7 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.green import listen, sleep, spawn
-from sassafrasdale.http.exceptions import CallerGone
+from sassafrasdale.http.exceptions import CallerDisconnected
 from sassafrasdale.http.messages import Request
 from sassafrasdale.http.server import HttpServer, ServerConnection
 from sassafrasdale.structures import Address
@@ -199,7 +199,7 @@
                 sleep(PLAIN_TIME * slowdown)
                 record = {"target": request.target, "by": self._name}
                 connection.answer(200, headers, json.dumps(record).encode())
-        except CallerGone:
+        except CallerDisconnected:
             return
         finally:
             self._connections.discard(connection)
--- a/standins/kv_store.py
+++ b/standins/kv_store.py
@@ -117,7 +117,7 @@
         connection.answer(status, [("content-type", "application/json")], body)
 
     def _withhold_response(self, connection: ServerConnection) -> None:
-        while not connection.is_gone:
+        while not connection.is_disconnected:
             sleep(POLL)
 
     def _route(
@@ -171,7 +171,11 @@
                 for revision, key in self._history
                 if revision > after and key.startswith(query["prefix"])
             ]
-            if events or self._clock.elapsed() >= deadline or connection.is_gone:
+            if (
+                events
+                or self._clock.elapsed() >= deadline
+                or connection.is_disconnected
+            ):
                 return 200, {"events": events, "at": self._revision}
             sleep(POLL)
 
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -21,10 +21,10 @@
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.roster import Roster
 from sassafrasdale.gateway.strike_news import StrikeReplicator
-from sassafrasdale.gateway.usage import ClockReading, TrueTime, UsageLedger
+from sassafrasdale.gateway.usage import ClockReading, ClusterTime, UsageLedger
 from sassafrasdale.green import sleep
-from sassafrasdale.http.exceptions import AnswerTimeout, NotConnected
-from sassafrasdale.http.messages import Answer, Request
+from sassafrasdale.http.exceptions import NotConnected, ResponseTimeout
+from sassafrasdale.http.messages import Request, Response
 
 WORK_WINDOW = timedelta(seconds=5)
 STEP = timedelta(milliseconds=20)
@@ -101,7 +101,7 @@
         self._fleet = fleet
         self._name = name
 
-    def _call(self, to: Contact, request: Request) -> Answer:
+    def _call(self, to: Contact, request: Request) -> Response:
         return self._fleet.deliver(self._name, to.name, request)
 
 
@@ -128,7 +128,7 @@
         self.strikes = StrikeLedger()
         self.received = RecordingListener(self)
         self.due_at = fleet.clock.elapsed()
-        self.time = TrueTime(fleet.clock)
+        self.time = ClusterTime(fleet.clock)
         own = contact(name, zone, incarnation)
         self.roster = Roster(own, fleet.clock)
         context = PeerContext(
@@ -219,13 +219,13 @@
         self.cuts.clear()
         self.paused.clear()
 
-    def deliver(self, sender: str, receiver: str, request: Request) -> Answer:
+    def deliver(self, sender: str, receiver: str, request: Request) -> Response:
         """Deliver a request, and return the response."""
         if receiver in self.down:
             raise NotConnected("refused")
         lost = {(sender, receiver), (receiver, sender)} & self.cuts
         if lost or receiver in self.paused:
-            raise AnswerTimeout("no answer in time")
+            raise ResponseTimeout("no answer in time")
         self.calls.append((sender, receiver))
         response = self.nodes[receiver].peering._handle(request)
         size = len(request.body) + len(response.body)
@@ -263,7 +263,7 @@
 
 def no_rollouts(clock: Clock) -> Rollouts:
     """Return the rollouts of a gateway that knows of none."""
-    return Rollouts(0.1, lambda service: [], TrueTime(clock), clock, Random(1))
+    return Rollouts(0.1, lambda service: [], ClusterTime(clock), clock, Random(1))
 
 
 def single_peering(clock: Clock, rng: Random) -> Peering:
@@ -272,7 +272,7 @@
     own = LocalState(
         lambda own: member(own.name), dict, dict, lambda prefix, since: None
     )
-    time = TrueTime(clock)
+    time = ClusterTime(clock)
     strikes = StrikeReplicator(StrikeLedger(), roster.own.incarnation)
     context = PeerContext(
         own,
--- a/tests/gateway/test_crash_detection.py
+++ b/tests/gateway/test_crash_detection.py
@@ -8,7 +8,7 @@
 from sassafrasdale.gateway.crash_detection import CrashDetector
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.green import sleep, spawn
-from sassafrasdale.http.connections import Reach
+from sassafrasdale.http.connections import ProbeResult
 from sassafrasdale.structures import Address
 from tests.gateway.world import PowerLossEndpoint
 from tests.http.wires import serve_raw
@@ -39,7 +39,7 @@
     opened = []
     record = record_at(serve_raw(hold), lambda: opened.append(1))
     assert not CrashDetector(CLOCK).has_crashed(record)
-    record.pool.take()
+    record.pool.acquire()
     assert len(opened) == 1
 
 
@@ -75,7 +75,7 @@
     sleep(timedelta(milliseconds=50))
     record = record_at(dark.address)
     assert not CrashDetector(CLOCK).has_crashed(record)
-    assert CrashDetector(CLOCK).probe_repeatedly(record) is Reach.UNANSWERED
+    assert CrashDetector(CLOCK).probe_repeatedly(record) is ProbeResult.UNANSWERED
     sock.close()
     dark.close()
 
@@ -83,5 +83,5 @@
 def test_an_endpoint_that_refuses_or_accepts_is_not_unreachable():
     refusing = record_at(refusing_address())
     living = record_at(serve_raw(lambda sock: sock.recv(1)))
-    assert CrashDetector(CLOCK).probe_repeatedly(refusing) is Reach.REFUSED
-    assert CrashDetector(CLOCK).probe_repeatedly(living) is Reach.OPEN
+    assert CrashDetector(CLOCK).probe_repeatedly(refusing) is ProbeResult.REFUSED
+    assert CrashDetector(CLOCK).probe_repeatedly(living) is ProbeResult.OPEN
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -32,7 +32,7 @@
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.peer_states import encode
 from sassafrasdale.gateway.placement import CacheEstimate, Placement
-from sassafrasdale.gateway.usage import TrueTime, UsageCounts
+from sassafrasdale.gateway.usage import ClusterTime, UsageCounts
 from sassafrasdale.structures import Address
 from tests.gateway.fleets import contact, no_rollouts, single_peering
 from tests.gateway.test_quotas import bounds
@@ -62,7 +62,7 @@
             cache,
             paces,
             single_peering(clock, rng),
-            UsageCounts(5 * SECOND, TrueTime(clock)),
+            UsageCounts(5 * SECOND, ClusterTime(clock)),
             lambda: CONFIGURATION,
             bounds(),
             clock,
--- a/tests/gateway/test_duties.py
+++ b/tests/gateway/test_duties.py
@@ -12,7 +12,7 @@
     OLDER_GATEWAY_PRIORITY,
     Duties,
 )
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.settings import decode_settings
 from tests.gateway.fleets import no_rollouts
@@ -59,7 +59,7 @@
             self.peers,
             tuple,
             no_rollouts(self.clock),
-            TrueTime(self.clock),
+            ClusterTime(self.clock),
             self.clock,
             Random(1),
             1,
@@ -123,7 +123,7 @@
         FakePeering(),
         tuple,
         no_rollouts(clock),
-        TrueTime(clock),
+        ClusterTime(clock),
         clock,
         Random(1),
         1,
--- a/tests/gateway/test_duty_model.py
+++ b/tests/gateway/test_duty_model.py
@@ -16,7 +16,7 @@
 from sassafrasdale.gateway.peer_states import UsageTotal
 from sassafrasdale.gateway.records import DutyRecord
 from sassafrasdale.gateway.scaling import ORDERS_FORM, ORDERS_RECORD, Scaler
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.platform.exceptions import DutyCallFailed, DutyCallRefused
 from tests.coordination.fakes import FakeStore
 from tests.gateway.duties import SECOND
@@ -92,7 +92,7 @@
             platform,
             DutyRecord(store, USAGE_RECORD, USAGE_ADAPTER),
             lambda window: UsageTotal({"lab": window + number}, 0.0),
-            TrueTime(clock),
+            ClusterTime(clock),
             clock,
             5 * SECOND,
             30 * SECOND,
--- a/tests/gateway/test_metering.py
+++ b/tests/gateway/test_metering.py
@@ -10,7 +10,7 @@
 from sassafrasdale.gateway.metering import USAGE_ADAPTER, USAGE_RECORD, UsageReporter
 from sassafrasdale.gateway.peer_states import UsageTotal
 from sassafrasdale.gateway.records import DutyRecord
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.platform.exceptions import DutyCallFailed
 from tests.gateway.duties import SECOND, Lease
 
@@ -57,7 +57,7 @@
 
     def __init__(self):
         self.clock = ManualClock()
-        self.time = TrueTime(self.clock)
+        self.time = ClusterTime(self.clock)
         self.store = Store()
         self.platform = Platform()
         self.leases = [Lease(3), Lease(0)]
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -14,7 +14,7 @@
     Report,
     encode,
 )
-from sassafrasdale.http.exceptions import AnswerTimeout
+from sassafrasdale.http.exceptions import ResponseTimeout
 from sassafrasdale.http.messages import Request
 from tests.gateway.fleets import Fleet, contact, member
 
@@ -245,7 +245,7 @@
     def lose_response(sender, receiver, request):
         response = deliver(sender, receiver, request)
         if sender in (asking, "c-0", "c-1", "c-2") and receiver == asked:
-            raise AnswerTimeout("no answer in time")
+            raise ResponseTimeout("no answer in time")
         return response
 
     fleet.deliver = lose_response
@@ -459,7 +459,7 @@
     name = next(other for other in fleet.nodes if other[0] == "a" and other != first)
     aggregator = fleet.nodes[first]
     for other, reading in aggregator.received.clocks.items():
-        aggregator.time.hear(other, reading)
+        aggregator.time.add_reading(other, reading)
     fleet.play(0.3)
     assert len(fleet.nodes[name].received.clocks) >= 3
 
--- a/tests/gateway/test_polling.py
+++ b/tests/gateway/test_polling.py
@@ -23,7 +23,7 @@
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.following import BATCH_DELAY, Follower
 from sassafrasdale.gateway.polling import SLOTS_PER_DELAY, Poller
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.store import (
     CALL_LIMIT,
@@ -136,7 +136,7 @@
             "p/", self.client, lambda revised: None, dependency, clock, rng
         )
         self.polling = Poller(
-            [self.follower], self.client, lambda: slot, TrueTime(clock), DELAY
+            [self.follower], self.client, lambda: slot, ClusterTime(clock), DELAY
         )
         self.tasks = [spawn(self.follower.run), spawn(self.polling.run)]
 
--- a/tests/gateway/test_quotas.py
+++ b/tests/gateway/test_quotas.py
@@ -16,7 +16,9 @@
 SECOND = timedelta(seconds=1)
 # Steps of 10 ms: when gateways are partitioned, and when demand moves to other ones.
 CUT, MOVED, END = 600, 700, 2000
-CUSTOMER = Customer("lab", frozenset(), 1000, 500, counts_tokens=True, plain_tokens=50)
+CUSTOMER = Customer(
+    "lab", frozenset(), 1000, 500, counts_tokens=True, default_tokens=50
+)
 
 
 def bounds(slack: float = 400) -> Bounds:
--- a/tests/gateway/test_rollout_model.py
+++ b/tests/gateway/test_rollout_model.py
@@ -27,7 +27,7 @@
 from sassafrasdale.gateway.peer_states import ReceivedGroup
 from sassafrasdale.gateway.rollout_duty import RolloutDuty
 from sassafrasdale.gateway.rollouts import Rollouts
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.platform.rollouts import decode_status, order_key, status_key
 from sassafrasdale.structures import Address
 from tests.gateway.fleets import group_of, member
@@ -116,7 +116,7 @@
         self.rng = Random(f"rollout {seed}")
         self.clock = ManualClock()
         self.clock.advance(100 * SECOND)
-        self.time = TrueTime(self.clock)
+        self.time = ClusterTime(self.clock)
         self.store = Store()
         self.failure_share = failure_share
         self.faulty_from = faulty_from
@@ -270,7 +270,7 @@
         for gateway in reachable:
             if stored is not None:
                 gateway.rollouts.take_status(stored[0], stored[1].mod_revision)
-        news = [gateway.rollouts.news() for gateway in reachable]
+        news = [gateway.rollouts.canary_reports() for gateway in reachable]
         for number, gateway in enumerate(reachable):
             states = [
                 member(f"g-{other}", trials=trials)
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -15,7 +15,7 @@
 from sassafrasdale.gateway.groups import Group
 from sassafrasdale.gateway.peer_states import ReceivedGroup
 from sassafrasdale.gateway.rollout import DELISTING_TIME
-from sassafrasdale.gateway.rollout_news import TrialNews, rows_of
+from sassafrasdale.gateway.rollout_news import CanaryReport, rows_of
 from sassafrasdale.gateway.rollouts import ROTATION_PERIOD
 from sassafrasdale.green import sleep, spawn
 from standins.gateway_fleet import wait_for
@@ -119,7 +119,7 @@
     served.order()
     served.set_status(RolloutState.RUNNING)
     served.start_new()
-    news = TrialNews("records", 5, condemned=True)
+    news = CanaryReport("records", 5, condemned=True)
     heard = group_of(member("b-1", trials=(news,)))
     served.rollouts.hear_groups([ReceivedGroup(heard)])
     served.ask_repeatedly(100)
@@ -130,7 +130,7 @@
     """Guards against a verdict on the first order that rejects the second."""
     served.order(revision=9)
     served.set_status(RolloutState.RUNNING, 10)
-    news = TrialNews("records", 5, condemned=True)
+    news = CanaryReport("records", 5, condemned=True)
     served.rollouts.hear_groups(
         [ReceivedGroup(group_of(member("b-1", trials=(news,))))]
     )
@@ -313,8 +313,8 @@
 
 def test_nothing_is_reported_while_no_rollout_is_open(served):
     """Guards against messages that stay larger after the first rollout."""
-    assert served.rollouts.news() == ()
+    assert served.rollouts.canary_reports() == ()
     served.order()
-    assert len(served.rollouts.news()) == 1
+    assert len(served.rollouts.canary_reports()) == 1
     served.set_status(RolloutState.COMPLETE)
-    assert served.rollouts.news() == ()
+    assert served.rollouts.canary_reports() == ()
--- a/tests/gateway/test_strike_records.py
+++ b/tests/gateway/test_strike_records.py
@@ -17,7 +17,7 @@
     StrikeRecords,
 )
 from sassafrasdale.gateway.trials import TRIALS_PREFIX, Trials
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from tests.coordination.fakes import FakeStore
 from tests.decisions.test_quarantine import strike
 
@@ -38,7 +38,7 @@
         self.clock = store.clock
         self.ledger = StrikeLedger(most)
         self.peering = Peering()
-        self.time = TrueTime(self.clock)
+        self.time = ClusterTime(self.clock)
         self.trials = Trials(store, self.time, self.clock)
         self.records = StrikeRecords(
             name,
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_suspects.py
@@ -12,7 +12,7 @@
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep
 from sassafrasdale.http.messages import Request
 from sassafrasdale.structures import Address
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.events: list[str] = []
         self.ledger = StrikeLedger()
-        time = TrueTime(CLOCK)
+        time = ClusterTime(CLOCK)
         self.store = FakeStore(CLOCK)
         self.suspects = RequestQuarantine(
             "g-1",
--- a/tests/gateway/test_trials.py
+++ b/tests/gateway/test_trials.py
@@ -6,7 +6,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.gateway.trials import MIN_QUERY_INTERVAL, Trials
-from sassafrasdale.gateway.usage import TrueTime
+from sassafrasdale.gateway.usage import ClusterTime
 from tests.coordination.fakes import FakeStore
 
 DAY = timedelta(days=1)
@@ -19,7 +19,7 @@
     def __init__(self, gateways: int) -> None:
         self.clock = ManualClock()
         self.store = FakeStore(self.clock)
-        self.time = TrueTime(self.clock)
+        self.time = ClusterTime(self.clock)
         self.trials = [
             Trials(self.store, self.time, self.clock) for _ in range(gateways)
         ]
--- a/tests/gateway/test_usage.py
+++ b/tests/gateway/test_usage.py
@@ -8,7 +8,7 @@
 from sassafrasdale.gateway.usage import (
     RETAINED_WINDOWS,
     ClockReading,
-    TrueTime,
+    ClusterTime,
     UsageCounts,
     UsageLedger,
 )
@@ -29,7 +29,7 @@
 
 def test_requests_count_in_the_window_of_their_start():
     clock = SteppedClock()
-    counts = UsageCounts(WINDOW, TrueTime(clock))
+    counts = UsageCounts(WINDOW, ClusterTime(clock))
     first = counts.current_window()
     counts.add("lab")
     clock.advance(WINDOW)
@@ -43,10 +43,10 @@
 
     def __init__(self, count):
         self.clocks = [SteppedClock() for _ in range(count)]
-        self.times = [TrueTime(clock) for clock in self.clocks]
+        self.times = [ClusterTime(clock) for clock in self.clocks]
 
     def restart(self, number):
-        self.times[number] = TrueTime(self.clocks[number])
+        self.times[number] = ClusterTime(self.clocks[number])
 
     def pass_time(self, span):
         for _ in range(int(span / timedelta(seconds=1))):
@@ -57,8 +57,8 @@
             for number, time in enumerate(self.times):
                 for peer in names:
                     if peer != number:
-                        time.hear(str(peer), readings[peer])
-                time.keep()
+                        time.add_reading(str(peer), readings[peer])
+                time.update()
 
     def errors(self):
         """Return the error of each cluster time, in seconds."""
@@ -130,38 +130,38 @@
     window is reported.
     """
     ledger = UsageLedger()
-    ledger.take("a", 1, 7, {"lab": 5})
-    ledger.take("a", 2, 7, {"lab": 1})
-    ledger.take("b", 1, 7, {"lab": 2, "ward": 1})
+    ledger.merge("a", 1, 7, {"lab": 5})
+    ledger.merge("a", 2, 7, {"lab": 1})
+    ledger.merge("b", 1, 7, {"lab": 2, "ward": 1})
     assert ledger.total(7) == {"lab": 8, "ward": 1}
 
 
 def test_old_windows_are_dropped():
     ledger = UsageLedger()
-    ledger.take("a", 1, 7, {"lab": 5})
-    ledger.take("a", 1, 7 + RETAINED_WINDOWS, {"lab": 1})
+    ledger.merge("a", 1, 7, {"lab": 5})
+    ledger.merge("a", 1, 7 + RETAINED_WINDOWS, {"lab": 1})
     assert ledger.total(7) == {}
-    ledger.take("a", 1, 7, {"lab": 9})
+    ledger.merge("a", 1, 7, {"lab": 9})
     assert ledger.total(7) == {}
 
 
 def test_counts_that_arrive_twice_late_or_by_two_routes_count_once():
     """Guards against double billing when two gateways forward the same counts."""
     ledger = UsageLedger()
-    ledger.take("a", 1, 7, {"lab": 5, "ward": 1})
-    ledger.take("a", 1, 7, {"lab": 3})
-    ledger.take("a", 1, 7, {"lab": 5, "ward": 2})
+    ledger.merge("a", 1, 7, {"lab": 5, "ward": 1})
+    ledger.merge("a", 1, 7, {"lab": 3})
+    ledger.merge("a", 1, 7, {"lab": 5, "ward": 2})
     assert ledger.total(7) == {"lab": 5, "ward": 2}
 
 
 def test_only_changed_rows_are_returned():
     ledger = UsageLedger()
-    ledger.take("a", 1, 7, {"lab": 5})
+    ledger.merge("a", 1, 7, {"lab": 5})
     seen = ledger.version
-    ledger.take("a", 1, 7, {"lab": 5})
+    ledger.merge("a", 1, 7, {"lab": 5})
     assert ledger.rows(seen) == []
-    ledger.take("b", 1, 7, {"lab": 2})
-    ledger.take("c", 1, 7, {"lab": 3})
+    ledger.merge("b", 1, 7, {"lab": 2})
+    ledger.merge("c", 1, 7, {"lab": 3})
     assert ledger.rows(seen, {"b"}) == [("b", 1, 7, {"lab": 2})]
     assert len(ledger.rows(0)) == 3
 
@@ -169,9 +169,9 @@
 def test_the_clock_of_a_stopped_gateway_is_not_forwarded():
     """Guards against a last reading that gateways forward to each other for ever."""
     clock = SteppedClock()
-    time = TrueTime(clock)
-    time.hear("b", ClockReading(5.0, 6.0, 2.0))
+    time = ClusterTime(clock)
+    time.add_reading("b", ClockReading(5.0, 6.0, 2.0))
     clock.advance(timedelta(milliseconds=500))
-    assert time.others(9) == {"b": ClockReading(5.5, 6.5, 2.5)}
+    assert time.peer_readings(9) == {"b": ClockReading(5.5, 6.5, 2.5)}
     clock.advance(timedelta(seconds=1))
-    assert time.others(9) == {}
+    assert time.peer_readings(9) == {}
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -19,7 +19,7 @@
 from sassafrasdale.gateway.routing import RouteTable
 from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
-from sassafrasdale.gateway.usage import TrueTime, UsageCounts
+from sassafrasdale.gateway.usage import ClusterTime, UsageCounts
 from sassafrasdale.green import listen, spawn
 from sassafrasdale.http.server import HttpServer
 from sassafrasdale.metrics import Metrics
@@ -27,7 +27,7 @@
 from sassafrasdale.platform.settings import decode_settings
 from tests.coordination.fakes import FakeStore
 from tests.gateway.fleets import single_peering
-from tests.http.wires import LOOPBACK, RawCaller, bound, read_request, serve_raw
+from tests.http.wires import LOOPBACK, RawCaller, bound_address, read_request, serve_raw
 from tests.platform.documents import configuration, settings
 
 CLOCK = SystemClock()
@@ -119,7 +119,7 @@
         self._crashes = crashes
         self._events = events
         self._listener = listen(LOOPBACK)
-        self.address = bound(self._listener)
+        self.address = bound_address(self._listener)
         spawn(self._accept)
 
     def _accept(self) -> None:
@@ -159,7 +159,7 @@
     def __init__(self) -> None:
         self.requests: list[bytes] = []
         self._listener = listen(LOOPBACK, backlog=0)
-        self.address = bound(self._listener)
+        self.address = bound_address(self._listener)
         self._open: list[socket.socket] = []
         spawn(self._serve)
 
@@ -203,11 +203,11 @@
             on_restart=lambda name: self.suspects.record_crash(name),
             on_expiry=lambda record: self.suspects.handle_expiry(record),
         )
-        self.usage = UsageCounts(timedelta(seconds=5), TrueTime(CLOCK))
+        self.usage = UsageCounts(timedelta(seconds=5), ClusterTime(CLOCK))
         self.rollouts = Rollouts(
-            self.settings.bounds.trial_share,
+            self.settings.bounds.canary_share,
             self.directory.of_service,
-            TrueTime(CLOCK),
+            ClusterTime(CLOCK),
             CLOCK,
             self.rng,
         )
@@ -228,7 +228,7 @@
         )
         self.quotas = Quotas(self.settings.bounds, lambda: 1, CLOCK)
         self.strikes = StrikeLedger()
-        time = TrueTime(CLOCK)
+        time = ClusterTime(CLOCK)
         self.suspects = RequestQuarantine(
             "front-a-1",
             self.strikes,
@@ -251,7 +251,7 @@
         listener = listen(LOOPBACK)
         self.server = HttpServer(listener, self.frontend.handle, CLOCK)
         spawn(self.server.serve)
-        self.address = bound(listener)
+        self.address = bound_address(listener)
 
     def add(
         self,
--- a/tests/http/test_closes_model.py
+++ b/tests/http/test_closes_model.py
@@ -14,7 +14,7 @@
 from sassafrasdale.gateway.drain import Drain
 from sassafrasdale.green import listen, sleep, spawn
 from sassafrasdale.http.server import HttpServer
-from tests.http.wires import LOOPBACK, RawCaller, bound
+from tests.http.wires import LOOPBACK, RawCaller, bound_address
 
 CLOCK = SystemClock()
 MILLISECOND = timedelta(milliseconds=1)
@@ -66,7 +66,7 @@
             CLOCK,
             is_draining=lambda: self.stopped_at is not None,
         )
-        self.address = bound(listener)
+        self.address = bound_address(listener)
         spawn(self.server.serve)
 
     def handle(self, connection, request):
--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -9,10 +9,10 @@
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.http.connections import ConnectionPool, HttpClient, HttpConnection
 from sassafrasdale.http.exceptions import (
-    AnswerTimeout,
     ConnectionLost,
-    MalformedAnswer,
+    MalformedResponse,
     NotConnected,
+    ResponseTimeout,
 )
 from sassafrasdale.http.messages import Request
 from sassafrasdale.structures import Address
@@ -83,10 +83,10 @@
         sock.recv(10)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
-    connection = pool.take()
+    connection = pool.acquire()
     exchange(connection, "1")
     assert not connection.is_reusable
-    pool.give_back(connection)
+    pool.release(connection)
     assert connection.is_closed
 
 
@@ -101,11 +101,11 @@
         sock.recv(10)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
-    connection = pool.take()
+    connection = pool.acquire()
     exchange(connection, "1")
-    pool.give_back(connection)
+    pool.release(connection)
     sleep(timedelta(milliseconds=60))
-    assert pool.take() is not connection
+    assert pool.acquire() is not connection
     assert connection.is_closed
 
 
@@ -116,11 +116,11 @@
         sock.close()
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
-    connection = pool.take()
+    connection = pool.acquire()
     exchange(connection, "1")
-    pool.give_back(connection)
+    pool.release(connection)
     sleep(timedelta(milliseconds=40))
-    assert pool.take() is not connection
+    assert pool.acquire() is not connection
 
 
 def test_the_keep_alive_timeout_of_the_server_is_respected():
@@ -130,10 +130,10 @@
         sock.recv(10)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
-    connection = pool.take()
+    connection = pool.acquire()
     exchange(connection, "1")
-    pool.give_back(connection)
-    assert pool.take() is not connection
+    pool.release(connection)
+    assert pool.acquire() is not connection
 
 
 def test_an_unframed_response_ends_with_the_connection():
@@ -173,7 +173,7 @@
         sock.close()
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
-    with pytest.raises((ConnectionLost, MalformedAnswer)):
+    with pytest.raises((ConnectionLost, MalformedResponse)):
         exchange(connection, "1")
 
 
@@ -184,7 +184,7 @@
         sock.recv(10)
 
     connection = HttpConnection.open(serve_raw(script), LIMIT, CLOCK)
-    with pytest.raises(MalformedAnswer):
+    with pytest.raises(MalformedResponse):
         exchange(connection, "1")
 
 
@@ -193,7 +193,7 @@
         serve_raw(lambda sock: sock.recv(10) and sleep(LIMIT)), LIMIT, CLOCK
     )
     connection.send(make_request("1"))
-    with pytest.raises(AnswerTimeout):
+    with pytest.raises(ResponseTimeout):
         connection.read_head(CLOCK.elapsed() + timedelta(milliseconds=30))
 
 
@@ -249,11 +249,11 @@
         sleep(LIMIT)
 
     pool = ConnectionPool(serve_raw(script), LIMIT, CLOCK)
-    connection = pool.take()
+    connection = pool.acquire()
     connection.send(make_request("1", b"x" * 30_000_000))
     connection.read_head(deadline(), echoed=("request-id", "1"))
     assert connection.read_body(deadline()) == b"no"
-    pool.give_back(connection)
+    pool.release(connection)
     assert connection.is_closed
 
 
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -7,7 +7,7 @@
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.green import listen, sleep, spawn
 from sassafrasdale.http.server import HttpServer, ServerLimits
-from tests.http.wires import LOOPBACK, RawCaller, bound
+from tests.http.wires import LOOPBACK, RawCaller, bound_address
 
 CLOCK = SystemClock()
 
@@ -27,7 +27,7 @@
             **options,
         )
         spawn(self.server.serve)
-        self.address = bound(listener)
+        self.address = bound_address(listener)
 
     def handle(self, connection, request):
         self.requests.append(request)
@@ -120,7 +120,7 @@
     disconnects = []
 
     def handle(connection, request):
-        connection.when_gone(lambda: disconnects.append(CLOCK.elapsed()))
+        connection.on_disconnect(lambda: disconnects.append(CLOCK.elapsed()))
         sleep(timedelta(milliseconds=100))
 
     service = RecordingServer(handle)
--- a/tests/http/wires.py
+++ b/tests/http/wires.py
@@ -11,7 +11,7 @@
 LIMIT = timedelta(seconds=2)
 
 
-def bound(listener: socket.socket) -> Address:
+def bound_address(listener: socket.socket) -> Address:
     """Return the address to which a listener is bound."""
     host, port = listener.getsockname()
     return Address(host, port)
@@ -27,7 +27,7 @@
             spawn(script, sock)
 
     spawn(accept)
-    return bound(listener)
+    return bound_address(listener)
 
 
 def read_request(sock: socket.socket) -> bytes:
--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -23,7 +23,7 @@
     assert reports.repeatable
     assert reports.timeout == timedelta(seconds=8)
     assert public.public
-    assert public.max_sends == 3
+    assert public.max_attempts == 3
 
 
 def test_services_and_customers():
--- a/tests/platform/test_headers.py
+++ b/tests/platform/test_headers.py
@@ -6,19 +6,19 @@
 import pytest
 
 from sassafrasdale.deployment import PromptPart
-from sassafrasdale.http.messages import AnswerHead, Request
+from sassafrasdale.http.messages import Request, ResponseHead
 from sassafrasdale.platform.exceptions import ValueMalformed
 from sassafrasdale.platform.headers import (
-    EndpointOrder,
+    EndpointHeaders,
     caller_headers,
     endpoint_request,
     is_signed,
     read_traits,
-    says_not_run,
+    states_not_run,
 )
 from sassafrasdale.structures import Address
 
-ORDER = EndpointOrder("i-1", "lab-a", timedelta(milliseconds=750))
+ORDER = EndpointHeaders("i-1", "lab-a", timedelta(milliseconds=750))
 
 
 def request(**headers: str) -> Request:
@@ -114,7 +114,7 @@
 
 
 def test_an_endpoints_headers_are_forwarded_to_the_caller():
-    head = AnswerHead(
+    head = ResponseHead(
         200,
         (
             ("replica-stamp", "s"),
@@ -131,14 +131,14 @@
 @pytest.mark.parametrize(
     ("head", "expected"),
     [
-        (AnswerHead(503, (("not-run", "1"),)), True),
-        (AnswerHead(421), True),
-        (AnswerHead(503), False),
-        (AnswerHead(500), False),
+        (ResponseHead(503, (("not-run", "1"),)), True),
+        (ResponseHead(421), True),
+        (ResponseHead(503), False),
+        (ResponseHead(500), False),
     ],
 )
 def test_not_run_requires_a_statement_of_the_endpoint(head, expected):
-    assert says_not_run(head) is expected
+    assert states_not_run(head) is expected
 
 
 def test_an_engine_gets_the_address_to_fetch_a_prompt_from():
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -20,7 +20,7 @@
     """Guards against a gateway that does not start with a canary share of zero."""
     fields = settings()
     fields["bounds"]["canaryShare"] = share
-    assert decode_settings(fields).bounds.trial_share == share
+    assert decode_settings(fields).bounds.canary_share == share
 
 
 def test_values_come_from_the_file():
--- a/tests/test_burn.py
+++ b/tests/test_burn.py
@@ -7,8 +7,8 @@
 from sassafrasdale.burn import (
     BUCKET,
     WINDOWS,
-    BurnBook,
     BurnCounter,
+    BurnCounters,
     ServiceBurn,
     WindowCount,
     burns_to_json,
@@ -52,7 +52,7 @@
 
 
 def test_services_that_remain_keep_their_counts():
-    counters = BurnBook()
+    counters = BurnCounters()
     counters.set_objectives({"reports": 0.95, "records": 0.99})
     counters.record("reports", MINUTE, in_time=False)
     counters.record("records", MINUTE, in_time=True)
--- a/tests/test_late_metrics.py
+++ b/tests/test_late_metrics.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from sassafrasdale.late_metrics import MAX_BUFFERED_DURATIONS, LateMetrics
+from sassafrasdale.late_metrics import MAX_BUFFERED_DURATIONS, LazyMetrics
 from sassafrasdale.metrics import Metrics
 
 SECOND = timedelta(seconds=1)
@@ -17,7 +17,7 @@
 
 
 def test_the_page_equals_that_of_directly_recorded_metrics():
-    lazy = LateMetrics("front-a-1", "a")
+    lazy = LazyMetrics("front-a-1", "a")
     direct = Metrics("front-a-1", "a")
     record_requests(lazy)
     record_requests(direct)
@@ -30,7 +30,7 @@
 
 def test_the_buffer_before_the_first_scrape_is_bounded():
     """Guards against unbounded memory growth of a gateway without scrapes."""
-    lazy = LateMetrics("front-a-1", "a")
+    lazy = LazyMetrics("front-a-1", "a")
     for _ in range(MAX_BUFFERED_DURATIONS + 500):
         lazy.request_began("models")
         lazy.request_ended("models", "answered", SECOND)
--- a/tests/test_tasks.py
+++ b/tests/test_tasks.py
@@ -4,7 +4,7 @@
 
 from sassafrasdale import tasks
 from sassafrasdale.green import Queue, spawn
-from sassafrasdale.tasks import run_for_good
+from sassafrasdale.tasks import run_forever
 
 
 def test_a_failed_task_is_restarted(monkeypatch):
@@ -16,7 +16,7 @@
         starts.put(None)
         raise ValueError("unforeseen")
 
-    running = spawn(run_for_good, fail)
+    running = spawn(run_forever, fail)
     for _ in range(3):
         starts.get(timeout=2)
     running.kill()
