--- a/bench/claim_outages.py
+++ b/bench/claim_outages.py
@@ -15,7 +15,7 @@
 from statistics import quantiles
 from uuid import uuid4
 
-from tests.guarantees.certificates import Deployment, Told, deployment
+from tests.guarantees.certificates import Deployment, Reply, deployment
 
 OUTAGES = ("refuse", "close", "silent")
 RATE = 20
@@ -23,7 +23,7 @@
 POLL_INTERVAL = timedelta(milliseconds=20)
 
 
-def timed_issue(system: Deployment) -> tuple[Told, float]:
+def timed_issue(system: Deployment) -> tuple[Reply, float]:
     """Ask for a certificate; return the reported outcome and the time in ms."""
     began = time.monotonic()
     reply = system.issue(system.entries[0], uuid4().hex, DEADLINE)
--- a/bench/load/__main__.py
+++ b/bench/load/__main__.py
@@ -62,9 +62,9 @@
 def slow(callers: int = 20, seconds: float = 10, delay_ms: int = 300) -> int:
     """Time lookups through one entry while one of three services is slow."""
     with _fleet(1) as fleet:
-        fleet.of_service("records")[0].set_faults(delay_ms=delay_ms)
+        fleet.endpoints_of("records")[0].set_faults(delay_ms=delay_ms)
         times = time_lookups(fleet, callers, timedelta(seconds=seconds))
-        counts = [len(each.executions()) for each in fleet.of_service("records")]
+        counts = [len(each.executions()) for each in fleet.endpoints_of("records")]
     percentiles = {
         f"p{p}_ms": times.get_value_at_percentile(p) / 1000 for p in (50, 95, 99, 99.9)
     }
--- a/bench/load/overhead.py
+++ b/bench/load/overhead.py
@@ -129,7 +129,7 @@
     """Send the same requests alternately to an endpoint and to the entry."""
     clock = SystemClock()
     service = "records" if kind == "lookup" else "reports"
-    direct_pool = _pool(fleet.of_service(service)[0].address)
+    direct_pool = _pool(fleet.endpoints_of(service)[0].address)
     entry_pool = _pool(fleet.entries[0].address)
     comparison = Comparison(kind, histogram(), histogram())
     for number in range(repeats):
--- a/bench/reclaims/notices.py
+++ b/bench/reclaims/notices.py
@@ -4,7 +4,7 @@
 import time
 from datetime import datetime, timedelta
 
-from standins.callers import MODEL, PLAIN, Balancer, Crowd, call, start_fleet
+from standins.callers import MODEL, PLAIN, Balancer, CallerPool, call, start_fleet
 from standins.processes import EndpointProcess, EntryProcess
 
 ENTRIES = 9
@@ -69,12 +69,12 @@
         fleet.platform.set_faults(
             store={"outage": "silent"}, cloud={"list_lag_ms": LIST_LAG_MS}
         )
-        services = fleet.of_service(PLAIN)
-        engines = fleet.of_service(MODEL)
+        services = fleet.endpoints_of(PLAIN)
+        engines = fleet.endpoints_of(MODEL)
         leaving = [services[0], engines[0], services[1], engines[1]]
         state = {"running": True}
         noticed = {}
-        with Crowd(Balancer(fleet.entries)) as callers:
+        with CallerPool(Balancer(fleet.entries)) as callers:
             futures = [
                 callers.submit(
                     send_requests, fleet.entries[number % ENTRIES], state, number
--- a/bench/reclaims/streams.py
+++ b/bench/reclaims/streams.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from standins.callers import MODEL, Balancer, Crowd, busiest, start_fleet
+from standins.callers import MODEL, Balancer, CallerPool, busiest_engine, start_fleet
 from standins.fleet import Fleet
 
 STREAMS = 24
@@ -55,7 +55,7 @@
     """Run one case and return the outcome of its streams."""
     with (
         start_fleet(step_ms=STEP_MS) as fleet,
-        Crowd(Balancer(fleet.entries)) as callers,
+        CallerPool(Balancer(fleet.entries)) as callers,
     ):
         callers.stream(STREAMS, case.tokens)
         callers.wait_until_running(events=10)
@@ -63,7 +63,7 @@
         callers.faults(may_restart=True)
         counts = [
             engine.counts()
-            for engine in fleet.of_service(MODEL)
+            for engine in fleet.endpoints_of(MODEL)
             if engine.return_code is None
         ]
     streams = callers.streams
@@ -79,7 +79,7 @@
 
 
 def _refuse_export(fleet: Fleet) -> None:
-    engine = busiest(fleet)
+    engine = busiest_engine(fleet)
     engine.set_faults(outage="refuse")
     fleet.reclaim(engine.name, NOTICE_SECONDS)
 
@@ -91,7 +91,7 @@
 
 
 def _silence_connections(fleet: Fleet) -> None:
-    for engine in fleet.of_service(MODEL):
+    for engine in fleet.endpoints_of(MODEL):
         engine.set_faults(silence_connections=True)
 
 
@@ -103,7 +103,7 @@
 
 
 def _reclaim_engine(fleet: Fleet) -> None:
-    fleet.reclaim(busiest(fleet).name, NOTICE_SECONDS)
+    fleet.reclaim(busiest_engine(fleet).name, NOTICE_SECONDS)
 
 
 CASES = (
@@ -111,7 +111,9 @@
     Case("engine, 5 s, streams fit", _reclaim_engine, tokens=50),
     Case("engine, 5 s, streams don't fit", _reclaim_engine),
     Case("engine, 5 s, export refused", _refuse_export),
-    Case("engine, killed", lambda fleet: fleet.take(busiest(fleet).name)),
+    Case(
+        "engine, killed", lambda fleet: fleet.kill_instance(busiest_engine(fleet).name)
+    ),
     Case("zone, 5 s", lambda fleet: fleet.reclaim_zone("zone-a", NOTICE_SECONDS)),
     Case("two zones, 2 s apart, 5 s each", _reclaim_two_zones),
     Case(
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -19,7 +19,7 @@
     STREAM_EVENTS,
 )
 from bench.soak.records import ENDPOINT_SPANS, STORE_SPANS, Record
-from standins.gateway_endpoints import CRASH_TIME
+from standins.gateway_endpoints import CRASH_DELAY
 
 # Statuses that guarantee that the request has not run and never will.
 NOT_RUN = frozenset({408, 421, 429, 503})
@@ -267,7 +267,7 @@
         attempts.sort(key=lambda run: run[0])
         if len(attempts) < MAX_CRASHES:
             continue
-        known_at = attempts[MAX_CRASHES - 1][0] + CRASH_TIME + RESYNC_TIME
+        known_at = attempts[MAX_CRASHES - 1][0] + CRASH_DELAY + RESYNC_TIME
         late = [
             at
             for at, request in attempts
@@ -286,7 +286,7 @@
     leaders = defaultdict(set)
     for call in record.duty_calls:
         leaders[call.target, call.fencing_number].add(call.holder)
-        if call.taken and call.target == "/usage":
+        if call.accepted and call.target == "/usage":
             document = call.document
             counts[document["window"]].add(
                 json.dumps(document["counts"], sort_keys=True)
--- a/bench/soak/fleets.py
+++ b/bench/soak/fleets.py
@@ -140,7 +140,7 @@
             ZONES[number % len(ZONES)],
             streams=not is_plain,
             crash_marker=CRASH_MARKER,
-            through=lambda address: _link_to(address, self._links),
+            proxy=lambda address: _link_to(address, self._links),
         )
 
     def _gateway(self, number: int) -> Gateway:
@@ -149,7 +149,7 @@
             f"front-{number}",
             ZONES[number % len(ZONES)],
             program=self._program,
-            through=lambda address: _link_to(address, links),
+            proxy=lambda address: _link_to(address, links),
         )
         return Gateway(number, process, links[0])
 
@@ -166,7 +166,7 @@
             case StoreOutage(fault, duration):
                 self._break_store(fault, duration)
             case StoreCompaction():
-                self._fleet.store.forget_history()
+                self._fleet.store.compact_history()
             case StoreLinkFault(number, link_fault, duration):
                 with self._span("store link", number):
                     self.gateways[number].link.inject(link_fault, duration)
@@ -254,13 +254,13 @@
             return
         self._draining.add(endpoint)
         crashes = len(endpoint.crashed_at)
-        endpoint.list_as("draining")
+        endpoint.register("draining")
         began = self._clock.elapsed()
         sleep(duration)
         # An endpoint that crashes meanwhile registers as ready when it restarts.
         if len(endpoint.crashed_at) == crashes:
             self.drains.append(DrainPeriod(endpoint.name, began, self._clock.elapsed()))
-        endpoint.list_as("ready")
+        endpoint.register("ready")
         self._draining.discard(endpoint)
 
     def _revoke(self) -> None:
--- a/bench/soak/soaks.py
+++ b/bench/soak/soaks.py
@@ -25,7 +25,7 @@
 from bench.soak.records import Arrival, Record, Span
 from sassafrasdale.clock import Clock, SystemClock
 from sassafrasdale.green import sleep, spawn
-from standins.gateway_endpoints import DOWN_TIME
+from standins.gateway_endpoints import RESTART_DELAY
 
 CALLERS = 24
 MEAN_INTERVAL = timedelta(milliseconds=150)
@@ -196,7 +196,7 @@
     def _crashes(self) -> list[Span]:
         """Return the crashes of endpoints, whatever their cause."""
         return [
-            Span("endpoint crash", at, ended=at + 2 * DOWN_TIME)
+            Span("endpoint crash", at, ended=at + 2 * RESTART_DELAY)
             for endpoint in self._fleet.endpoints
             for at in endpoint.crashed_at
         ]
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -355,7 +355,7 @@
             yield event.decode().split("\n")
 
 
-class Crowd:
+class CallerPool:
     """Concurrent callers, each in a thread.
 
     Usage::
@@ -372,7 +372,7 @@
         self._futures: list[Future] = []
         self.streams: list[Stream] = []
 
-    def __enter__(self) -> "Crowd":
+    def __enter__(self) -> "CallerPool":
         """Return the pool itself."""
         return self
 
@@ -434,18 +434,18 @@
         return found
 
 
-def recomputed(fleet: Fleet) -> int:
+def recomputed_tokens(fleet: Fleet) -> int:
     """Return the number of tokens that the running engines recomputed."""
     return sum(
         engine.counts()["recomputed_tokens"]
-        for engine in fleet.of_service(MODEL)
+        for engine in fleet.endpoints_of(MODEL)
         if engine.return_code is None
     )
 
 
-def busiest(fleet: Fleet) -> Any:
+def busiest_engine(fleet: Fleet) -> Any:
     """Return the running engine with the most streams."""
-    engines = [each for each in fleet.of_service(MODEL) if each.return_code is None]
+    engines = [each for each in fleet.endpoints_of(MODEL) if each.return_code is None]
     return max(
         engines, key=lambda each: each.client.call("GET", "/v1/load").json()["running"]
     )
--- a/standins/duty_calls.py
+++ b/standins/duty_calls.py
@@ -18,7 +18,7 @@
     holder: str
     fencing_number: int
     document: dict
-    taken: bool
+    accepted: bool
 
 
 class DutyCalls:
@@ -39,9 +39,9 @@
         host, port = listener.getsockname()
         return Address(host, port)
 
-    def taken(self, target: str) -> list[DutyCall]:
+    def accepted(self, target: str) -> list[DutyCall]:
         """Return the accepted calls with a target."""
-        return [call for call in self.calls if call.target == target and call.taken]
+        return [call for call in self.calls if call.target == target and call.accepted]
 
     def _handle(self, connection: ServerConnection, request: Request) -> None:
         document = json.loads(request.body)
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -88,7 +88,7 @@
         """The parsed text that the fleet was started with."""
         return self._text
 
-    def of_service(self, service: str) -> list[EndpointProcess]:
+    def endpoints_of(self, service: str) -> list[EndpointProcess]:
         """Return the endpoints of a service."""
         return [item for item in self.endpoints if item.service == service]
 
@@ -96,7 +96,7 @@
         """Return the requests that the service's running endpoints executed."""
         return [
             item
-            for endpoint in self.of_service(service)
+            for endpoint in self.endpoints_of(service)
             if endpoint.return_code is None
             for item in endpoint.executions()
         ]
@@ -122,7 +122,7 @@
         self._kill_later(names, seconds)
         return names
 
-    def take(self, instance: str) -> None:
+    def kill_instance(self, instance: str) -> None:
         """Kill an instance without notice, and remove it from the instance list."""
         process = self.process(instance)
         if process.return_code is None:
@@ -258,7 +258,7 @@
 
     def _kill_all(self, names: list[str]) -> None:
         for name in names:
-            self.take(name)
+            self.kill_instance(name)
 
     def _cancel_timers(self) -> None:
         for timer in self._timers:
@@ -316,4 +316,4 @@
     def _end(self, name: str) -> None:
         if name not in self._ended:
             self._ended.add(name)
-            self._fleet.take(name)
+            self._fleet.kill_instance(name)
--- a/standins/gateway_endpoints.py
+++ b/standins/gateway_endpoints.py
@@ -20,8 +20,8 @@
 TOKEN_TIME = timedelta(microseconds=25)
 # An endpoint crashes this long after it began to run the request, and restarts after
 # the second time.
-CRASH_TIME = timedelta(milliseconds=30)
-DOWN_TIME = timedelta(milliseconds=700)
+CRASH_DELAY = timedelta(milliseconds=30)
+RESTART_DELAY = timedelta(milliseconds=700)
 EVENT_TIME = timedelta(milliseconds=20)
 PLAIN_TIME = timedelta(milliseconds=15)
 
@@ -82,7 +82,7 @@
         *,
         streams: bool,
         crash_marker: bytes = b"",
-        through: Callable[[Address], Address] = lambda own: own,
+        proxy: Callable[[Address], Address] = lambda own: own,
         version: str = "v1",
         defect: Defect | None = None,
     ) -> None:
@@ -91,7 +91,7 @@
         self._rng = Random(name)
         self._started_at = clock.elapsed()
         self._crash_marker = crash_marker
-        self._through = through
+        self._through = proxy
         self._connections: set[ServerConnection] = set()
         self._is_down = False
         self._name = name
@@ -130,7 +130,7 @@
         self._started_ms = int(self._clock.now().timestamp() * 1000)
         self._is_down = False
         spawn(self._server.serve)
-        self.list_as("ready")
+        self.register("ready")
 
     def crash(self) -> None:
         """Stop at once, like a killed process, and restart later.
@@ -156,11 +156,11 @@
             connection.abort()
 
     def _restart(self) -> None:
-        sleep(DOWN_TIME)
+        sleep(RESTART_DELAY)
         self._cached.clear()
         self._serve(listen(self._address))
 
-    def list_as(self, state: str) -> None:
+    def register(self, state: str) -> None:
         """Write the registration with the given state."""
         registration = {
             "service": self._service,
@@ -183,7 +183,7 @@
         self.runs.append(run)
         slowdown = self._defect.slowdown if run.faulty else 1.0
         if self._crash_marker and self._crash_marker in request.body:
-            sleep(CRASH_TIME)
+            sleep(CRASH_DELAY)
             self.crash()
             return
         headers = [
--- a/standins/gateway_fleet.py
+++ b/standins/gateway_fleet.py
@@ -147,7 +147,7 @@
         *,
         streams: bool,
         crash_marker: bytes = b"",
-        through: AddressMapper = direct,
+        proxy: AddressMapper = direct,
         version: str = "v1",
         defect: Defect | None = None,
     ) -> StandInEndpoint:
@@ -160,7 +160,7 @@
             self._clock,
             streams=streams,
             crash_marker=crash_marker,
-            through=through,
+            proxy=proxy,
             version=version,
             defect=defect,
         )
@@ -173,13 +173,13 @@
         zone: str,
         *,
         program: Sequence[str] = GATEWAY,
-        through: AddressMapper = direct,
+        proxy: AddressMapper = direct,
     ) -> GatewayProcess:
         """Return a gateway that is not started yet.
 
         :param proxy: maps the store's address to the one that the gateway uses.
         """
-        store = {"addr": str(through(self._store_address)), "ttlMinMs": 1000}
+        store = {"addr": str(proxy(self._store_address)), "ttlMinMs": 1000}
         settings = {**self._settings, "platform": store}
         gateway = GatewayProcess(name, zone, settings, program)
         self.gateways.append(gateway)
--- a/standins/kv_store.py
+++ b/standins/kv_store.py
@@ -96,7 +96,7 @@
         """Return the keys that begin with a prefix."""
         return sorted(key for key in self._items if key.startswith(prefix))
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop the history, so that watches of earlier revisions get 410."""
         self._compacted = self._revision
         self._history.clear()
--- a/standins/rollouts.py
+++ b/standins/rollouts.py
@@ -120,7 +120,7 @@
             return
         sleep(DRAIN_DELAY)
         for endpoint in self.new:
-            endpoint.list_as("draining")
+            endpoint.register("draining")
         sleep(DRAIN_TIME)
         for endpoint in self.new:
             endpoint.end()
--- a/tests/guarantees/certificates.py
+++ b/tests/guarantees/certificates.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Reply:
     """The reply to a caller's request for a certificate."""
 
     status: int
@@ -31,7 +31,7 @@
     body: bytes
 
     @classmethod
-    def from_response(cls, response: Response) -> "Told":
+    def from_response(cls, response: Response) -> "Reply":
         """Return the reply in an HTTP response."""
         headers = response.headers
         return cls(
@@ -57,7 +57,7 @@
         key: str,
         timeout: timedelta = TIMEOUT,
         request_id: str | None = None,
-    ) -> Told:
+    ) -> Reply:
         """Request a certificate with idempotency key ``key``; return the reply."""
         headers = {
             "X-Customer": "cube-labs",
@@ -66,13 +66,13 @@
             "X-Timeout-Ms": str(int(timeout.total_seconds() * 1000)),
         }
         path = "/v1/services/records/certificates"
-        return Told.from_response(
+        return Reply.from_response(
             entry.client.call("POST", path, {"batch": key}, headers)
         )
 
     def issue_later(
         self, entry: EntryProcess, key: str, timeout: timedelta = TIMEOUT
-    ) -> "Future[Told]":
+    ) -> "Future[Reply]":
         """Request a certificate in a background thread."""
         return self.threads.submit(self.issue, entry, key, timeout)
 
--- a/tests/guarantees/test_at_most_once_storm.py
+++ b/tests/guarantees/test_at_most_once_storm.py
@@ -11,7 +11,7 @@
 import pytest
 
 from standins.processes import EntryProcess
-from tests.guarantees.certificates import Deployment, Told, deployment
+from tests.guarantees.certificates import Deployment, Reply, deployment
 from tests.guarantees.operators import wait_until
 
 CALLERS = 12
@@ -43,7 +43,7 @@
 
     key: str
     request_id: str
-    reply: Told
+    reply: Reply
 
 
 @pytest.fixture(scope="module")
--- a/tests/guarantees/test_configuration.py
+++ b/tests/guarantees/test_configuration.py
@@ -207,7 +207,7 @@
     fleet.platform.set_faults(store={"outage": "silent"})
     observer.wait_for(base + 1, IN_FORCE_LIMIT)
     old = fleet.entries[-1]
-    fleet.take(old.name)
+    fleet.kill_instance(old.name)
     fleet.entries.remove(old)
     started = [
         fleet.add_entry(old.name, old.zone),
@@ -229,7 +229,7 @@
 def _drop(fleet, observer, entry):
     """Remove an entry that a test has added."""
     observer.forget(entry.name)
-    fleet.take(entry.name)
+    fleet.kill_instance(entry.name)
     fleet.entries.remove(entry)
 
 
--- a/tests/guarantees/test_gateway.py
+++ b/tests/guarantees/test_gateway.py
@@ -72,14 +72,14 @@
         lambda: (
             sum(
                 call.document["counts"].get("lab-a", 0)
-                for call in fleet.duties.taken("/usage")
+                for call in fleet.duties.accepted("/usage")
             )
             >= 4
         ),
         "the requests were not reported",
         15 * SECOND,
     )
-    calls = fleet.duties.taken("/usage")
+    calls = fleet.duties.accepted("/usage")
     assert len({call.holder for call in calls}) == 1
     windows = [call.document["window"] for call in calls]
     assert len(windows) == len(set(windows))
@@ -306,7 +306,7 @@
     suspend_store(fleet)
     ask_concurrently(fleet)
     assert leaving.request_ids
-    leaving.list_as("draining")
+    leaving.register("draining")
     sleep(DRAIN_TIME)
     before = len(leaving.request_ids)
     ask_concurrently(fleet)
@@ -321,7 +321,7 @@
     """
     start(fleet, 1)
     fleet.store.remove("servers/r-0")
-    fleet.store.forget_history()
+    fleet.store.compact_history()
     gateway = fleet.gateways[0]
     wait_for(
         lambda: any(
@@ -337,7 +337,7 @@
     fleet.add_endpoint("r-9", "records", "a", streams=False)
     leaving = fleet.add_endpoint("r-8", "records", "a", streams=False)
     sleep(SECOND / 2)
-    leaving.list_as("draining")
+    leaving.register("draining")
     sleep(SECOND / 2)
     before = len(leaving.request_ids)
     for number in range(10):
--- a/tests/guarantees/test_leases.py
+++ b/tests/guarantees/test_leases.py
@@ -71,8 +71,8 @@
 
 
 def _engines(fleet):
-    (fenced,) = fleet.of_service("fenced")
-    (unfenced,) = fleet.of_service("unfenced")
+    (fenced,) = fleet.endpoints_of("fenced")
+    (unfenced,) = fleet.endpoints_of("unfenced")
     return fenced, unfenced
 
 
@@ -107,7 +107,7 @@
     (other,) = [entry for entry in fleet.entries if entry is not paused]
     paused.freeze()
     try:
-        fleet.take("records-2")
+        fleet.kill_instance("records-2")
         wait_until(lambda: _holders(fleet, [other]), TAKEOVER)
         wait_until(lambda: _starts(fleet), ORDER_LIMIT)
         after = _orders(fenced)["fencing_number"]
--- a/tests/guarantees/test_reclaims.py
+++ b/tests/guarantees/test_reclaims.py
@@ -4,9 +4,9 @@
 
 from standins.callers import (
     Balancer,
-    Crowd,
-    busiest,
-    recomputed,
+    CallerPool,
+    busiest_engine,
+    recomputed_tokens,
     start_fleet,
 )
 
@@ -22,13 +22,13 @@
     The engine gets 10 s of notice, its streams need 2 s. Moving them would delay the
     callers and load the other engines needlessly.
     """
-    with start_fleet(step_ms=20) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=20) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
         crowd.wait_until_running()
-        fleet.platform.give_notice(busiest(fleet).name, AMPLE_SECONDS)
+        fleet.platform.give_notice(busiest_engine(fleet).name, AMPLE_SECONDS)
         assert crowd.faults() == []
         assert len(fleet.executions("reports")) == STREAMS
-        assert recomputed(fleet) == 0
+        assert recomputed_tokens(fleet) == 0
 
 
 def test_streams_longer_than_the_notice_move_with_their_cache():
@@ -37,12 +37,12 @@
     The engine gets 5 s of notice, its streams need 6 s. It exports each KV cache,
     another engine fetches it and continues, and no token is computed twice.
     """
-    with start_fleet(step_ms=60) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=60) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
         crowd.wait_until_running()
-        fleet.reclaim(busiest(fleet).name, NOTICE_SECONDS)
+        fleet.reclaim(busiest_engine(fleet).name, NOTICE_SECONDS)
         assert crowd.faults() == []
-        assert recomputed(fleet) == 0
+        assert recomputed_tokens(fleet) == 0
 
 
 def test_streams_whose_export_fails_are_recomputed():
@@ -51,14 +51,14 @@
     The engine responds to every control call with an error, so neither export nor
     cancel works. The tokens so far are recomputed on another engine.
     """
-    with start_fleet(step_ms=60) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=60) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
         crowd.wait_until_running()
-        engine = busiest(fleet)
+        engine = busiest_engine(fleet)
         engine.set_faults(outage="refuse")
         fleet.reclaim(engine.name, NOTICE_SECONDS)
         assert crowd.faults() == []
-        assert recomputed(fleet) > 0
+        assert recomputed_tokens(fleet) > 0
 
 
 def test_streams_of_a_killed_engine_are_recomputed():
@@ -67,12 +67,12 @@
     The connection breaks and the engine is unreachable, so another one recomputes the
     prompt and the tokens so far and continues after the last event.
     """
-    with start_fleet(step_ms=30) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=30) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
         crowd.wait_until_running(events=10)
-        fleet.take(busiest(fleet).name)
+        fleet.kill_instance(busiest_engine(fleet).name)
         assert crowd.faults() == []
-        assert recomputed(fleet) > 0
+        assert recomputed_tokens(fleet) > 0
 
 
 def test_two_zones_reclaimed_in_succession_lose_no_stream():
@@ -82,11 +82,11 @@
     to the second, which gets its notice before the first is gone, and then to the
     third. Entries hand over to entries that are reclaimed next.
     """
-    with start_fleet(step_ms=60) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=60) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         crowd.stream(2 * STREAMS, tokens=150)
         crowd.wait_until_running()
         fleet.reclaim_zone("zone-a", NOTICE_SECONDS)
         time.sleep(BETWEEN_ZONES_SECONDS)
         fleet.reclaim_zone("zone-b", NOTICE_SECONDS)
         assert crowd.faults() == []
-        assert recomputed(fleet) == 0
+        assert recomputed_tokens(fleet) == 0
--- a/tests/guarantees/test_silence.py
+++ b/tests/guarantees/test_silence.py
@@ -7,9 +7,9 @@
     MODEL,
     PLAIN,
     Balancer,
-    Crowd,
+    CallerPool,
     call,
-    recomputed,
+    recomputed_tokens,
     start_fleet,
 )
 from standins.clients import Response
@@ -30,13 +30,13 @@
     ones work. The entry resumes the stream on a new connection to the same engine, so
     no token is computed twice.
     """
-    with start_fleet(step_ms=40) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=40) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         crowd.stream(STREAMS, tokens=100)
         crowd.wait_until_running()
-        for engine in fleet.of_service(MODEL):
+        for engine in fleet.endpoints_of(MODEL):
             engine.set_faults(silence_connections=True)
         assert crowd.faults() == []
-        assert recomputed(fleet) == 0
+        assert recomputed_tokens(fleet) == 0
 
 
 def test_new_streams_begin_when_pooled_connections_do_not_respond():
@@ -46,11 +46,11 @@
     requests are sent on them.
     """
     with start_fleet(step_ms=5) as fleet:
-        with Crowd(Balancer(fleet.entries)) as crowd:
+        with CallerPool(Balancer(fleet.entries)) as crowd:
             crowd.stream(STREAMS, tokens=5, prefix="before")
-        for engine in fleet.of_service(MODEL):
+        for engine in fleet.endpoints_of(MODEL):
             engine.set_faults(silence_connections=True)
-        with Crowd(Balancer(fleet.entries)) as crowd:
+        with CallerPool(Balancer(fleet.entries)) as crowd:
             crowd.stream(STREAMS, tokens=20)
             assert crowd.faults() == []
 
@@ -64,17 +64,17 @@
     the same key.
     """
     with start_fleet() as fleet:
-        with Crowd(Balancer(fleet.entries)) as crowd:
+        with CallerPool(Balancer(fleet.entries)) as crowd:
             warm = [crowd.submit(_look_up, crowd, n) for n in range(CALLERS)]
             assert [status for each in warm for status in each.result()] == [200] * (
                 CALLERS * LOOKUPS
             )
-            for service in fleet.of_service(PLAIN):
+            for service in fleet.endpoints_of(PLAIN):
                 service.set_faults(silence_connections=True)
             lookups = [crowd.submit(_look_up, crowd, n) for n in range(CALLERS)]
             issues = [crowd.submit(_issue, crowd, n) for n in range(CALLERS)]
             time.sleep(0.05)
-            for service in fleet.of_service(PLAIN):
+            for service in fleet.endpoints_of(PLAIN):
                 service.set_faults(silence_connections=True)
             statuses = Counter(s for each in lookups for s in each.result())
             numbers = [each.result() for each in issues]
@@ -90,11 +90,11 @@
     these no certificate: their requests were sent on unresponsive connections.
     """
     with start_fleet() as fleet:
-        with Crowd(Balancer(fleet.entries)) as crowd:
+        with CallerPool(Balancer(fleet.entries)) as crowd:
             issues = [crowd.submit(_issue, crowd, n) for n in range(CALLERS)]
             for _ in range(SILENCES):
                 time.sleep(0.002)
-                for service in fleet.of_service(PLAIN):
+                for service in fleet.endpoints_of(PLAIN):
                     service.set_faults(silence_connections=True)
             numbers = [each.result() for each in issues]
         assert_issued_once(fleet, numbers)
@@ -126,7 +126,7 @@
     slow = {"delay_ms": 200}
     with (
         start_fleet(service_options=slow) as fleet,
-        Crowd(Balancer(fleet.entries)) as crowd,
+        CallerPool(Balancer(fleet.entries)) as crowd,
     ):
         for round_number in range(2):
             burst = [
@@ -134,16 +134,16 @@
                 for n in range(BURST)
             ]
             assert Counter(each.result() for each in burst) == {200: BURST}
-            for service in fleet.of_service(PLAIN):
+            for service in fleet.endpoints_of(PLAIN):
                 service.set_faults(silence_connections=True)
 
 
-def _look_up_once(crowd: Crowd, name: str) -> int:
+def _look_up_once(crowd: CallerPool, name: str) -> int:
     entry = crowd.balancer.entries[int(name[-1]) % len(crowd.balancer.entries)]
     return call(entry, "GET", f"/v1/services/records/lookups/{name}").status
 
 
-def _look_up(crowd: Crowd, caller: int) -> list[int]:
+def _look_up(crowd: CallerPool, caller: int) -> list[int]:
     statuses = []
     for number in range(LOOKUPS):
         entry = crowd.balancer.entries[number % len(crowd.balancer.entries)]
@@ -152,7 +152,7 @@
     return statuses
 
 
-def _issue(crowd: Crowd, caller: int) -> list[str]:
+def _issue(crowd: CallerPool, caller: int) -> list[str]:
     """Request one certificate through every entry; return the numbers received."""
     numbers = []
     for entry in crowd.balancer.entries:
--- a/tests/guarantees/test_stops.py
+++ b/tests/guarantees/test_stops.py
@@ -8,7 +8,7 @@
 from standins.callers import (
     MODEL,
     Balancer,
-    Crowd,
+    CallerPool,
     ReadPattern,
     Stream,
     StreamReader,
@@ -37,7 +37,7 @@
     records, request whole responses and read streams. Calls go to ready entries only,
     and are retried only if the connection was refused.
     """
-    with start_fleet(step_ms=20) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=20) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         stop = time.monotonic() + 60
         state = {"running": True}
         lookups = [crowd.submit(_look_up, crowd, state, n) for n in range(4)]
@@ -59,7 +59,7 @@
         ] == []
 
 
-def _look_up(crowd: Crowd, state: dict, caller: int) -> list[str]:
+def _look_up(crowd: CallerPool, state: dict, caller: int) -> list[str]:
     """Look up records while the test runs; return the failures."""
     failed = []
     for number in itertools.count():
@@ -73,7 +73,7 @@
     return failed
 
 
-def _ask_whole(crowd: Crowd, state: dict, caller: int) -> list[str]:
+def _ask_whole(crowd: CallerPool, state: dict, caller: int) -> list[str]:
     """Request whole responses while the test runs; return the failures."""
     failed = []
     for number in itertools.count():
@@ -87,7 +87,7 @@
 
 
 def _call_ready(
-    crowd: Crowd, method: str, path: str, body: dict | None = None
+    crowd: CallerPool, method: str, path: str, body: dict | None = None
 ) -> Response:
     """Make a call through a ready entry; retry it only if it was not sent."""
     while True:
@@ -131,16 +131,16 @@
 
 def _ask_all_of(
     fleet: Fleet, entry: EntryProcess, tokens: int, count: int = STREAMS
-) -> Crowd:
+) -> CallerPool:
     """Start streams through one entry; they may be resumed through all entries."""
-    crowd = Crowd(Balancer([entry]))
+    crowd = CallerPool(Balancer([entry]))
     crowd.stream(count, tokens)
     crowd.wait_until_running()
     crowd.balancer.entries = list(fleet.entries)
     return crowd
 
 
-def _finish(crowd: Crowd, *, may_restart: bool = False) -> list[str]:
+def _finish(crowd: CallerPool, *, may_restart: bool = False) -> list[str]:
     with crowd:
         return crowd.faults(may_restart=may_restart)
 
@@ -168,7 +168,7 @@
     """
     with start_fleet(step_ms=40, entry_options={"drain_timeout": SHORT_DRAIN}) as fleet:
         leaving = fleet.entries[0]
-        with Crowd(Balancer(fleet.entries[1:])) as crowd:
+        with CallerPool(Balancer(fleet.entries[1:])) as crowd:
             bodies = [_whole_body(f"whole {n}", WHOLE_TOKENS) for n in range(STREAMS)]
             asked = [
                 crowd.submit(_ask_and_follow, crowd.balancer, leaving, body)
@@ -273,7 +273,7 @@
     Its entry is stopping and still reads the stream, which will end in time. The
     caller reconnects through another entry, which must find the entry that has it.
     """
-    with start_fleet(step_ms=40) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=40) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         stopped = fleet.entries[0]
         stream = Stream("back", "tell me", max_tokens=120)
         caller = StreamReader(Balancer([stopped]), stream, ReadPattern(drop_every=5))
@@ -298,7 +298,7 @@
         step_ms=40, service_options={"delay_ms": 4000}, entry_options=options
     ) as fleet:
         stopped = fleet.entries[0]
-        with Crowd(Balancer(fleet.entries)) as crowd:
+        with CallerPool(Balancer(fleet.entries)) as crowd:
             path = "/v1/services/records/lookups/1"
             asked = [crowd.submit(call, stopped, "GET", path) for _ in range(STREAMS)]
             asked += [crowd.submit(_draft_once, stopped, n) for n in range(STREAMS)]
--- a/tests/guarantees/test_streams.py
+++ b/tests/guarantees/test_streams.py
@@ -6,9 +6,9 @@
     CUSTOMER,
     MODEL,
     Balancer,
-    Crowd,
+    CallerPool,
     ReadPattern,
-    busiest,
+    busiest_engine,
     call,
     start_fleet,
 )
@@ -33,13 +33,13 @@
         ReadPattern(drop_every=17, step_back=5),
         ReadPattern(pause=0.02),
     ]
-    with start_fleet(step_ms=50) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=50) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         crowd.stream(CALLERS, 140, lambda number: patterns[number % len(patterns)])
         crowd.wait_until_running()
         crowd.read_again(crowd.streams[:READ_TWICE])
-        fleet.take(busiest(fleet).name)
+        fleet.kill_instance(busiest_engine(fleet).name)
         crowd.wait_until_running(events=30)
-        fleet.reclaim(busiest(fleet).name, 5)
+        fleet.reclaim(busiest_engine(fleet).name, 5)
         fleet.reclaim(fleet.entries[0].name, 5)
         assert crowd.faults() == []
         assert sum(stream.duplicates for stream in crowd.streams) > 0
@@ -53,12 +53,12 @@
     ends at its deadline with an error event: no finish reason, no ``[DONE]``. A caller
     that waits for a whole response gets the outcome "unknown".
     """
-    with start_fleet(step_ms=30) as fleet, Crowd(Balancer(fleet.entries)) as crowd:
+    with start_fleet(step_ms=30) as fleet, CallerPool(Balancer(fleet.entries)) as crowd:
         entry = fleet.entries[0]
         whole = crowd.submit(_ask_whole, entry)
         streamed = crowd.submit(_read_raw, entry)
         _wait_for_tokens(fleet, streams=2)
-        for engine in fleet.of_service(MODEL):
+        for engine in fleet.endpoints_of(MODEL):
             engine.kill()
         assert whole.result() == (504, "unknown")
         status, text = streamed.result()
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -33,7 +33,7 @@
             "reclaimable": True,
         }
         cloud.call("POST", "/cloud/v1/instances", order)
-        wait_until(lambda: len(fleet.of_service("records")) == 4)
+        wait_until(lambda: len(fleet.endpoints_of("records")) == 4)
         assert "i-1" in cloud.call("GET", "/cloud/v1/instances").data.decode()
         cloud.call("DELETE", "/cloud/v1/instances/i-1")
         wait_until(lambda: fleet.process("i-1").return_code is not None)
@@ -45,7 +45,7 @@
     A zone of a fleet that serves its text is reclaimed.
     """
     with Fleet(AUTHORITY.read_text(encoding="utf-8"), entries=1) as fleet:
-        assert len(fleet.of_service("reports")) == 3
+        assert len(fleet.endpoints_of("reports")) == 3
         status = fleet.entries[0].client.call("GET", "/admin/v1/status").json()
         assert status["revision"] == 1
         names = fleet.reclaim_zone("cairo-b", seconds=0.5)
