--- a/bench/capacity/claims.py
+++ b/bench/capacity/claims.py
@@ -18,7 +18,7 @@
 from sassafrasdale.coordination.etcd import EtcdStore
 from sassafrasdale.coordination.exceptions import StoreError
 from sassafrasdale.green import GreenThread, sleep, spawn
-from sassafrasdale.requests.claims import ClaimKey, Claims, Granted, StoredAnswer
+from sassafrasdale.requests.claims import ClaimKey, Claims, Granted, StoredResponse
 from sassafrasdale.requests.exceptions import ClaimRefused
 from sassafrasdale.structures import Address
 from standins.processes import PlatformProcess
@@ -27,7 +27,7 @@
 SECONDS = 10.0
 SETTLE_TIME = timedelta(seconds=3)
 WRITES_PER_SECOND = 300
-RESPONSE = StoredAnswer(201, (("Content-Type", "application/json"),), b"{}" * 100)
+RESPONSE = StoredResponse(201, (("Content-Type", "application/json"),), b"{}" * 100)
 MILLISECONDS = 1000
 
 
@@ -84,7 +84,7 @@
             return
         self.times.append(time.monotonic() - start)
         if isinstance(result, Granted):
-            self._claims.settle(result.claim, RESPONSE)
+            self._claims.store_response(result.claim, RESPONSE)
 
 
 def _measure_rate(rate: int) -> Row:
--- a/bench/capacity/endpoints.py
+++ b/bench/capacity/endpoints.py
@@ -17,7 +17,7 @@
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.endpoints.adapters import HttpAdapter
 from sassafrasdale.endpoints.directory import Directory
-from sassafrasdale.endpoints.reports import LoadReader
+from sassafrasdale.endpoints.reports import LoadPoller
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.requests.selection import Selector
 from sassafrasdale.structures import Address, Instance, Role
@@ -152,7 +152,7 @@
     clock = SystemClock()
     directory = Directory(clock, adapter_factory=CountingAdapter)
     directory.replace(_instances(size, Address.parse(engine.address)))
-    reader = LoadReader(directory, lambda service: True, clock, Random(1))
+    reader = LoadPoller(directory, lambda service: True, clock, Random(1))
     calls, cpu, start = CountingAdapter.calls, own_cpu(), time.monotonic()
     reading = spawn(reader.run)
     sleep(timedelta(seconds=WINDOW_SECONDS))
@@ -189,7 +189,7 @@
     selector = Selector(directory, current, ZONES[0], clock, Random(1))
     selector.refresh()
     deadline = clock.elapsed() + timedelta(seconds=60)
-    wanted = selector.wanted(SERVICE, deadline, 4, prompt=PROMPT, max_tokens=200)
+    wanted = selector.query_for(SERVICE, deadline, 4, prompt=PROMPT, max_tokens=200)
     start = own_cpu()
     for _ in range(CHOICES):
         selector.choose(wanted, frozenset())
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -22,13 +22,13 @@
 from sassafrasdale.coordination.gathering import GatheringStore
 from sassafrasdale.coordination.stores import BaseStore
 from sassafrasdale.green import sleep, spawn
-from sassafrasdale.requests.claims import ClaimKey, Claims, StoredAnswer
+from sassafrasdale.requests.claims import ClaimKey, Claims, StoredResponse
 from sassafrasdale.requests.exceptions import ClaimRefused
 from sassafrasdale.structures import Address
 from standins.processes import PlatformProcess
 
 RATES = (1, 10, 100, 500)
-RESPONSE = StoredAnswer(201, (("Content-Type", "application/json"),), b"x" * 200)
+RESPONSE = StoredResponse(201, (("Content-Type", "application/json"),), b"x" * 200)
 SETTLE_TIME = timedelta(seconds=2)
 
 
@@ -90,7 +90,7 @@
         return
     result.waits_ms.append((time.monotonic() - began) * 1000)
     # Other tasks change the sum while this one waits, so it is read only afterwards.
-    settled = claims.settle(granted.claim, RESPONSE)
+    settled = claims.store_response(granted.claim, RESPONSE)
     result.settled += settled
 
 
--- a/src/sassafrasdale/duties/orders.py
+++ b/src/sassafrasdale/duties/orders.py
@@ -18,7 +18,7 @@
 from sassafrasdale.duties.exceptions import OrderFenced
 from sassafrasdale.endpoints.adapters import EndpointRequest
 from sassafrasdale.endpoints.directory import Endpoint
-from sassafrasdale.endpoints.exceptions import AnswerLost, EndpointError
+from sassafrasdale.endpoints.exceptions import EndpointError, ResponseLost
 
 ORDERS_PATH = "/v1/orders"
 ORDER_TIMEOUT = timedelta(seconds=1)
@@ -98,7 +98,7 @@
         if response.status == 409:
             raise OrderFenced(f"engine {engine.name} has seen a higher number")
         if response.status >= 300:
-            raise AnswerLost(f"engine responded to the order with {response.status}")
+            raise ResponseLost(f"engine responded to the order with {response.status}")
         self._sent_numbers[engine.name] = number
         log.info("engine {}: {} is {}", engine.name, desired.kind, desired.value)
 
@@ -109,4 +109,4 @@
     match response:
         case {"state": dict(state)}:
             return state
-    raise AnswerLost("engine's response has no state")
+    raise ResponseLost("engine's response has no state")
--- a/src/sassafrasdale/endpoints/adapters.py
+++ b/src/sassafrasdale/endpoints/adapters.py
@@ -23,10 +23,10 @@
 
 from sassafrasdale.clock import Clock, SystemClock
 from sassafrasdale.endpoints.exceptions import (
-    AnswerLost,
     NotSent,
     Refused,
     Rejected,
+    ResponseLost,
     StreamUnknown,
 )
 from sassafrasdale.endpoints.pools import ReplaceablePool
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointAnswer:
+class EndpointResponse:
     """One complete HTTP response of an endpoint."""
 
     status: int
@@ -82,7 +82,7 @@
     """A fresh connection on which nothing has been sent yet."""
 
     @abstractmethod
-    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
+    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointResponse:
         """Send ``request`` and return its complete response within ``limit``.
 
         :raises Refused: the endpoint refused before running it.
@@ -105,7 +105,7 @@
         """
 
     @abstractmethod
-    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
+    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointResponse:
         """Send ``request`` on any connection and return its complete response.
 
         :raises NotSent: the endpoint can't be reached.
@@ -151,7 +151,7 @@
                 if events:
                     yield events
         except _CONNECTION_ERRORS as error:
-            raise AnswerLost(f"the stream broke off: {error}") from error
+            raise ResponseLost(f"the stream broke off: {error}") from error
         finally:
             self.close()
 
@@ -181,7 +181,7 @@
     return max(limit.total_seconds(), 0.001)
 
 
-def _read_response(response: HTTPResponse, method: str) -> EndpointAnswer:
+def _read_response(response: HTTPResponse, method: str) -> EndpointResponse:
     """Read and return the complete response.
 
     :raises Refused: the endpoint refused before running the request.
@@ -195,14 +195,14 @@
     bodiless = response.status in (204, 304) or method == "HEAD"
     body = _read_body(response)
     if not framed and not bodiless:
-        raise AnswerLost("the answer says neither its length nor its end")
+        raise ResponseLost("the answer says neither its length nor its end")
     _raise_if_refused(response.status, response, body)
     headers = tuple(
         (name, value)
         for name, value in response.headers.items()
         if name.lower() not in HOP_BY_HOP and name.lower() != "content-length"
     )
-    return EndpointAnswer(response.status, headers, body)
+    return EndpointResponse(response.status, headers, body)
 
 
 def _read_body(response: HTTPResponse) -> bytes:
@@ -218,9 +218,9 @@
             body += part
             if len(body) > MAX_RESPONSE_BYTES:
                 response.close()
-                raise AnswerLost(f"the answer is over {MAX_RESPONSE_BYTES} bytes")
+                raise ResponseLost(f"the answer is over {MAX_RESPONSE_BYTES} bytes")
     except _CONNECTION_ERRORS as error:
-        raise AnswerLost(f"the answer broke off: {error}") from error
+        raise ResponseLost(f"the answer broke off: {error}") from error
     return bytes(body)
 
 
@@ -252,7 +252,7 @@
         except _CONNECTION_ERRORS as error:
             raise NotSent(f"{address} can't be reached: {error}") from error
 
-    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
+    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointResponse:
         """Send ``request`` and return its complete response within ``limit``."""
         # The library sets the socket's timeout from the connection's own, which is
         # the connect timeout and too short for a slow response.
@@ -261,13 +261,13 @@
             with timeout(limit):
                 return self._exchange(request)
         except Timeout as error:
-            raise AnswerLost(f"no answer within {limit}") from error
+            raise ResponseLost(f"no answer within {limit}") from error
 
     def close(self) -> None:
         """Close the connection."""
         self._connection.close()
 
-    def _exchange(self, request: EndpointRequest) -> EndpointAnswer:
+    def _exchange(self, request: EndpointRequest) -> EndpointResponse:
         try:
             self._connection.request(
                 request.method,
@@ -279,7 +279,7 @@
             )
             response = self._connection.getresponse()
         except _CONNECTION_ERRORS as error:
-            raise AnswerLost(f"no answer: {error}") from error
+            raise ResponseLost(f"no answer: {error}") from error
         return _read_response(response, request.method)
 
 
@@ -298,7 +298,7 @@
         """Return a fresh connection."""
         return HttpConnection(self._address)
 
-    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
+    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointResponse:
         """Send ``request`` on any connection and return its complete response."""
         used = self._pool.current
         try:
@@ -306,7 +306,7 @@
                 complete = _read_response(self._open(request), request.method)
         except Timeout as error:
             unresponsive = self._pool.record_lost_response(used)
-            raise AnswerLost(
+            raise ResponseLost(
                 f"no answer within {limit}", unresponsive=unresponsive
             ) from error
         used.has_responded = True
@@ -324,7 +324,7 @@
             raise StreamUnknown("the engine does not know the stream")
         if complete.status in INVALID_REQUEST_STATUSES:
             raise Rejected(complete.status, complete.headers, complete.body)
-        raise AnswerLost(f"the engine answered {complete.status}")
+        raise ResponseLost(f"the engine answered {complete.status}")
 
     def ask(
         self,
@@ -342,11 +342,11 @@
         headers = (("Content-Type", "application/json"),)
         complete = self.send(EndpointRequest(method, target, headers, body), limit)
         if complete.status >= 400:
-            raise AnswerLost(f"{method} {target} was answered {complete.status}")
+            raise ResponseLost(f"{method} {target} was answered {complete.status}")
         try:
             return json.loads(complete.body or b"null")
         except ValueError as error:
-            raise AnswerLost(f"{method} {target} did not answer JSON") from error
+            raise ResponseLost(f"{method} {target} did not answer JSON") from error
 
     def drop_connections(self) -> None:
         """Close all pooled connections, so that the next call uses a fresh one."""
@@ -383,6 +383,6 @@
             # state. All connections of its pool are closed, so that the next call
             # uses a fresh one.
             unresponsive = self._pool.record_lost_response(used)
-            raise AnswerLost(
+            raise ResponseLost(
                 f"no answer from {self._address}: {error}", unresponsive=unresponsive
             ) from error
--- a/src/sassafrasdale/endpoints/directory.py
+++ b/src/sassafrasdale/endpoints/directory.py
@@ -91,7 +91,7 @@
         if self._lifecycle.allows("delist"):
             self._lifecycle.fire("delist")
 
-    def report(self, load: int, own: int, now: timedelta) -> None:
+    def record_load(self, load: int, own: int, now: timedelta) -> None:
         """Record the load that the endpoint reported.
 
         :param load: running and waiting requests of all entries.
@@ -155,7 +155,7 @@
         self._index()
         return newly_leaving
 
-    def heed(self, notice: Notice) -> Endpoint | None:
+    def apply_notice(self, notice: Notice) -> Endpoint | None:
         """Apply a reclaim notice; return the endpoint if it is newly leaving."""
         self._notices[notice.instance] = notice.leaves_at
         while len(self._notices) > MAX_NOTICES:
--- a/src/sassafrasdale/endpoints/engines.py
+++ b/src/sassafrasdale/endpoints/engines.py
@@ -9,7 +9,7 @@
     EventStream,
     HttpAdapter,
 )
-from sassafrasdale.endpoints.exceptions import AnswerLost
+from sassafrasdale.endpoints.exceptions import ResponseLost
 from sassafrasdale.structures import Address
 
 DATA = b"data: "
@@ -144,7 +144,7 @@
     try:
         return str(response["kv_handle"])
     except (KeyError, TypeError) as error:
-        raise AnswerLost("the engine's export names no handle") from error
+        raise ResponseLost("the engine's export names no handle") from error
 
 
 def check_health(adapter: HttpAdapter) -> None:
@@ -177,7 +177,7 @@
             content, choice.get("finish_reason"), _usage(usage) if usage else None
         )
     except (ValueError, KeyError, IndexError, TypeError, AttributeError) as error:
-        raise AnswerLost(f"the engine sent an event that is no chunk: {error}") from (
+        raise ResponseLost(f"the engine sent an event that is no chunk: {error}") from (
             error
         )
 
--- a/src/sassafrasdale/endpoints/exceptions.py
+++ b/src/sassafrasdale/endpoints/exceptions.py
@@ -15,7 +15,7 @@
     """The endpoint refused the request before running it, and said so."""
 
 
-class AnswerLost(EndpointError):
+class ResponseLost(EndpointError):
     """The request was sent, and no complete response was received.
 
     :param unresponsive: whether it was sent on one of several connections that may
--- a/src/sassafrasdale/endpoints/reports.py
+++ b/src/sassafrasdale/endpoints/reports.py
@@ -17,7 +17,7 @@
 REPORT_TIMEOUT = timedelta(milliseconds=500)
 
 
-class LoadReader:
+class LoadPoller:
     """Task that polls all model engines for their load, one after the other.
 
     :param directory: the known endpoints.
@@ -72,7 +72,7 @@
         except (EndpointError, KeyError, TypeError, ValueError):
             # Routing continues with the older report, whose weight decreases with age.
             return
-        engine.report(total, own.at(measured), measured)
+        engine.record_load(total, own.at(measured), measured)
 
     def _measurement_time(self, load: dict[str, Any]) -> timedelta:
         """Return the elapsed time at which a load was measured.
--- a/src/sassafrasdale/entry/coordinator.py
+++ b/src/sassafrasdale/entry/coordinator.py
@@ -28,7 +28,7 @@
     TextOffered,
 )
 from sassafrasdale.requests.gates import Gates
-from sassafrasdale.requests.ledger import Ledger
+from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.requests.mover import Mover
 from sassafrasdale.requests.registry import Registry
 from sassafrasdale.requests.selection import Selector
@@ -78,7 +78,7 @@
         directory: Directory,
         selector: Selector,
         gates: Gates,
-        counters: Ledger,
+        counters: RequestCounters,
         metrics: Metrics,
         peers: PeerNode,
         registry: Registry,
@@ -160,7 +160,7 @@
                 self._handle_members(members)
             case HandOverOffered(handover, reply):
                 keeps_running = self._lifecycle.state == "ready"
-                self._transfers.take(handover, reply, stays=keeps_running)
+                self._transfers.accept(handover, reply, stays=keeps_running)
             case FindAsked(request_id, reply):
                 reply(self._registry.holds(request_id))
 
@@ -173,7 +173,7 @@
         self._has_instances = True
         self._peers.set_candidates(instances)
         for endpoint in self._directory.replace(instances):
-            self._mover.empty(endpoint)
+            self._mover.drain(endpoint)
         self._refresh()
         listed = {instance.name: instance for instance in instances}
         own = listed.get(self._name)
@@ -184,12 +184,12 @@
         if notice.instance == self._name:
             self._leave(notice.leaves_at)
             return
-        endpoint = self._directory.heed(notice)
+        endpoint = self._directory.apply_notice(notice)
         if endpoint is None:
             return
         log.info("endpoint {} leaves at {}", endpoint.name, notice.leaves_at)
         self._refresh()
-        self._mover.empty(endpoint)
+        self._mover.drain(endpoint)
 
     def _handle_members(self, members: tuple[Member, ...]) -> None:
         alive = sum(member.is_usable for member in members)
--- a/src/sassafrasdale/entry/drain.py
+++ b/src/sassafrasdale/entry/drain.py
@@ -89,18 +89,18 @@
         self._peers.announce_leaving()
         left = self._remaining_time(began)
         log.info("leaving within {}", left)
-        self._transfers.give_what_does_not_fit(left)
+        self._transfers.hand_over_unfinished(left)
         sleep(min(UNREADY_DELAY, left * MAX_UNREADY_FRACTION))
         self._accepts_requests = False
         self._server.close_connections()
         while (left := self._remaining_time(began)) and self._is_busy():
             if left < HAND_OVER_RESERVE:
-                self._transfers.give_what_does_not_fit(timedelta())
+                self._transfers.hand_over_unfinished(timedelta())
             if left < RELAY_RESERVE:
                 self._relay.release()
             if left < RESPONSE_RESERVE:
-                self._dispatcher.give_up_all()
-            self._transfers.give_undelivered()
+                self._dispatcher.abort_all()
+            self._transfers.hand_over_undelivered()
             sleep(DRAIN_POLL)
         listener.close()
         sleep(min(LAST_RESPONSE_TIME, self._remaining_time(began)))
--- a/src/sassafrasdale/entry/process.py
+++ b/src/sassafrasdale/entry/process.py
@@ -31,7 +31,7 @@
 from sassafrasdale.duties.capacity import DUTY, CapacityDuty
 from sassafrasdale.duties.demand import FleetView
 from sassafrasdale.endpoints.directory import Directory
-from sassafrasdale.endpoints.reports import LoadReader
+from sassafrasdale.endpoints.reports import LoadPoller
 from sassafrasdale.entry.coordinator import Coordinator
 from sassafrasdale.entry.drain import Drain
 from sassafrasdale.entry.status import StatusReport
@@ -45,7 +45,7 @@
 from sassafrasdale.requests.claims import Claims
 from sassafrasdale.requests.dispatcher import Dispatcher
 from sassafrasdale.requests.gates import Gates
-from sassafrasdale.requests.ledger import Ledger
+from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.requests.mover import Mover
 from sassafrasdale.requests.registry import Registry
 from sassafrasdale.requests.selection import Selector
@@ -95,7 +95,7 @@
         self._current = CurrentText()
         self._directory = Directory(self._clock)
         self._metrics = Metrics(settings.name, settings.availability_zone)
-        self._counters = Ledger(self._metrics, self._clock)
+        self._counters = RequestCounters(self._metrics, self._clock)
         self._cloud = CloudClient(settings.cloud)
         self._peers = PeerNode(
             settings, self._clock, random.Random(self._rng.random()), self._inbox
@@ -166,7 +166,7 @@
             InstanceWatcher(*watcher_arguments).run,
             NoticeWatcher(*watcher_arguments).run,
             PriceWatcher(*watcher_arguments).run,
-            LoadReader(self._directory, self._is_engine, self._clock, self._rng).run,
+            LoadPoller(self._directory, self._is_engine, self._clock, self._rng).run,
             self._coordinator.run,
             self._sweep,
             self._plan_moves,
@@ -272,7 +272,7 @@
     def _plan_moves(self) -> None:
         while True:
             sleep(MOVE_PLAN_INTERVAL)
-            self._mover.review()
+            self._mover.update_plans()
 
     def _is_engine(self, service: str) -> bool:
         text = self._current.text
--- a/src/sassafrasdale/entry/status.py
+++ b/src/sassafrasdale/entry/status.py
@@ -8,7 +8,7 @@
 from sassafrasdale.peers.node import PeerNode
 from sassafrasdale.peers.structures import Member
 from sassafrasdale.requests.dispatcher import Dispatcher
-from sassafrasdale.requests.ledger import Ledger
+from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.settings import EntrySettings
 from sassafrasdale.text.current import CurrentText
 
@@ -24,7 +24,7 @@
     peers: PeerNode
     dispatcher: Dispatcher
     capacity: CapacityDuty
-    counters: Ledger
+    counters: RequestCounters
 
     def burn(self) -> dict:
         """Return the counts for the burn report."""
--- a/src/sassafrasdale/requests/claim_records.py
+++ b/src/sassafrasdale/requests/claim_records.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredAnswer:
+class StoredResponse:
     """Response of an endpoint, as returned to a retry."""
 
     status: int
@@ -70,10 +70,10 @@
     fingerprint: str
     holder: str
     state: ClaimState
-    answer: StoredAnswer | None = None
+    answer: StoredResponse | None = None
     body_dropped: bool = False
 
-    def with_answer(self, answer: StoredAnswer) -> "ClaimRecord":
+    def with_answer(self, answer: StoredResponse) -> "ClaimRecord":
         """Return the record of an execution whose response is ``answer``."""
         dropped = len(answer.body) > MAX_STORED_BODY_BYTES
         kept = replace(answer, body=b"") if dropped else answer
@@ -123,8 +123,8 @@
     headers: tuple[tuple[str, str], ...]
     body: Base64Bytes
 
-    def to_response(self) -> StoredAnswer:
-        return StoredAnswer(self.status, self.headers, self.body)
+    def to_response(self) -> StoredResponse:
+        return StoredResponse(self.status, self.headers, self.body)
 
 
 class _StoredClaim(BaseModel):
--- a/src/sassafrasdale/requests/claimant.py
+++ b/src/sassafrasdale/requests/claimant.py
@@ -16,7 +16,7 @@
     Granted,
     InProgress,
     OutcomeLost,
-    StoredAnswer,
+    StoredResponse,
 )
 from sassafrasdale.requests.exceptions import ClaimRefused, KeyReused
 from sassafrasdale.requests.structures import (
@@ -96,8 +96,8 @@
 
     def store_response(self, claim: Claim, response: Answered) -> None:
         """Store the response for retries."""
-        stored = StoredAnswer(response.status, response.headers, response.body)
-        self._claims.settle(claim, stored)
+        stored = StoredResponse(response.status, response.headers, response.body)
+        self._claims.store_response(claim, stored)
 
     def release(self, claim: Claim) -> None:
         """Release a claim whose request has not run and never will."""
--- a/src/sassafrasdale/requests/claims.py
+++ b/src/sassafrasdale/requests/claims.py
@@ -21,7 +21,7 @@
     ClaimKey,
     ClaimRecord,
     ClaimState,
-    StoredAnswer,
+    StoredResponse,
 )
 from sassafrasdale.requests.claim_repairs import ClaimOutcome, OutcomeWriter
 from sassafrasdale.requests.exceptions import ClaimRefused
@@ -42,7 +42,7 @@
     "Granted",
     "InProgress",
     "OutcomeLost",
-    "StoredAnswer",
+    "StoredResponse",
 ]
 
 
@@ -57,7 +57,7 @@
 class Answered:
     """The request ran earlier; this is its response."""
 
-    answer: StoredAnswer
+    answer: StoredResponse
 
 
 @dataclass(frozen=True, slots=True)
@@ -134,7 +134,7 @@
             self._recent.add(key.path)
         return result
 
-    def settle(self, claim: Claim, answer: StoredAnswer) -> bool:
+    def store_response(self, claim: Claim, answer: StoredResponse) -> bool:
         """Store the response of the execution, for retries of the request.
 
         :returns: whether the store has confirmed the write; if not, it is retried
--- a/src/sassafrasdale/requests/course.py
+++ b/src/sassafrasdale/requests/course.py
@@ -10,7 +10,7 @@
     check_health,
     export_cache,
 )
-from sassafrasdale.endpoints.exceptions import AnswerLost, EndpointError
+from sassafrasdale.endpoints.exceptions import EndpointError, ResponseLost
 from sassafrasdale.green import Event
 from sassafrasdale.requests.placement import Progress
 from sassafrasdale.requests.structures import ModelCall
@@ -148,7 +148,7 @@
             # Nothing has started, or another engine can still import the cache.
             return
         if not self._call.call.idempotent:
-            raise AnswerLost("the engine that ran the request is gone")
+            raise ResponseLost("the engine that ran the request is gone")
         received = self._transcript.received()
         self._start = Recompute(received.tokens, received.text)
 
--- a/src/sassafrasdale/requests/dispatcher.py
+++ b/src/sassafrasdale/requests/dispatcher.py
@@ -21,7 +21,7 @@
 from sassafrasdale.requests.generation import Generation
 from sassafrasdale.requests.guarded import GuardedExecution
 from sassafrasdale.requests.hedges import Hedger
-from sassafrasdale.requests.ledger import Ledger
+from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.requests.placement import Placement, Progress
 from sassafrasdale.requests.registry import Registry
 from sassafrasdale.requests.selection import Selector
@@ -62,7 +62,7 @@
         gates: Gates,
         registry: Registry,
         claims: Claims,
-        ledger: Ledger,
+        ledger: RequestCounters,
         is_alive: Callable[[str], bool],
         clock: Clock,
         rng: random.Random,
@@ -112,7 +112,7 @@
             self._ledger.end(call.call, outcome, began)
         return outcome
 
-    def give_up_all(self) -> None:
+    def abort_all(self) -> None:
         """Abort all running calls, so that every waiting caller gets an outcome.
 
         A call of a plain service can't be handed over, as its response comes on a
@@ -228,7 +228,7 @@
 
     def _execution(self, call: ServiceCall) -> IdempotentExecution | GuardedExecution:
         about = call.call
-        query = self._selector.wanted(about.service, about.deadline, about.priority)
+        query = self._selector.query_for(about.service, about.deadline, about.priority)
         observe = self._selector.observe
 
         def choose(avoid: frozenset[str]) -> Endpoint | None:
@@ -254,7 +254,7 @@
 
     def _placement(self, call: ModelCall) -> Placement:
         """Return the means by which a generation finds its engines."""
-        query = self._selector.wanted(
+        query = self._selector.query_for(
             call.call.service,
             call.call.deadline,
             call.call.priority,
--- a/src/sassafrasdale/requests/execution.py
+++ b/src/sassafrasdale/requests/execution.py
@@ -7,9 +7,9 @@
 from sassafrasdale.charts import Lifecycle, load_chart
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.budgets import RetryBudget
-from sassafrasdale.endpoints.adapters import EndpointAnswer, EndpointRequest
+from sassafrasdale.endpoints.adapters import EndpointRequest, EndpointResponse
 from sassafrasdale.endpoints.directory import Endpoint
-from sassafrasdale.endpoints.exceptions import AnswerLost, NotSent, Refused
+from sassafrasdale.endpoints.exceptions import NotSent, Refused, ResponseLost
 from sassafrasdale.requests.hedges import Hedger, Race
 from sassafrasdale.requests.structures import (
     Answered,
@@ -107,7 +107,7 @@
             except NotSent as error:
                 self._observe(endpoint, ok=False)
                 reason = error.message
-            except AnswerLost as error:
+            except ResponseLost as error:
                 self._sent = True
                 reason = error.message
                 if error.unresponsive and endpoint.takes_work:
@@ -133,7 +133,7 @@
 
     def _attempt(
         self, endpoint: Endpoint, remaining: timedelta, avoid: set[str]
-    ) -> EndpointAnswer:
+    ) -> EndpointResponse:
         """Send to ``endpoint``, and hedge on another one if it is slow.
 
         :raises EndpointError: no attempt was answered.
@@ -165,7 +165,7 @@
             return None
         return hedge
 
-    def _send(self, endpoint: Endpoint, limit: timedelta) -> EndpointAnswer:
+    def _send(self, endpoint: Endpoint, limit: timedelta) -> EndpointResponse:
         began = self._clock.elapsed()
         endpoint.in_flight += 1
         try:
--- a/src/sassafrasdale/requests/generation.py
+++ b/src/sassafrasdale/requests/generation.py
@@ -23,11 +23,11 @@
     open_stream,
 )
 from sassafrasdale.endpoints.exceptions import (
-    AnswerLost,
     EndpointError,
     NotSent,
     Refused,
     Rejected,
+    ResponseLost,
     StreamUnknown,
 )
 from sassafrasdale.green import GreenThread, sleep, spawn
@@ -313,7 +313,7 @@
             except StreamUnknown:
                 interruptions += 1
                 self._source.switch_endpoint(endpoint, avoid)
-            except AnswerLost:
+            except ResponseLost:
                 if self._close_if_complete():
                     return self._answer()
                 interruptions += not self._resume_after_break(endpoint, avoid)
@@ -357,7 +357,7 @@
             )
             self._source.record_response()
             return self._collect_events(stream)
-        except AnswerLost:
+        except ResponseLost:
             self._source.sent = True
             raise
         except EndpointLeaving:
@@ -399,7 +399,7 @@
     def _answer(self) -> Outcome:
         ending = self._transcript.ending()
         if ending is None:
-            raise AnswerLost("the engine ended its stream without a reason")
+            raise ResponseLost("the engine ended its stream without a reason")
         if self._call.streamed:
             return Answered(200, (), b"")
         body = self._transcript.completion(self._call.call.request_id, ending)
--- a/src/sassafrasdale/requests/guarded.py
+++ b/src/sassafrasdale/requests/guarded.py
@@ -15,9 +15,9 @@
 
 from sassafrasdale.charts import Lifecycle, load_chart
 from sassafrasdale.clock import Clock
-from sassafrasdale.endpoints.adapters import Connection, EndpointAnswer
+from sassafrasdale.endpoints.adapters import Connection, EndpointResponse
 from sassafrasdale.endpoints.directory import Endpoint
-from sassafrasdale.endpoints.exceptions import AnswerLost, NotSent, Refused
+from sassafrasdale.endpoints.exceptions import NotSent, Refused, ResponseLost
 from sassafrasdale.green import spawn
 from sassafrasdale.requests.claim_records import Claim
 from sassafrasdale.requests.claimant import Claimant
@@ -108,7 +108,7 @@
                         overloaded=True,
                     )
                 continue
-            except AnswerLost as error:
+            except ResponseLost as error:
                 self._observe(self._fresh.endpoint, ok=False)
                 spawn(self._claimant.mark_unknown, claim)
                 self._lifecycle.fire("lose")
@@ -121,7 +121,7 @@
             spawn(self._claimant.store_response, claim, answered)
             return answered
 
-    def _send(self) -> EndpointAnswer:
+    def _send(self) -> EndpointResponse:
         self._lifecycle.fire("send")
         endpoint = self._fresh.endpoint
         endpoint.in_flight += 1
--- a/src/sassafrasdale/requests/hedges.py
+++ b/src/sassafrasdale/requests/hedges.py
@@ -6,9 +6,9 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.hedging import Hedging
-from sassafrasdale.endpoints.adapters import EndpointAnswer
+from sassafrasdale.endpoints.adapters import EndpointResponse
 from sassafrasdale.endpoints.directory import Endpoint
-from sassafrasdale.endpoints.exceptions import AnswerLost, EndpointError
+from sassafrasdale.endpoints.exceptions import EndpointError, ResponseLost
 from sassafrasdale.green import Empty, GreenThread, Queue, spawn
 from sassafrasdale.requests.gate import Gate
 
@@ -52,7 +52,7 @@
     """
 
     endpoint: Endpoint
-    result: EndpointAnswer | EndpointError
+    result: EndpointResponse | EndpointError
 
 
 class Race:
@@ -79,7 +79,7 @@
         for task in self._tasks:
             task.kill()
 
-    def start(self, endpoint: Endpoint, send: Callable[[], EndpointAnswer]) -> None:
+    def start(self, endpoint: Endpoint, send: Callable[[], EndpointResponse]) -> None:
         """Start an attempt."""
         self._running += 1
         self._tasks.append(spawn(self._run, endpoint, send))
@@ -108,15 +108,15 @@
             finished = finished or self.wait()
             if not isinstance(finished.result, Exception):
                 return finished
-            if failure is None or isinstance(finished.result, AnswerLost):
+            if failure is None or isinstance(finished.result, ResponseLost):
                 failure = finished
             if not self._running:
                 return failure
             finished = None
 
-    def _run(self, endpoint: Endpoint, send: Callable[[], EndpointAnswer]) -> None:
+    def _run(self, endpoint: Endpoint, send: Callable[[], EndpointResponse]) -> None:
         try:
-            result: EndpointAnswer | EndpointError = send()
+            result: EndpointResponse | EndpointError = send()
         except EndpointError as error:
             result = error
         self._finished.put(FinishedAttempt(endpoint, result))
--- a/src/sassafrasdale/requests/ledger.py
+++ b/src/sassafrasdale/requests/ledger.py
@@ -19,7 +19,7 @@
 FIRST_SERVER_ERROR = 500
 
 
-class Ledger:
+class RequestCounters:
     """Counts the outcomes of this entry's requests.
 
     :param metrics: the entry's metrics.
--- a/src/sassafrasdale/requests/mover.py
+++ b/src/sassafrasdale/requests/mover.py
@@ -36,12 +36,12 @@
         self._clock = clock
         self._leaving: dict[str, Endpoint] = {}
 
-    def empty(self, endpoint: Endpoint) -> None:
+    def drain(self, endpoint: Endpoint) -> None:
         """Start to move the streams that won't end before ``endpoint`` leaves."""
         self._leaving[endpoint.name] = endpoint
         self._plan(endpoint, self._streams_by_endpoint().get(endpoint.name, []))
 
-    def review(self) -> None:
+    def update_plans(self) -> None:
         """Update the plans for leaving endpoints.
 
         A stream may take longer than planned, a target may have become available, or
@@ -86,7 +86,7 @@
 
     def _target(self, leaving: Endpoint) -> StreamTarget | None:
         """Return an endpoint that could continue the streams, or None."""
-        query = self._selector.wanted(
+        query = self._selector.query_for(
             leaving.instance.service, self._clock.elapsed(), priority=0
         )
         target = self._selector.choose(query, frozenset({leaving.name}))
--- a/src/sassafrasdale/requests/selection.py
+++ b/src/sassafrasdale/requests/selection.py
@@ -78,7 +78,7 @@
         self._prices: dict[tuple[str, str, bool], float] = {}
         self._health: dict[str, Health] = {}
 
-    def wanted(
+    def query_for(
         self,
         service: str,
         deadline: timedelta,
--- a/src/sassafrasdale/requests/transfers.py
+++ b/src/sassafrasdale/requests/transfers.py
@@ -59,19 +59,19 @@
         self._clock = clock
         self._offered_ids: set[str] = set()
 
-    def give_what_does_not_fit(self, left: timedelta) -> None:
+    def hand_over_unfinished(self, left: timedelta) -> None:
         """Start to hand over the generations that won't end within ``left``."""
         for generation in self._dispatcher.registry.running:
             view = stream_view(generation, self._clock)
             if view.remaining_tokens * view.token_delay > left:
                 self._start(generation)
 
-    def give_undelivered(self) -> None:
+    def hand_over_undelivered(self) -> None:
         """Start to hand over complete responses that no caller has fetched yet."""
         for generation in self._dispatcher.registry.undelivered:
             self._start(generation)
 
-    def take(
+    def accept(
         self, handover: HandOver, reply: Callable[[bool], None], *, stays: bool
     ) -> None:
         """Accept or reject a generation that a peer offers.
--- a/tests/duties/test_orders.py
+++ b/tests/duties/test_orders.py
@@ -9,7 +9,7 @@
 from sassafrasdale.coordination.leases import Permit
 from sassafrasdale.duties.exceptions import OrderFenced
 from sassafrasdale.duties.orders import DesiredState, EngineOrders
-from sassafrasdale.endpoints.adapters import EndpointAnswer
+from sassafrasdale.endpoints.adapters import EndpointResponse
 from sassafrasdale.endpoints.directory import Endpoint
 from sassafrasdale.endpoints.exceptions import NotSent
 from sassafrasdale.structures import Address, Instance, Role
@@ -35,11 +35,11 @@
     def send(self, request, limit):
         order = json.loads(request.body)
         if self.checks and order["fencing_number"] < self.highest:
-            return EndpointAnswer(409, (), b"{}")
+            return EndpointResponse(409, (), b"{}")
         self.highest = max(self.highest, order["fencing_number"])
         self.orders.append(order)
         self.state[order["kind"]] = order["value"]
-        return EndpointAnswer(200, (), b"{}")
+        return EndpointResponse(200, (), b"{}")
 
     def endpoint(self):
         instance = Instance(
--- a/tests/endpoints/test_adapters.py
+++ b/tests/endpoints/test_adapters.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sassafrasdale.endpoints.adapters import EndpointRequest, EventStream, HttpAdapter
-from sassafrasdale.endpoints.exceptions import AnswerLost, NotSent, Refused
+from sassafrasdale.endpoints.exceptions import NotSent, Refused, ResponseLost
 from sassafrasdale.structures import Address
 
 ASK = EndpointRequest("GET", "/", (), b"")
@@ -58,7 +58,7 @@
     with endpoint(response) as address:
         adapter = HttpAdapter(address)
         sender = adapter.connect() if fresh else adapter
-        with pytest.raises(AnswerLost):
+        with pytest.raises(ResponseLost):
             sender.send(ASK, LIMIT)
 
 
@@ -67,7 +67,7 @@
     body = b"14\r\ndata: 1\n\ndata: 2\n\nda\r\n"
     with endpoint(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + body) as address:
         got = []
-        with pytest.raises(AnswerLost):
+        with pytest.raises(ResponseLost):
             _read_into(got, HttpAdapter(address).stream(ASK, LIMIT))
     assert got == [b"data: 1", b"data: 2"]
 
@@ -107,7 +107,7 @@
     body = b"3e8\r\n" + b"x" * 1000 + b"\r\n"
     with (
         endpoint(head + body * 2) as address,
-        pytest.raises(AnswerLost, match="over 1000 bytes"),
+        pytest.raises(ResponseLost, match="over 1000 bytes"),
     ):
         HttpAdapter(address).send(ASK, LIMIT)
 
--- a/tests/endpoints/test_reports.py
+++ b/tests/endpoints/test_reports.py
@@ -7,7 +7,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.endpoints.directory import Directory, Endpoint
-from sassafrasdale.endpoints.reports import LoadReader
+from sassafrasdale.endpoints.reports import LoadPoller
 from sassafrasdale.structures import Address, Instance, Role
 
 SECOND = timedelta(seconds=1)
@@ -40,7 +40,7 @@
 
 @pytest.fixture
 def poller(clock):
-    return LoadReader(Directory(clock), lambda _: True, clock, random.Random(1))
+    return LoadPoller(Directory(clock), lambda _: True, clock, random.Random(1))
 
 
 def test_a_delayed_load_uses_the_own_count_at_its_measurement(clock, engine, poller):
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -14,13 +14,13 @@
     Granted,
     InProgress,
     OutcomeLost,
-    StoredAnswer,
+    StoredResponse,
 )
 from sassafrasdale.requests.exceptions import ClaimRefused
 from tests.coordination.fakes import FakeStore
 
 KEY = ClaimKey("certificates", "authority", "batch/17")
-ANSWER = StoredAnswer(201, (("Content-Type", "text/plain"),), b"certificate 17")
+ANSWER = StoredResponse(201, (("Content-Type", "text/plain"),), b"certificate 17")
 
 
 @pytest.fixture
@@ -52,7 +52,7 @@
     first = claim(claims, "a")
     assert isinstance(first, Granted)
     assert claim(claims, "b") == InProgress("entry-1", "a")
-    assert claims.settle(first.claim, ANSWER)
+    assert claims.store_response(first.claim, ANSWER)
     assert claim(claims, "c") == Answered(ANSWER)
 
 
@@ -65,7 +65,7 @@
     claims.release(claim(claims, "a").claim)
     again = claim(claims, "b")
     assert again.claim.record.claim_id == "b"
-    claims.settle(again.claim, ANSWER)
+    claims.store_response(again.claim, ANSWER)
     assert claim(claims, "c") == Answered(ANSWER)
 
 
@@ -77,7 +77,7 @@
 def test_body_too_large_to_store_is_not_replayed(claims):
     first = claim(claims, "a")
     body = b"x" * (MAX_STORED_BODY_BYTES + 1)
-    claims.settle(first.claim, StoredAnswer(200, (), body))
+    claims.store_response(first.claim, StoredResponse(200, (), body))
     assert claim(claims, "b") == OutcomeLost()
 
 
@@ -151,7 +151,7 @@
 def test_response_is_stored_after_an_outage(claims, store):
     first = claim(claims, "a")
     store.faults = ["late", "unreached", "unreached"]
-    assert not claims.settle(first.claim, ANSWER)
+    assert not claims.store_response(first.claim, ANSWER)
     with pytest.raises(Exception, match="out"):
         claims.outcome_writer.run_once()
     assert claims.outcome_writer.pending == 1
@@ -165,7 +165,7 @@
         claims.claim(ClaimKey("s", "c", str(number)), "f", f"id{number}", "entry-1")
     assert len(store.leases) == 1
     clock.advance(timedelta(minutes=59))
-    claims.settle(claim(claims, "a").claim, ANSWER)
+    claims.store_response(claim(claims, "a").claim, ANSWER)
     clock.advance(timedelta(hours=24))
     assert claim(claims, "b") == Answered(ANSWER)
     clock.advance(timedelta(hours=3))
@@ -179,7 +179,7 @@
 
 def test_two_writes_per_request(claims, store):
     before = store.writes
-    claims.settle(claim(claims, "a").claim, ANSWER)
+    claims.store_response(claim(claims, "a").claim, ANSWER)
     assert store.writes - before == 2
 
 
@@ -188,7 +188,7 @@
 
     With the outcome "not run" the caller would repeat the request under a new key.
     """
-    claims.settle(claim(claims, "a").claim, ANSWER)
+    claims.store_response(claim(claims, "a").claim, ANSWER)
     store.faults = ["unreached"]
     assert claim(claims, "b") == OutcomeLost()
 
--- a/tests/requests/test_claims_model.py
+++ b/tests/requests/test_claims_model.py
@@ -18,7 +18,7 @@
     ClaimKey,
     Claims,
     Granted,
-    StoredAnswer,
+    StoredResponse,
 )
 from sassafrasdale.requests.exceptions import ClaimRefused
 from tests.coordination.stepping import FAULTS, Program, SteppedStore, wait
@@ -63,7 +63,7 @@
             case None:
                 response = self._execute()
                 self._reply(response)
-                self.claims.settle(claim, response)
+                self.claims.store_response(claim, response)
             case "unreached":
                 self.reply = "not run"
                 self.claims.release(claim)
@@ -76,13 +76,13 @@
                 self.may_block = True
                 self.claims.mark_unknown(claim)
 
-    def _execute(self) -> StoredAnswer:
+    def _execute(self) -> StoredResponse:
         self.ran = True
         self.may_block = True
         self.model.runs += 1
-        return StoredAnswer(200, (), uuid4().bytes)
+        return StoredResponse(200, (), uuid4().bytes)
 
-    def _reply(self, response: StoredAnswer) -> None:
+    def _reply(self, response: StoredResponse) -> None:
         self.reply = "answered"
         self.model.responses.add(response.body)
 
--- a/tests/requests/test_generation.py
+++ b/tests/requests/test_generation.py
@@ -9,10 +9,10 @@
 from sassafrasdale.clock import ManualClock, SystemClock
 from sassafrasdale.endpoints.engines import DONE, FromCache
 from sassafrasdale.endpoints.exceptions import (
-    AnswerLost,
     NotSent,
     Refused,
     Rejected,
+    ResponseLost,
     StreamUnknown,
 )
 from sassafrasdale.green import sleep
@@ -51,7 +51,7 @@
     The engine's queue takes longer than the silence timeout. Neither the first call
     nor the reconnection gets an event in time, though the engine is healthy.
     """
-    silence = AnswerLost("no response")
+    silence = ResponseLost("no response")
     engine = FakeAdapter([silence, silence, [WHOLE]], {"health": {}})
     other = FakeAdapter([[WHOLE]])
     made = generation(Choices(endpoint("one", engine), endpoint("two", other)))
@@ -62,8 +62,8 @@
 
 def test_a_dead_engine_is_replaced():
     """As above, but the engine is dead, so another one recomputes the tokens."""
-    broken = [[token("a")], AnswerLost("silent")]
-    engine = FakeAdapter([broken, AnswerLost("no response")])
+    broken = [[token("a")], ResponseLost("silent")]
+    engine = FakeAdapter([broken, ResponseLost("no response")])
     other = FakeAdapter([[WHOLE[1:]]])
     made = generation(Choices(endpoint("one", engine), endpoint("two", other)))
     made.run()
@@ -76,7 +76,7 @@
 
     Its engine crashes, and for a moment every other one refuses or is unreachable.
     """
-    engine = FakeAdapter([[[token("a")], AnswerLost("cut")], NotSent("gone")])
+    engine = FakeAdapter([[[token("a")], ResponseLost("cut")], NotSent("gone")])
     full = FakeAdapter([Refused("full"), [WHOLE[1:]]])
     choices = Choices(
         endpoint("one", engine), endpoint("two", full), None, endpoint("two", full)
@@ -171,7 +171,7 @@
 
 def test_a_non_idempotent_request_is_never_recomputed():
     """A non-idempotent request runs twice when its engine crashes."""
-    engine = FakeAdapter([[[token("a")], AnswerLost("cut")], StreamUnknown("gone")])
+    engine = FakeAdapter([[[token("a")], ResponseLost("cut")], StreamUnknown("gone")])
     other = FakeAdapter([[WHOLE]])
     choices = Choices(endpoint("one", engine), endpoint("two", other))
     made = generation(choices, model_call(key="k"))
--- a/tests/requests/test_hedges.py
+++ b/tests/requests/test_hedges.py
@@ -7,8 +7,8 @@
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.decisions.budgets import RetryBudget
 from sassafrasdale.decisions.hedging import HEDGE_MINIMUM_SAMPLES
-from sassafrasdale.endpoints.adapters import EndpointAnswer, EndpointRequest
-from sassafrasdale.endpoints.exceptions import AnswerLost, NotSent
+from sassafrasdale.endpoints.adapters import EndpointRequest, EndpointResponse
+from sassafrasdale.endpoints.exceptions import NotSent, ResponseLost
 from sassafrasdale.green import sleep
 from sassafrasdale.requests.execution import IdempotentExecution
 from sassafrasdale.requests.gate import Gate
@@ -36,12 +36,12 @@
     error: Exception | None = None
     requests: list[EndpointRequest] = field(default_factory=list)
 
-    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointAnswer:
+    def send(self, request: EndpointRequest, limit: timedelta) -> EndpointResponse:
         self.requests.append(request)
         sleep(self.delay)
         if self.error is not None:
             raise self.error
-        return EndpointAnswer(200, (), str(self.delay).encode())
+        return EndpointResponse(200, (), str(self.delay).encode())
 
 
 def _run(*adapters: DelayedAdapter, observed: int = HEDGE_MINIMUM_SAMPLES) -> Outcome:
@@ -98,7 +98,7 @@
 
 
 def test_both_attempts_lost_is_unknown():
-    lost = AnswerLost("silent")
+    lost = ResponseLost("silent")
     slow = DelayedAdapter(timedelta(milliseconds=100), lost)
     assert isinstance(_run(slow, DelayedAdapter(QUICK, lost)), Unknown)
 
@@ -115,6 +115,6 @@
     The first endpoint's response is lost, then the second can't be reached. If only
     the later failure counts, the outcome is wrong.
     """
-    slow = DelayedAdapter(timedelta(milliseconds=100), AnswerLost("silent"))
+    slow = DelayedAdapter(timedelta(milliseconds=100), ResponseLost("silent"))
     later = DelayedAdapter(timedelta(milliseconds=300), NotSent("gone"))
     assert isinstance(_run(slow, later), Unknown)
--- a/tests/requests/test_ledger.py
+++ b/tests/requests/test_ledger.py
@@ -7,7 +7,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.metrics import Metrics
-from sassafrasdale.requests.ledger import Ledger
+from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.requests.structures import Answered, Call, NotRun, Outcome
 from sassafrasdale.text.parser import parse_text
 
@@ -38,7 +38,7 @@
     """
     clock = ManualClock()
     clock.advance(timedelta(hours=1))
-    ledger = Ledger(Metrics("entry-1", "cairo-a"), clock)
+    ledger = RequestCounters(Metrics("entry-1", "cairo-a"), clock)
     ledger.set_text(TEXT)
     call = Call("id", "cube-labs", "reports", timedelta(hours=2), 3)
     began = ledger.begin(call)
--- a/tests/requests/test_mover.py
+++ b/tests/requests/test_mover.py
@@ -24,7 +24,7 @@
 def _mover(clock, registry):
     target = endpoint("two", FakeAdapter([]))
     selector = SimpleNamespace(
-        wanted=lambda *arguments, **options: None, choose=lambda query, avoid: target
+        query_for=lambda *arguments, **options: None, choose=lambda query, avoid: target
     )
     return Mover(registry, selector, clock)
 
@@ -41,10 +41,10 @@
     engine = FakeAdapter([], {"export": {"kv_handle": "kv-1"}})
     leaving = endpoint("one", engine)
     leaving.leave(clock.now() + timedelta(seconds=2))
-    mover.empty(leaving)
+    mover.drain(leaving)
     progress = Progress([token("a")], leaving, None, sent=True)
     registry.add(generation(Choices(), progress=progress, clock=clock))
-    mover.review()
+    mover.update_plans()
     sleep()
     assert engine.asked == ["/v1/streams/id-1/export"]
 
@@ -60,7 +60,7 @@
     made = generation(Choices(), progress=progress, clock=clock)
     registry.add(made)
     made.begin_offer()
-    mover.empty(leaving)
+    mover.drain(leaving)
     sleep()
     assert engine.asked == []
 
@@ -81,5 +81,5 @@
     )
     directory.replace([listed])
     leaves_at = ManualClock().now() + timedelta(seconds=5)
-    assert directory.heed(Notice(1, "one", leaves_at)) is directory.get("one")
+    assert directory.apply_notice(Notice(1, "one", leaves_at)) is directory.get("one")
     assert directory.get("one").leaves_at == leaves_at
--- a/tests/requests/test_selection.py
+++ b/tests/requests/test_selection.py
@@ -55,7 +55,7 @@
         slow = endpoint.name == "records-0"
         for _ in range(30):
             selector.observe(endpoint, ok=True, latency=SLOW if slow else USUAL)
-    query = selector.wanted("records", timedelta(minutes=1), 0)
+    query = selector.query_for("records", timedelta(minutes=1), 0)
     avoid = frozenset({"records-1", "records-2"})
     chosen = [selector.choose(query, avoid) for _ in range(100)]
     assert all(chosen)
@@ -73,5 +73,5 @@
     for endpoint in directory.endpoints[:2]:
         for _ in range(10):
             selector.observe(endpoint, ok=False)
-    query = selector.wanted("records", timedelta(minutes=1), 0)
+    query = selector.query_for("records", timedelta(minutes=1), 0)
     assert selector.choose(query, frozenset({"records-2"}))
--- a/tests/requests/test_transfers.py
+++ b/tests/requests/test_transfers.py
@@ -43,7 +43,7 @@
         progress = Progress([token("a")], None, None, sent=True)
         data = encode(call, progress, self.clock)
         handover = HandOver(call.call.request_id, "giver", data)
-        self.transfers.take(handover, self.replies.append, stays=stays)
+        self.transfers.accept(handover, self.replies.append, stays=stays)
         return self.replies[-1]
 
 
