--- a/bench/capacity/duties.py
+++ b/bench/capacity/duties.py
@@ -17,7 +17,7 @@
 from sassafrasdale.coordination.exceptions import LeaseNotHeld
 from sassafrasdale.coordination.leases import Permit
 from sassafrasdale.coordination.stores import Swap
-from sassafrasdale.duties.capacity import ROUND, CapacityDuty
+from sassafrasdale.duties.capacity import STEP_INTERVAL, CapacityDuty
 from sassafrasdale.duties.demand import FleetView
 from sassafrasdale.endpoints.directory import Directory
 from sassafrasdale.structures import Address, Instance, Role
@@ -45,7 +45,7 @@
         """Return a permit, or raise if the lease is not held."""
         if not self._is_held:
             raise LeaseNotHeld("not the holder")
-        return Permit(1, ROUND * 100)
+        return Permit(1, STEP_INTERVAL * 100)
 
 
 class FakeEngine:
@@ -100,7 +100,10 @@
         "engines": engines,
         "services": services + 1,
         "other_round_ms": other,
-        "other_cpu_percent": other / MILLISECONDS / ROUND.total_seconds() * PERCENT,
+        "other_cpu_percent": other
+        / MILLISECONDS
+        / STEP_INTERVAL.total_seconds()
+        * PERCENT,
         "holder_round_ms": holder,
         "engine_calls": (FakeEngine.calls - calls_before) / ROUNDS,
     }
--- a/bench/capacity/peer_host.py
+++ b/bench/capacity/peer_host.py
@@ -28,7 +28,7 @@
     HandOverOffered,
     MembersChanged,
     MemberState,
-    NoticeHeard,
+    NoticeReceived,
     TextOffered,
 )
 from sassafrasdale.structures import Address, Instance, Notice, Role
@@ -105,7 +105,7 @@
             match message:
                 case TextOffered(record):
                     self.write(heard=f"text-{record.revision}", by=name, at=now)
-                case NoticeHeard(notice):
+                case NoticeReceived(notice):
                     self.write(heard=f"notice-{notice.sequence}", by=name, at=now)
                 case HandOverOffered(_, reply):
                     reply(True)
--- a/bench/capacity/peers.py
+++ b/bench/capacity/peers.py
@@ -16,7 +16,7 @@
 from bench.capacity.traffic import HEADERS_OF_SEGMENT
 from bench.capacity.usage import own_cpu
 from sassafrasdale.clock import SystemClock
-from sassafrasdale.peers.agent import UPDATES_A_MESSAGE, VERIFICATIONS_A_PERIOD
+from sassafrasdale.peers.agent import UPDATES_PER_MESSAGE, VERIFICATIONS_PER_PERIOD
 from sassafrasdale.peers.membership import Membership
 from sassafrasdale.peers.structures import Member, PeerTimings
 from sassafrasdale.structures import Address
@@ -93,8 +93,8 @@
     for number in range(TABLE_CHANGES):
         member = members[1 + number % (size - 1)]
         membership.apply(replace(member, incarnation=number + 2))
-        membership.take_updates(UPDATES_A_MESSAGE)
-        membership.next_targets(VERIFICATIONS_A_PERIOD)
+        membership.take_updates(UPDATES_PER_MESSAGE)
+        membership.next_targets(VERIFICATIONS_PER_PERIOD)
         membership.expire()
         _ = membership.members
     cpu = (own_cpu() - start) / TABLE_CHANGES
--- a/bench/claim_fleet.py
+++ b/bench/claim_fleet.py
@@ -16,7 +16,7 @@
 from bench.claims import Result, one_request, run
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.coordination.etcd import EtcdStore
-from sassafrasdale.coordination.gathering import GatheringStore
+from sassafrasdale.coordination.gathering import BatchingStore
 from sassafrasdale.requests.claims import Claims
 from sassafrasdale.structures import Address
 from standins.processes import PlatformProcess
@@ -25,7 +25,7 @@
 def run_entry(arguments: argparse.Namespace) -> None:
     """Claim as one entry and print the results as JSON."""
     store = EtcdStore(Address.parse(arguments.store), SystemClock())
-    store_form = GatheringStore(store) if arguments.form == "gathered" else store
+    store_form = BatchingStore(store) if arguments.form == "gathered" else store
     claims = Claims(store_form, SystemClock())
     one_request(claims, Result())
     result = run(NoCounts(), claims, arguments.rate, arguments.seconds)
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -19,7 +19,7 @@
 
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.coordination.etcd import EtcdStore
-from sassafrasdale.coordination.gathering import GatheringStore
+from sassafrasdale.coordination.gathering import BatchingStore
 from sassafrasdale.coordination.stores import BaseStore
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.requests.claims import ClaimKey, Claims, StoredResponse
@@ -100,7 +100,7 @@
     clock = SystemClock()
     return {
         "plain": EtcdStore(address, clock, Random(1)),
-        "gathered": GatheringStore(EtcdStore(address, clock, Random(1))),
+        "gathered": BatchingStore(EtcdStore(address, clock, Random(1))),
     }
 
 
--- a/src/sassafrasdale/coordination/gathering.py
+++ b/src/sassafrasdale/coordination/gathering.py
@@ -46,7 +46,7 @@
         return self._done.wait()
 
 
-class GatheringStore(BaseStore):
+class BatchingStore(BaseStore):
     """Store that batches conditional writes and passes other calls through.
 
     The first write is sent immediately; writes that arrive within an interval
--- a/src/sassafrasdale/coordination/leases.py
+++ b/src/sassafrasdale/coordination/leases.py
@@ -81,7 +81,7 @@
         ttl: timedelta = LEASE_TTL,
         is_taken: Callable[[], bool] = lambda: False,
         *,
-        rest: timedelta = timedelta(),
+        cooldown: timedelta = timedelta(),
     ) -> None:
         self._store = store
         self._key = LEASES_PREFIX + duty
@@ -90,7 +90,7 @@
         self._rng = rng
         self._ttl = ttl
         self._is_taken = is_taken
-        self._cooldown = rest
+        self._cooldown = cooldown
         self._cooldown_until = timedelta()
         self._chart = Lifecycle(load_chart("lease_holder"))
         self._lease: Lease | None = None
--- a/src/sassafrasdale/duties/capacity.py
+++ b/src/sassafrasdale/duties/capacity.py
@@ -47,7 +47,7 @@
 from sassafrasdale.text.structures import Service, ServiceKind
 
 DUTY = "capacity"
-ROUND = timedelta(seconds=2)
+STEP_INTERVAL = timedelta(seconds=2)
 JITTER = 0.2
 # An engine's load report that is older than this doesn't show that it is idle.
 IDLE_REPORT_AGE = timedelta(seconds=5)
@@ -96,7 +96,7 @@
     def run(self) -> None:
         """Execute steps until the task is killed."""
         while True:
-            sleep(ROUND * self._rng.uniform(1 - JITTER, 1 + JITTER))
+            sleep(STEP_INTERVAL * self._rng.uniform(1 - JITTER, 1 + JITTER))
             with suppress(LeaseNotHeld):
                 self.step()
 
--- a/src/sassafrasdale/entry/coordinator.py
+++ b/src/sassafrasdale/entry/coordinator.py
@@ -19,12 +19,12 @@
 from sassafrasdale.metrics import Metrics
 from sassafrasdale.peers.node import PeerNode
 from sassafrasdale.peers.structures import (
-    FindAsked,
+    FindRequested,
     HandOverOffered,
     Member,
     MembersChanged,
     MemberState,
-    NoticeHeard,
+    NoticeReceived,
     TextOffered,
 )
 from sassafrasdale.requests.gates import Gates
@@ -154,14 +154,14 @@
             case NoticeGiven(notice):
                 self._handle_notice(notice)
                 self._peers.spread_notice(notice)
-            case NoticeHeard(notice):
+            case NoticeReceived(notice):
                 self._handle_notice(notice)
             case MembersChanged(members):
                 self._handle_members(members)
             case HandOverOffered(handover, reply):
                 keeps_running = self._lifecycle.state == "ready"
                 self._transfers.accept(handover, reply, stays=keeps_running)
-            case FindAsked(request_id, reply):
+            case FindRequested(request_id, reply):
                 reply(self._registry.holds(request_id))
 
     def _handle_peer_text(self, record: TextRecord) -> None:
--- a/src/sassafrasdale/entry/process.py
+++ b/src/sassafrasdale/entry/process.py
@@ -22,7 +22,7 @@
     PriceWatcher,
 )
 from sassafrasdale.coordination.etcd import EtcdStore
-from sassafrasdale.coordination.gathering import GatheringStore
+from sassafrasdale.coordination.gathering import BatchingStore
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.coordination.texts import (
     TextRegister,
@@ -128,7 +128,7 @@
             selector=self._selector,
             gates=self._gates,
             registry=Registry(self._clock),
-            claims=Claims(GatheringStore(store), self._clock),
+            claims=Claims(BatchingStore(store), self._clock),
             ledger=self._counters,
             is_alive=self._is_alive,
             clock=self._clock,
--- a/src/sassafrasdale/gateway/duties.py
+++ b/src/sassafrasdale/gateway/duties.py
@@ -78,7 +78,7 @@
             rng,
             max(bounds.lease * LEASE_TTL_FRACTION, bounds.min_lease),
             self._should_defer,
-            rest=bounds.lease,
+            cooldown=bounds.lease,
         )
 
     def claim(self) -> DutyClaim | None:
--- a/src/sassafrasdale/peers/agent.py
+++ b/src/sassafrasdale/peers/agent.py
@@ -39,15 +39,15 @@
     Member,
     MembersChanged,
     MemberState,
-    NoticeHeard,
+    NoticeReceived,
     PeerTimings,
     TextOffered,
 )
 from sassafrasdale.structures import Instance, Notice
 
-UPDATES_A_MESSAGE = 8
+UPDATES_PER_MESSAGE = 8
 NOTICES_PER_MESSAGE = 16
-VERIFICATIONS_A_PERIOD = 2
+VERIFICATIONS_PER_PERIOD = 2
 INDIRECT_PROBES = 2
 FIRST_FIND_PEERS = 2
 FIND_BATCH_SIZE = 8
@@ -170,7 +170,7 @@
         :param about: name of the receiver.
         :param highest_notice: highest notice that the receiver has seen, if known.
         """
-        updates = self._membership.take_updates(UPDATES_A_MESSAGE, about)
+        updates = self._membership.take_updates(UPDATES_PER_MESSAGE, about)
         notices = self._notices.take(NOTICES_PER_MESSAGE, highest_notice)
         return self._gossip_of(updates, notices)
 
@@ -287,7 +287,7 @@
     def _probe_period(self) -> None:
         for member in self._membership.expire():
             self._spreader.add_member(member, self._spreader.first_hops)
-        for target in self._membership.next_targets(VERIFICATIONS_A_PERIOD):
+        for target in self._membership.next_targets(VERIFICATIONS_PER_PERIOD):
             self.run(self._probe(target))
         self._publish()
 
@@ -405,7 +405,7 @@
             notice = notice_from_message(message)
             if not self._notices.add(notice):
                 continue
-            self._post(NoticeHeard(notice))
+            self._post(NoticeReceived(notice))
             if hops > 0:
                 self._spreader.add_notice(notice, hops - 1)
 
--- a/src/sassafrasdale/peers/service.py
+++ b/src/sassafrasdale/peers/service.py
@@ -24,7 +24,7 @@
     SpreadRequest,
 )
 from sassafrasdale.peers.messages import fill_text, member_from_message
-from sassafrasdale.peers.structures import FindAsked, HandOver, HandOverOffered
+from sassafrasdale.peers.structures import FindRequested, HandOver, HandOverOffered
 
 DECISION_TIMEOUT = timedelta(milliseconds=1500)
 
@@ -127,7 +127,7 @@
         request = await stream.recv_message()
         self._agent.merge(request.gossip, from_request=True)
         held = await self._request_decision(
-            lambda reply: self._post(FindAsked(request.request_id, reply))
+            lambda reply: self._post(FindRequested(request.request_id, reply))
         )
         gossip = self._agent.gossip(request.gossip.sender.name)
         await stream.send_message(FindReply(gossip=gossip, held=held))
--- a/src/sassafrasdale/peers/structures.py
+++ b/src/sassafrasdale/peers/structures.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoticeHeard:
+class NoticeReceived:
     """Message: a peer sent a reclaim notice that was new here."""
 
     notice: Notice
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FindAsked:
+class FindRequested:
     """Message: a peer asks whether this entry holds a request; call ``reply``."""
 
     request_id: str
--- a/tests/coordination/fakes.py
+++ b/tests/coordination/fakes.py
@@ -43,7 +43,7 @@
         self.calls = 0
         self.writes = 0
 
-    def land(self, index: int = 0) -> None:
+    def apply_late(self, index: int = 0) -> None:
         """Apply a late write."""
         self.late.pop(index)()
 
--- a/tests/coordination/test_gathering.py
+++ b/tests/coordination/test_gathering.py
@@ -6,7 +6,7 @@
 from sassafrasdale.coordination.gathering import (
     MAX_OVERLOADS,
     MIN_INTERVAL,
-    GatheringStore,
+    BatchingStore,
 )
 from sassafrasdale.green import spawn
 from tests.coordination.fakes import FakeStore
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def batching(store):
-    return GatheringStore(store)
+    return BatchingStore(store)
 
 
 def create_all(batching, names):
--- a/tests/coordination/test_leases.py
+++ b/tests/coordination/test_leases.py
@@ -111,7 +111,7 @@
     store.faults = [None, None, fault]
     holders[0].step()
     for _ in range(len(store.late)):
-        store.land()
+        store.apply_late()
     permit = holders[0].permit(checks_fencing=True)
     held = store.keys["sassafrasdale/leases/capacity"]
     assert permit.fencing_number == held.create_revision
@@ -149,7 +149,7 @@
     it as well. Only the cooldown prevents the first from acquiring it again.
     """
     first, second = (
-        LeaseHolder(store, "d", f"entry-{n}", clock, Random(n), TTL, rest=TTL * 2)
+        LeaseHolder(store, "d", f"entry-{n}", clock, Random(n), TTL, cooldown=TTL * 2)
         for n in range(2)
     )
     first.step()
--- a/tests/coordination/test_texts_model.py
+++ b/tests/coordination/test_texts_model.py
@@ -99,7 +99,7 @@
     @precondition(lambda self: self.store.late)
     @rule(index=indexes)
     def land(self, index):
-        self.store.land(index % len(self.store.late))
+        self.store.apply_late(index % len(self.store.late))
 
     @rule(watcher=st.integers(0, WATCHERS - 1), faults=several_faults)
     def watch(self, watcher, faults):
@@ -153,7 +153,7 @@
             program.finish()
             self.revision_only_increases()
         while self.store.late:
-            self.store.land()
+            self.store.apply_late()
             self.revision_only_increases()
         self.reported_outcomes_are_correct()
         for watcher in self.watchers:
--- a/tests/gateway/test_duty_model.py
+++ b/tests/gateway/test_duty_model.py
@@ -199,7 +199,7 @@
     @rule()
     def apply_late_write(self):
         if self.store.late:
-            self.store.land()
+            self.store.apply_late()
 
     @rule()
     def apply_late_call(self):
--- a/tests/guarantees/test_membership.py
+++ b/tests/guarantees/test_membership.py
@@ -138,7 +138,7 @@
     """Start a stand-in peer, register it, and give it the entries' addresses."""
     peer = PeerProcess(int(name.removeprefix("entry-")))
     try:
-        peer.tell(**command)
+        peer.send_command(**command)
         instance = {
             "name": name,
             "role": "entry",
@@ -148,7 +148,7 @@
         }
         fleet.platform.control("POST", "instances", instance)
         entries = [[each.name, each.zone, each.peer_address] for each in fleet.entries]
-        peer.tell(candidates=entries)
+        peer.send_command(candidates=entries)
         yield peer
     finally:
         peer.end()
@@ -193,7 +193,7 @@
     the network is cut in one direction. Watches have stalled and the store is
     unavailable. Entries must fetch an edit that other peers offer from these at once.
     """
-    mute_peer.tell(claim=NONEXISTENT_REVISION)
+    mute_peer.send_command(claim=NONEXISTENT_REVISION)
     for number in range(3):
         base = revision_of(fleet.entries[0])
         fleet.platform.set_faults(store={"deaf_watches": True, "outage": None})
--- a/tests/peers/processes.py
+++ b/tests/peers/processes.py
@@ -30,7 +30,7 @@
         self.peer_address = json.loads(self._process.stdout.readline())["peer_address"]
         threading.Thread(target=self._read, daemon=True).start()
 
-    def tell(self, **command) -> None:
+    def send_command(self, **command) -> None:
         """Send one command."""
         self._process.stdin.write(json.dumps(command) + "\n")
         self._process.stdin.flush()
@@ -55,7 +55,7 @@
     """Send the list of all processes to every process, as the platform does."""
     listed = [[each.name, each.zone, each.peer_address] for each in processes]
     for each in processes:
-        each.tell(candidates=listed)
+        each.send_command(candidates=listed)
 
 
 def wait_for(condition, limit: timedelta = LIMIT) -> timedelta:
--- a/tests/peers/test_failures.py
+++ b/tests/peers/test_failures.py
@@ -62,14 +62,14 @@
     it can't accept. After the partition it becomes a member again.
     """
     *others, victim = processes
-    victim.tell(mute=True)
+    victim.send_command(mute=True)
     wait_for(lambda: all_see(others, victim.name, "DEAD"), DETECTION)
     seen = [len(each.history) for each in others]
     time.sleep(2)
     for count, each in zip(seen, others, strict=True):
         later = [members[victim.name] for members in each.history[count:]]
         assert "ALIVE" not in later
-    victim.tell(mute=False)
+    victim.send_command(mute=False)
     wait_for(lambda: all_see(others, victim.name, "ALIVE"))
 
 
@@ -83,12 +83,12 @@
     west, east = processes[:2], processes[2:]
     for side, other in ((west, east), (east, west)):
         for each in side:
-            each.tell(cut=[peer.peer_address for peer in other])
+            each.send_command(cut=[peer.peer_address for peer in other])
     for side, other in ((west, east), (east, west)):
         for lost in other:
             wait_for(partial(all_see, side, lost.name, "DEAD"), DETECTION)
     for each in processes:
-        each.tell(cut=[])
+        each.send_command(cut=[])
     for each in processes:
         others = [other for other in processes if other is not each]
         wait_for(partial(all_see, others, each.name, "ALIVE"))
--- a/tests/peers/test_node.py
+++ b/tests/peers/test_node.py
@@ -7,11 +7,11 @@
 from sassafrasdale.coordination.texts import TextRecord
 from sassafrasdale.green import Empty, spawn
 from sassafrasdale.peers.structures import (
-    FindAsked,
+    FindRequested,
     HandOver,
     HandOverOffered,
     MemberState,
-    NoticeHeard,
+    NoticeReceived,
     TextOffered,
 )
 from sassafrasdale.structures import Notice
@@ -59,8 +59,8 @@
     cluster[0][0].spread_notice(notice)
     cluster[0][0].spread_notice(notice)
     for _, inbox in cluster[1:]:
-        assert take(inbox, NoticeHeard).notice == notice
-        assert not any(isinstance(each, NoticeHeard) for each in inbox.queue)
+        assert take(inbox, NoticeReceived).notice == notice
+        assert not any(isinstance(each, NoticeReceived) for each in inbox.queue)
 
 
 @pytest.mark.parametrize("accepted", [True, False])
@@ -83,7 +83,7 @@
 
 def test_find_returns_the_holder(cluster):
     def reply_to_find(inbox, held):
-        take(inbox, FindAsked, timedelta(seconds=8)).reply(held)
+        take(inbox, FindRequested, timedelta(seconds=8)).reply(held)
 
     replying = [
         spawn(reply_to_find, inbox, number == 2)
@@ -97,7 +97,7 @@
 
 def test_find_without_a_holder_returns_none(cluster):
     def reply_to_find(inbox):
-        take(inbox, FindAsked).reply(False)
+        take(inbox, FindRequested).reply(False)
 
     replying = [spawn(reply_to_find, inbox) for _, inbox in cluster[1:]]
     assert cluster[0][0].find("r-3") is None
--- a/tests/requests/test_claims.py
+++ b/tests/requests/test_claims.py
@@ -92,7 +92,7 @@
     store.faults = [fault]
     assert isinstance(claim(claims, "a"), Granted)
     for _ in range(len(store.late)):
-        store.land()
+        store.apply_late()
     assert claim(claims, "b") == InProgress("entry-1", "a")
 
 
@@ -106,7 +106,7 @@
     with pytest.raises(ClaimRefused) as refusal:
         claim(claims, "a")
     assert refusal.value.retry_after > timedelta()
-    store.land()
+    store.apply_late()
     claims.outcome_writer.run_once()
     assert claims.outcome_writer.pending == 0
     assert isinstance(claim(claims, "b"), Granted)
@@ -122,7 +122,7 @@
     with pytest.raises(ClaimRefused):
         claim(claims, "a")
     claims.outcome_writer.run_once()
-    store.land()
+    store.apply_late()
     assert isinstance(claim(claims, "b"), Granted)
 
 
@@ -136,7 +136,7 @@
         claim(claims, "a")
     assert isinstance(claim(claims, "b"), Granted)
     claims.outcome_writer.run_once()
-    store.land()
+    store.apply_late()
     assert claim(claims, "c") == InProgress("entry-1", "b")
 
 
@@ -156,7 +156,7 @@
         claims.outcome_writer.run_once()
     assert claims.outcome_writer.pending == 1
     claims.outcome_writer.run_once()
-    store.land()
+    store.apply_late()
     assert claim(claims, "b") == Answered(ANSWER)
 
 
--- a/tests/requests/test_claims_model.py
+++ b/tests/requests/test_claims_model.py
@@ -115,7 +115,7 @@
     @precondition(lambda self: self.store.late)
     @rule(index=indexes)
     def land(self, index):
-        self.store.land(index % len(self.store.late))
+        self.store.apply_late(index % len(self.store.late))
 
     @precondition(
         lambda self: any(claims.outcome_writer.pending for claims in self.claims)
@@ -169,7 +169,7 @@
             while claims.outcome_writer.pending:
                 claims.outcome_writer.run_once()
         while self.store.late:
-            self.store.land()
+            self.store.apply_late()
         self.runs_at_most_once()
         self.not_run_is_correct()
         self.one_response_per_key()
