--- a/src/sassafrasdale/callers/app.py
+++ b/src/sassafrasdale/callers/app.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from sassafrasdale.callers.exceptions import CallerError, NotReady
-from sassafrasdale.callers.generations import generation_answer
+from sassafrasdale.callers.generations import generation_response
 from sassafrasdale.callers.headers import read_call, read_customer
 from sassafrasdale.callers.messages import (
     HttpRequest,
@@ -132,7 +132,7 @@
             streamed=chat.stream,
         )
         if call.idempotent:
-            return generation_answer(self._dispatcher.generate(model_call))
+            return generation_response(self._dispatcher.generate(model_call))
         return self._chat_once(model_call)
 
     def _chat_once(self, call: ModelCall) -> HttpResponse:
@@ -143,7 +143,7 @@
             )
         started = self._dispatcher.generate_once(call)
         if isinstance(started, Generation):
-            return generation_answer(started)
+            return generation_response(started)
         request_id = ("X-Request-Id", call.call.request_id)
         return outcome_response(started).with_headers(request_id)
 
@@ -198,7 +198,7 @@
             generation = self._dispatcher.registry.find(request_id, customer)
         except RequestNotHeld:
             return self._relay(request, request_id)
-        return generation_answer(generation, after)
+        return generation_response(generation, after)
 
     def _text_for_new_request(self) -> Text:
         if not self._accepts_requests():
--- a/src/sassafrasdale/callers/generations.py
+++ b/src/sassafrasdale/callers/generations.py
@@ -22,7 +22,7 @@
 RECONNECT_MS = 50
 
 
-def generation_answer(generation: Generation, after: int = 0) -> HttpResponse:
+def generation_response(generation: Generation, after: int = 0) -> HttpResponse:
     """Return the response to a caller of ``generation``.
 
     :param after: position of the last event that the caller has.
--- a/tests/requests/test_generation.py
+++ b/tests/requests/test_generation.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sassafrasdale.callers.generations import generation_answer
+from sassafrasdale.callers.generations import generation_response
 from sassafrasdale.clock import ManualClock, SystemClock
 from sassafrasdale.endpoints.engines import DONE, FromCache
 from sassafrasdale.endpoints.exceptions import (
@@ -218,7 +218,7 @@
     call = replace(model_call(), streamed=streamed)
     made = generation(Choices(endpoint("one", engine)), call)
     made.run()
-    response = generation_answer(made)
+    response = generation_response(made)
     assert (response.status, response.body) == (400, b'{"error": "too long"}')
 
 
