--- a/bench/admission/catalogue.py
+++ b/bench/admission/catalogue.py
@@ -92,7 +92,7 @@
         "held p99": lambda result: held_until_shed(result, 0.99),
         "p50": lambda result: latency(result, 0.5),
         "p99": lambda result: latency(result, 0.99),
-        "sends": lambda result: len(result.sends) / len(result.outcomes),
+        "sends": lambda result: len(result.attempts) / len(result.outcomes),
         "refusals": lambda result: float(result.refusals),
     }
 )
--- a/bench/admission/replay.py
+++ b/bench/admission/replay.py
@@ -101,7 +101,7 @@
     slots: int
     outcomes: list[Outcome] = field(default_factory=list)
     arrivals: list[float] = field(default_factory=list)
-    sends: list[float] = field(default_factory=list)
+    attempts: list[float] = field(default_factory=list)
     refusals: int = 0
     hedges: int = 0
 
@@ -264,7 +264,7 @@
             return
         call.attempts += 1
         call.tried_endpoints.add(endpoint.name)
-        self.result.sends.append(self._now)
+        self.result.attempts.append(self._now)
         attempt = Attempt(call, endpoint, self._now)
         call.open_attempts.append(attempt)
         entry.in_flight[endpoint.name] += 1
--- a/bench/admission/storms.py
+++ b/bench/admission/storms.py
@@ -66,9 +66,9 @@
     result = zone_fails(policy, load, **others)
     offered = capacity_rate(GENERATION) * load
     return Storm(
-        sends=rate(result.sends, DOWN, UP) / offered,
-        peak=peak_per_second(result.sends, DOWN, PEAK_WIDTH) / offered,
-        return_peak=peak_per_second(result.sends, UP, PEAK_WIDTH) / offered,
+        sends=rate(result.attempts, DOWN, UP) / offered,
+        peak=peak_per_second(result.attempts, DOWN, PEAK_WIDTH) / offered,
+        return_peak=peak_per_second(result.attempts, UP, PEAK_WIDTH) / offered,
         in_time_down=_in_time(result, DOWN, UP),
         in_time_up=_in_time(result, UP, UP + 20),
         in_time=in_time_share(result),
--- a/bench/canary/histories.py
+++ b/bench/canary/histories.py
@@ -53,7 +53,7 @@
     bad: int
 
 
-def draw(
+def simulate_rollout(
     sort: str, rng: Random, requests: int, duration: timedelta
 ) -> Iterator[Snapshot]:
     """Yield the outcomes of a simulated rollout after each step.
--- a/bench/canary/run.py
+++ b/bench/canary/run.py
@@ -13,7 +13,7 @@
 from random import Random
 from statistics import median
 
-from bench.canary.histories import SORTS, draw
+from bench.canary.histories import SORTS, simulate_rollout
 from sassafrasdale.decisions.canary import (
     CanaryAnalysis,
     FixedThreshold,
@@ -31,7 +31,9 @@
 ) -> int | None:
     """Return the bad responses until a canary is rejected; None if it never is."""
     analysis = CanaryAnalysis(rule)
-    for snapshot in draw(sort, Random(f"{sort} {seed}"), requests, DURATION):
+    for snapshot in simulate_rollout(
+        sort, Random(f"{sort} {seed}"), requests, DURATION
+    ):
         if analysis.evaluate(snapshot.rows, snapshot.at).is_rejected:
             return snapshot.bad
     last = analysis.evaluate(snapshot.rows, DURATION, final=True)
--- a/bench/placement/model.py
+++ b/bench/placement/model.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Setting:
+class RunSettings:
     """The parameters of a run.
 
     :param slowness: of each engine, relative to the fastest.
@@ -91,7 +91,7 @@
     """
 
     def __init__(
-        self, name: str, slowness: float, setting: Setting, computed: set[str]
+        self, name: str, slowness: float, setting: RunSettings, computed: set[str]
     ) -> None:
         self._computed = computed
         self.name = name
@@ -165,7 +165,7 @@
 
     late: dict[str, float] = field(default_factory=dict)
     credit: float = 0.0
-    read_again: int = 0
+    recomputed_tokens: int = 0
 
 
 class Gateway:
--- a/bench/placement/run.py
+++ b/bench/placement/run.py
@@ -17,7 +17,7 @@
     Job,
     Outcome,
     RequestKind,
-    Setting,
+    RunSettings,
 )
 from sassafrasdale.decisions.fetching import CacheLink
 from sassafrasdale.decisions.news import ReportedLoad, unreported_work
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ways:
+class Mechanisms:
     """Mechanisms that a run uses.
 
     :param noise: factor on the unreported work, over which choices are spread.
@@ -54,26 +54,26 @@
     """
 
     noise: float = 1.0
-    drains: bool = True
+    age_reports: bool = True
     fetch: bool = True
     step_times: bool = True
 
 
 # All mechanisms, all without one of them, and none.
 ABLATION = {
-    "all": Ways(),
-    "without spreading": Ways(noise=0.0),
-    "without reading since": Ways(drains=False),
-    "without fetches": Ways(fetch=False),
-    "without paces": Ways(step_times=False),
-    "none": Ways(noise=0.0, drains=False, fetch=False, step_times=False),
+    "all": Mechanisms(),
+    "without spreading": Mechanisms(noise=0.0),
+    "without reading since": Mechanisms(age_reports=False),
+    "without fetches": Mechanisms(fetch=False),
+    "without paces": Mechanisms(step_times=False),
+    "none": Mechanisms(noise=0.0, age_reports=False, fetch=False, step_times=False),
 }
 
 
 class Run:
     """One run of a setting."""
 
-    def __init__(self, setting: Setting, seed: int, ways: Ways) -> None:
+    def __init__(self, setting: RunSettings, seed: int, ways: Mechanisms) -> None:
         self._setting = setting
         self._ways = ways
         self._rng = rng = Random(seed)
@@ -145,7 +145,7 @@
                 in_flight[name] += running
                 prefill_tokens[name] += tokens
                 weighted_ages[name] += tokens * (now - at)
-        drains = self._ways.drains
+        drains = self._ways.age_reports
         return {
             name: ReportedLoad(
                 count,
@@ -232,11 +232,13 @@
         return Outcome(
             late={name: late[name] / count for name, count in counts.items()},
             credit=earned / possible,
-            read_again=sum(engine.read_again for engine in self._engines.values()),
+            recomputed_tokens=sum(
+                engine.read_again for engine in self._engines.values()
+            ),
         )
 
 
-def play(setting: Setting, seed: int, ways: Ways) -> Outcome:
+def play(setting: RunSettings, seed: int, ways: Mechanisms) -> Outcome:
     """Return the results of one run."""
     return Run(setting, seed, ways).play()
 
@@ -246,7 +248,7 @@
     header = ("engines", "load", "mechanisms", "credit", "late", "read again")
     print("\t".join(header))
     for slowness, load, (name, ways) in product(SLOWNESS, LOADS, ABLATION.items()):
-        setting = Setting(slowness=slowness, load=load)
+        setting = RunSettings(slowness=slowness, load=load)
         rows = [play(setting, seed, ways) for seed in range(seeds)]
         late = {
             kind: round(100 * fmean(row.late[kind] for row in rows), 2)
@@ -254,7 +256,7 @@
         }
         credit = [row.credit for row in rows]
         shown = f"{fmean(credit):.4f} ± {stdev(credit):.4f}"
-        recomputed = int(fmean(row.read_again for row in rows))
+        recomputed = int(fmean(row.recomputed_tokens for row in rows))
         print(len(slowness), load, name, shown, late, recomputed, sep="\t")
 
 
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -49,7 +49,7 @@
     :param seen: what was observed, with the request's id where there is one.
     """
 
-    promise: str
+    guarantee: str
     seen: str
 
 
--- a/bench/soak/fleets.py
+++ b/bench/soak/fleets.py
@@ -25,7 +25,7 @@
     Disruption,
     EndpointCrash,
     EndpointDrain,
-    EndpointLink,
+    EndpointLinkFault,
     Kill,
     KillAll,
     NewRoute,
@@ -170,7 +170,7 @@
             case StoreLinkFault(number, link_fault, duration):
                 with self._span("store link", number):
                     self.gateways[number].link.inject(link_fault, duration)
-            case EndpointLink(number, link_fault, duration):
+            case EndpointLinkFault(number, link_fault, duration):
                 with self._span("endpoint link"):
                     self._links[number].inject(link_fault, duration)
             case EndpointCrash(number):
--- a/bench/soak/links.py
+++ b/bench/soak/links.py
@@ -14,7 +14,7 @@
 POLL_INTERVAL = timedelta(milliseconds=20)
 
 
-class Harm(StrEnum):
+class LinkFault(StrEnum):
     """A fault of a link."""
 
     DELAYS = "delays"
@@ -33,7 +33,7 @@
 
     def __init__(self, target: Address) -> None:
         self._target = target
-        self._fault: Harm | None = None
+        self._fault: LinkFault | None = None
         self._connections: set[_Connection] = set()
         self._listener = listen(Address("127.0.0.1", 0))
         host, port = self._listener.getsockname()
@@ -41,11 +41,11 @@
         spawn(self._accept)
 
     @property
-    def fault(self) -> Harm | None:
+    def fault(self) -> LinkFault | None:
         """Its current fault."""
         return self._fault
 
-    def inject(self, fault: Harm, duration: timedelta) -> None:
+    def inject(self, fault: LinkFault, duration: timedelta) -> None:
         """Apply a fault for a while."""
         self._fault = fault
         for connection in list(self._connections):
@@ -59,10 +59,10 @@
             spawn(self._serve, client)
 
     def _serve(self, client: socket.socket) -> None:
-        if self._fault is Harm.RESETS:
+        if self._fault is LinkFault.RESETS:
             client.close()
             return
-        while self._fault is Harm.SILENT:
+        while self._fault is LinkFault.SILENT:
             sleep(POLL_INTERVAL)
         try:
             server = connect(self._target, CONNECT_TIMEOUT)
@@ -92,12 +92,12 @@
         self._forward(self._client, self._server, responses=False)
         responses.wait()
 
-    def apply(self, fault: Harm) -> None:
+    def apply(self, fault: LinkFault) -> None:
         """Apply a fault to this open connection."""
         match fault:
-            case Harm.RESETS:
+            case LinkFault.RESETS:
                 self._shut_down()
-            case Harm.SILENT:
+            case LinkFault.SILENT:
                 self._is_unresponsive = True
 
     def _forward(
@@ -106,9 +106,11 @@
         try:
             while data := receive(source, CHUNK):
                 fault = self._link.fault
-                if fault is Harm.DELAYS:
+                if fault is LinkFault.DELAYS:
                     sleep(DELAY)
-                if self._is_unresponsive or (responses and fault is Harm.ANSWERS_LOST):
+                if self._is_unresponsive or (
+                    responses and fault is LinkFault.ANSWERS_LOST
+                ):
                     self._is_unresponsive = True
                     continue
                 sink.sendall(data)
--- a/bench/soak/plans.py
+++ b/bench/soak/plans.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from random import Random
 
-from bench.soak.links import Harm
+from bench.soak.links import LinkFault
 from standins.kv_store import Fault
 
 SECOND = timedelta(seconds=1)
@@ -65,16 +65,16 @@
     """The link between a gateway and the store has a fault for a while."""
 
     gateway: int
-    fault: Harm
+    fault: LinkFault
     duration: timedelta
 
 
 @dataclass(frozen=True, slots=True)
-class EndpointLink:
+class EndpointLinkFault:
     """The link between all gateways and an endpoint has a fault for a while."""
 
     endpoint: int
-    fault: Harm
+    fault: LinkFault
     duration: timedelta
 
 
@@ -130,7 +130,7 @@
     | StoreOutage
     | StoreCompaction
     | StoreLinkFault
-    | EndpointLink
+    | EndpointLinkFault
     | EndpointCrash
     | CrashingRequest
     | EndpointDrain
@@ -219,13 +219,15 @@
     Draw(
         2,
         lambda rng, gateways, _: StoreLinkFault(
-            rng.randrange(gateways), rng.choice(list(Harm)), _draw_duration(rng, 5)
+            rng.randrange(gateways), rng.choice(list(LinkFault)), _draw_duration(rng, 5)
         ),
     ),
     Draw(
         3,
-        lambda rng, _, endpoints: EndpointLink(
-            rng.randrange(endpoints), rng.choice(list(Harm)), _draw_duration(rng, 4)
+        lambda rng, _, endpoints: EndpointLinkFault(
+            rng.randrange(endpoints),
+            rng.choice(list(LinkFault)),
+            _draw_duration(rng, 4),
         ),
     ),
     Draw(2, lambda rng, _, endpoints: EndpointCrash(rng.randrange(endpoints))),
--- a/bench/soak/soaks.py
+++ b/bench/soak/soaks.py
@@ -45,17 +45,17 @@
     """The result of a soak."""
 
     plan: SoakPlan
-    attempts: int
+    requests: int
     served: int
     violations: tuple[Violation, ...]
 
     def lines(self) -> list[str]:
         """Return it as text, one line per violation after the first."""
         head = (
-            f"seed {self.plan.seed}: {self.attempts} requests, {self.served} served,"
+            f"seed {self.plan.seed}: {self.requests} requests, {self.served} served,"
             f" {len(self.violations)} guarantees broken"
         )
-        return [head, *(f"  {each.promise}: {each.seen}" for each in self.violations)]
+        return [head, *(f"  {each.guarantee}: {each.seen}" for each in self.violations)]
 
 
 class Soak:
--- a/tests/decisions/test_admission_outcomes.py
+++ b/tests/decisions/test_admission_outcomes.py
@@ -16,7 +16,7 @@
 
 def test_replay_gives_the_same_result_every_time():
     first, second = (SCENARIOS["callers come back"](OURS) for _ in range(2))
-    assert first.sends == second.sends
+    assert first.attempts == second.attempts
     assert first.outcomes == second.outcomes
 
 
--- a/tests/decisions/test_canary.py
+++ b/tests/decisions/test_canary.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bench.canary.histories import draw
+from bench.canary.histories import simulate_rollout
 from sassafrasdale.decisions.canary import (
     MAX_BUCKETS,
     CanaryAnalysis,
@@ -29,7 +29,7 @@
 def bad_responses_until_rejection(kind, seed, rule=RULE):
     """Return the bad responses until a version is rejected; None if it never is."""
     trial = CanaryAnalysis(rule)
-    for drawn in draw(kind, Random(f"{kind} {seed}"), REQUESTS, DURATION):
+    for drawn in simulate_rollout(kind, Random(f"{kind} {seed}"), REQUESTS, DURATION):
         if trial.evaluate(drawn.rows, drawn.at).is_rejected:
             return drawn.bad
     return (
--- a/tests/gateway/test_old_news.py
+++ b/tests/gateway/test_old_news.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from bench.placement.model import REPORTS, Setting
-from bench.placement.run import Ways, play
+from bench.placement.model import REPORTS, RunSettings
+from bench.placement.run import Mechanisms, play
 
 SEEDS = range(2)
 # A third of the engines takes 1.3 times as long; the load is that of a burst.
-SETTING = Setting(slowness=(1, 1, 1.3, 1, 1), load=1.3, seconds=40)
+SETTING = RunSettings(slowness=(1, 1, 1.3, 1, 1), load=1.3, seconds=40)
 
 
-def late_share(ways: Ways) -> float:
+def late_share(ways: Mechanisms) -> float:
     rows = [play(SETTING, seed, ways) for seed in SEEDS]
     return fmean(row.late["report"] for row in rows)
 
@@ -25,7 +25,9 @@
     Workload: 57 prompts a second in groups of three, heavy-tailed sizes, eight
     gateways. Each knows the others' load of 0.2 s ago, and all choose one engine.
     """
-    assert late_share(Ways()) < 0.7 * late_share(Ways(noise=0, drains=False))
+    assert late_share(Mechanisms()) < 0.7 * late_share(
+        Mechanisms(noise=0, age_reports=False)
+    )
 
 
 @pytest.mark.timeout(60)
@@ -38,7 +40,10 @@
     """
     setting = replace(SETTING, kinds=(REPORTS,))
     recomputed = {
-        fetch: sum(play(setting, seed, Ways(fetch=fetch)).read_again for seed in SEEDS)
+        fetch: sum(
+            play(setting, seed, Mechanisms(fetch=fetch)).recomputed_tokens
+            for seed in SEEDS
+        )
         for fetch in (False, True)
     }
     assert recomputed[True] < 0.75 * recomputed[False]
--- a/tests/guarantees/test_soak.py
+++ b/tests/guarantees/test_soak.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from bench.soak.links import Harm
+from bench.soak.links import LinkFault
 from bench.soak.plans import (
     CrashingRequest,
-    EndpointLink,
+    EndpointLinkFault,
     Kill,
     Revocation,
     SoakPlan,
@@ -30,11 +30,11 @@
 # connections are reset at once; retries find the other endpoints healthy.
 CUTS = plan_of(
     *(
-        Step(second * SECOND + at, EndpointLink(RECORDS[second % 3], harm, lasts))
+        Step(second * SECOND + at, EndpointLinkFault(RECORDS[second % 3], harm, lasts))
         for second in range(1, 9)
         for at, harm, lasts in (
-            (0 * SECOND, Harm.ANSWERS_LOST, SECOND / 2),
-            (0.4 * SECOND, Harm.RESETS, SECOND / 10),
+            (0 * SECOND, LinkFault.ANSWERS_LOST, SECOND / 2),
+            (0.4 * SECOND, LinkFault.RESETS, SECOND / 10),
         )
     )
 )
@@ -54,7 +54,7 @@
 def test_a_short_soak_violates_no_guarantee(seed):
     verdict = Soak(draw_plan(seed, 10 * SECOND)).play()
     assert verdict.violations == ()
-    assert verdict.served >= verdict.attempts / 4
+    assert verdict.served >= verdict.requests / 4
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
     the violated guarantee.
     """
     verdict = Soak(plan, ("-m", PROGRAM, str(guard))).play()
-    assert promise in {each.promise for each in verdict.violations}
+    assert promise in {each.guarantee for each in verdict.violations}
 
 
 def test_a_seed_reproduces_its_plan():
