--- a/bench/capacity/endpoints.py
+++ b/bench/capacity/endpoints.py
@@ -17,7 +17,7 @@
 from sassafrasdale.clock import SystemClock
 from sassafrasdale.endpoints.adapters import HttpAdapter
 from sassafrasdale.endpoints.directory import Directory
-from sassafrasdale.endpoints.reports import LoadPoller
+from sassafrasdale.endpoints.load_poller import LoadPoller
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.requests.selection import Selector
 from sassafrasdale.structures import Address, Instance, Role
--- a/bench/claim_fleet.py
+++ b/bench/claim_fleet.py
@@ -15,8 +15,8 @@
 
 from bench.claims import Result, one_request, run
 from sassafrasdale.clock import SystemClock
+from sassafrasdale.coordination.batching import BatchingStore
 from sassafrasdale.coordination.etcd import EtcdStore
-from sassafrasdale.coordination.gathering import BatchingStore
 from sassafrasdale.requests.claims import Claims
 from sassafrasdale.structures import Address
 from standins.processes import PlatformProcess
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -18,8 +18,8 @@
 from uuid import uuid4
 
 from sassafrasdale.clock import SystemClock
+from sassafrasdale.coordination.batching import BatchingStore
 from sassafrasdale.coordination.etcd import EtcdStore
-from sassafrasdale.coordination.gathering import BatchingStore
 from sassafrasdale.coordination.stores import BaseStore
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.requests.claims import ClaimKey, Claims, StoredResponse
--- a/bench/placement/model.py
+++ b/bench/placement/model.py
@@ -13,7 +13,7 @@
 from datetime import timedelta
 from random import Random
 
-from sassafrasdale.decisions.paces import EngineStepTimes
+from sassafrasdale.decisions.step_times import EngineStepTimes
 from sassafrasdale.deployment import (
     Endpoint,
     EndpointState,
--- a/bench/placement/run.py
+++ b/bench/placement/run.py
@@ -20,7 +20,7 @@
     RunSettings,
 )
 from sassafrasdale.decisions.fetching import CacheLink
-from sassafrasdale.decisions.news import ReportedLoad, unreported_work
+from sassafrasdale.decisions.load_reports import ReportedLoad, unreported_work
 from sassafrasdale.deployment import (
     EngineTraits,
     PromptPart,
--- a/src/sassafrasdale/__main__.py
+++ b/src/sassafrasdale/__main__.py
@@ -3,7 +3,7 @@
 import os
 import sys
 
-from sassafrasdale.platform.early import open_early_listener
+from sassafrasdale.platform.early_listener import open_early_listener
 from sassafrasdale.signals import block_signals
 
 # Arguments with which the platform starts a gateway. Importing the command line takes
--- a/src/sassafrasdale/entry/coordinator.py
+++ b/src/sassafrasdale/entry/coordinator.py
@@ -28,9 +28,9 @@
     TextOffered,
 )
 from sassafrasdale.requests.gates import Gates
-from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.requests.mover import Mover
 from sassafrasdale.requests.registry import Registry
+from sassafrasdale.requests.request_counters import RequestCounters
 from sassafrasdale.requests.selection import Selector
 from sassafrasdale.requests.transfers import Transfers
 from sassafrasdale.structures import Instance, InstanceState, Notice
--- a/src/sassafrasdale/entry/process.py
+++ b/src/sassafrasdale/entry/process.py
@@ -15,6 +15,7 @@
 from sassafrasdale.callers.server import CallerServer
 from sassafrasdale.charts import Lifecycle, load_chart
 from sassafrasdale.clock import Clock, SystemClock
+from sassafrasdale.coordination.batching import BatchingStore
 from sassafrasdale.coordination.clouds import (
     CloudClient,
     InstanceWatcher,
@@ -22,7 +23,6 @@
     PriceWatcher,
 )
 from sassafrasdale.coordination.etcd import EtcdStore
-from sassafrasdale.coordination.gathering import BatchingStore
 from sassafrasdale.coordination.leases import LeaseHolder
 from sassafrasdale.coordination.texts import (
     TextRegister,
@@ -31,7 +31,7 @@
 from sassafrasdale.duties.capacity import DUTY, CapacityDuty
 from sassafrasdale.duties.demand import FleetView
 from sassafrasdale.endpoints.directory import Directory
-from sassafrasdale.endpoints.reports import LoadPoller
+from sassafrasdale.endpoints.load_poller import LoadPoller
 from sassafrasdale.entry.coordinator import Coordinator
 from sassafrasdale.entry.drain import Drain
 from sassafrasdale.entry.status import StatusReport
@@ -45,9 +45,9 @@
 from sassafrasdale.requests.claims import Claims
 from sassafrasdale.requests.dispatcher import Dispatcher
 from sassafrasdale.requests.gates import Gates
-from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.requests.mover import Mover
 from sassafrasdale.requests.registry import Registry
+from sassafrasdale.requests.request_counters import RequestCounters
 from sassafrasdale.requests.selection import Selector
 from sassafrasdale.requests.structures import OutcomeName
 from sassafrasdale.requests.transfers import Transfers
--- a/src/sassafrasdale/entry/status.py
+++ b/src/sassafrasdale/entry/status.py
@@ -8,7 +8,7 @@
 from sassafrasdale.peers.node import PeerNode
 from sassafrasdale.peers.structures import Member
 from sassafrasdale.requests.dispatcher import Dispatcher
-from sassafrasdale.requests.ledger import RequestCounters
+from sassafrasdale.requests.request_counters import RequestCounters
 from sassafrasdale.settings import EntrySettings
 from sassafrasdale.text.current import CurrentText
 
--- a/src/sassafrasdale/gateway/attempts.py
+++ b/src/sassafrasdale/gateway/attempts.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from sassafrasdale.gateway.assignment import AttemptResult
 from sassafrasdale.gateway.directory import EndpointRecord
+from sassafrasdale.gateway.dispatcher_messages import AttemptResult
 
 
 @dataclass(slots=True)
--- a/src/sassafrasdale/gateway/parts.py
+++ b/src/sassafrasdale/gateway/components.py
@@ -5,22 +5,21 @@
 from datetime import timedelta
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.decisions.quarantine import StrikeLedger
+from sassafrasdale.decisions.step_times import EngineStepTimes
 from sassafrasdale.deployment import GatewaySettings
-from sassafrasdale.gateway.asking import DispatcherClient
-from sassafrasdale.gateway.assignment import (
+from sassafrasdale.gateway.dependencies import Dependency
+from sassafrasdale.gateway.directory import Directory
+from sassafrasdale.gateway.dispatcher import Dispatcher
+from sassafrasdale.gateway.dispatcher_client import DispatcherClient
+from sassafrasdale.gateway.dispatcher_messages import (
     Assignment,
     AssignmentRequest,
     AttemptReport,
 )
-from sassafrasdale.gateway.dependencies import Dependency
-from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.dispatcher import Dispatcher
 from sassafrasdale.gateway.duties import Duties
 from sassafrasdale.gateway.fleet import WORK_WINDOW, Fleet
 from sassafrasdale.gateway.frontend import Frontend
-from sassafrasdale.gateway.knowledge import StoreView
 from sassafrasdale.gateway.peer_calls import LocalState, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
     Contact,
@@ -31,14 +30,15 @@
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.placement import CacheEstimate, Placement
 from sassafrasdale.gateway.planning import planned_services
-from sassafrasdale.gateway.polling import Poller
+from sassafrasdale.gateway.poller import Poller
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.registration import Registration
+from sassafrasdale.gateway.request_quarantine import RequestQuarantine
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.roster import Roster
-from sassafrasdale.gateway.strike_news import StrikeReplicator
+from sassafrasdale.gateway.store_view import StoreView
 from sassafrasdale.gateway.strike_records import StrikeRecords
-from sassafrasdale.gateway.suspects import RequestQuarantine
+from sassafrasdale.gateway.strike_replication import StrikeReplicator
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import (
     ClockReading,
@@ -46,7 +46,7 @@
     UsageCounts,
     UsageLedger,
 )
-from sassafrasdale.late_metrics import LazyMetrics
+from sassafrasdale.lazy_metrics import LazyMetrics
 from sassafrasdale.platform.store import PlatformStore
 
 
--- a/src/sassafrasdale/gateway/dispatcher.py
+++ b/src/sassafrasdale/gateway/dispatcher.py
@@ -14,14 +14,14 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.aggregators import EXPIRY_TIMEOUT
-from sassafrasdale.gateway.assignment import (
+from sassafrasdale.gateway.attempts import Attempt
+from sassafrasdale.gateway.dispatcher_messages import (
     Assignment,
     AssignmentRequest,
     AttemptEnded,
     AttemptReport,
     FirstToken,
 )
-from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.fleet import Fleet
 
 log = Logger("dispatcher")
--- a/src/sassafrasdale/gateway/asking.py
+++ b/src/sassafrasdale/gateway/dispatcher_client.py
@@ -9,7 +9,7 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.deployment import RequestTraits
-from sassafrasdale.gateway.assignment import (
+from sassafrasdale.gateway.dispatcher_messages import (
     Assignment,
     AssignmentRequest,
     AttemptEnded,
--- a/src/sassafrasdale/gateway/assignment.py
+++ b/src/sassafrasdale/gateway/dispatcher_messages.py
@@ -5,8 +5,8 @@
 from msgspec.msgpack import Decoder
 
 from sassafrasdale.deployment import PromptPart, RequestTraits
+from sassafrasdale.gateway.canary_reports import Count
 from sassafrasdale.gateway.peer_states import Message
-from sassafrasdale.gateway.rollout_news import Count
 
 
 class AttemptResult(IntEnum):
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -30,7 +30,7 @@
 )
 from sassafrasdale.gateway.fingerprints import fingerprint
 from sassafrasdale.gateway.fleet import Fleet
-from sassafrasdale.gateway.suspects import RequestQuarantine
+from sassafrasdale.gateway.request_quarantine import RequestQuarantine
 from sassafrasdale.http.connections import HttpConnection
 from sassafrasdale.http.exceptions import (
     CallerDisconnected,
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.decisions.news import ReportedLoad, unreported_work
-from sassafrasdale.decisions.paces import EngineStepTimes, low_gap
+from sassafrasdale.decisions.load_reports import ReportedLoad, unreported_work
 from sassafrasdale.decisions.shares import DemandShares
+from sassafrasdale.decisions.step_times import EngineStepTimes, low_gap
 from sassafrasdale.deployment import (
     Bounds,
     Configuration,
@@ -14,10 +14,10 @@
     RequestTraits,
     Service,
 )
-from sassafrasdale.gateway.asking import DispatcherClient
-from sassafrasdale.gateway.assignment import AttemptResult
 from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.directory import Directory, EndpointRecord
+from sassafrasdale.gateway.dispatcher_client import DispatcherClient
+from sassafrasdale.gateway.dispatcher_messages import AttemptResult
 from sassafrasdale.gateway.peer_states import loads_by_endpoint
 from sassafrasdale.gateway.peering import Peering
 from sassafrasdale.gateway.placement import CacheEstimate, Placement, shared_parts
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -13,13 +13,13 @@
 from sassafrasdale.gateway.exchange import AdmittedRequest, RequestExchange
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.quotas import Quotas
+from sassafrasdale.gateway.request_quarantine import RequestQuarantine
 from sassafrasdale.gateway.routing import RouteTable, draw_service
-from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.green import sleep
 from sassafrasdale.http.exceptions import CallerDisconnected
 from sassafrasdale.http.messages import Request
 from sassafrasdale.http.server import ServerConnection
-from sassafrasdale.late_metrics import LazyMetrics
+from sassafrasdale.lazy_metrics import LazyMetrics
 from sassafrasdale.logs import request_context
 from sassafrasdale.platform.exceptions import ValueMalformed
 from sassafrasdale.platform.headers import REQUEST_ID, read_traits
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -9,6 +9,7 @@
 
 from sassafrasdale.clock import Clock
 from sassafrasdale.decisions.aggregators import CONTACT_TIMEOUT, EXPIRY_TIMEOUT
+from sassafrasdale.gateway.canary_reports import CanaryReport, sum_reports, without_rows
 from sassafrasdale.gateway.peer_states import (
     Contact,
     DutyClaim,
@@ -17,7 +18,6 @@
     GroupState,
     MemberState,
 )
-from sassafrasdale.gateway.rollout_news import CanaryReport, sum_reports, without_rows
 
 
 @dataclass(slots=True)
--- a/src/sassafrasdale/gateway/peer_calls.py
+++ b/src/sassafrasdale/gateway/peer_calls.py
@@ -10,7 +10,7 @@
 from msgspec.msgpack import Decoder
 
 from sassafrasdale.clock import Clock
-from sassafrasdale.gateway.assignment import (
+from sassafrasdale.gateway.dispatcher_messages import (
     ASSIGNMENT,
     Assignment,
     AssignmentRequest,
@@ -30,7 +30,7 @@
     encode,
 )
 from sassafrasdale.gateway.roster import Roster
-from sassafrasdale.gateway.strike_news import StrikeReplicator
+from sassafrasdale.gateway.strike_replication import StrikeReplicator
 from sassafrasdale.gateway.usage import ClockReading, ClusterTime, UsageLedger
 from sassafrasdale.http.connections import HttpClient
 from sassafrasdale.http.exceptions import HttpError
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -14,9 +14,9 @@
 from msgspec.msgpack import Decoder, Encoder
 from msgspec.structs import replace
 
-from sassafrasdale.decisions.news import ReportedLoad
-from sassafrasdale.gateway.rollout_news import CanaryReport, Count, without_rows
-from sassafrasdale.gateway.strike_news import StrikeUpdate
+from sassafrasdale.decisions.load_reports import ReportedLoad
+from sassafrasdale.gateway.canary_reports import CanaryReport, Count, without_rows
+from sassafrasdale.gateway.strike_replication import StrikeUpdate
 from sassafrasdale.gateway.usage import ClockReading
 from sassafrasdale.structures import Address
 
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -19,9 +19,9 @@
     report_interval,
     store_watchers,
 )
-from sassafrasdale.decisions.turns import PollSlot, poll_slot_of
-from sassafrasdale.gateway.aggregating import Aggregator
-from sassafrasdale.gateway.assignment import ASSIGNMENT_REQUEST, ATTEMPT_REPORT
+from sassafrasdale.decisions.poll_slots import PollSlot, poll_slot_of
+from sassafrasdale.gateway.aggregator import Aggregator
+from sassafrasdale.gateway.dispatcher_messages import ASSIGNMENT_REQUEST, ATTEMPT_REPORT
 from sassafrasdale.gateway.peer_calls import (
     ASK_TARGET,
     NEWS_TARGET,
@@ -43,7 +43,7 @@
     UsageTotal,
     encode,
 )
-from sassafrasdale.gateway.reporting import Reporter
+from sassafrasdale.gateway.reporter import Reporter
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.http.messages import Request, Response
 from sassafrasdale.http.server import ServerConnection
--- a/src/sassafrasdale/gateway/placement.py
+++ b/src/sassafrasdale/gateway/placement.py
@@ -8,8 +8,12 @@
 from xxhash import xxh64_intdigest
 
 from sassafrasdale.decisions.fetching import is_fetch_worthwhile, transfer_time
-from sassafrasdale.decisions.news import NO_LOAD, ReportedLoad, remaining_prefill_tokens
-from sassafrasdale.decisions.paces import EngineStepTimes
+from sassafrasdale.decisions.load_reports import (
+    NO_LOAD,
+    ReportedLoad,
+    remaining_prefill_tokens,
+)
+from sassafrasdale.decisions.step_times import EngineStepTimes
 from sassafrasdale.deployment import PromptPart, RequestTraits, Service
 from sassafrasdale.gateway.directory import EndpointRecord
 
--- a/src/sassafrasdale/gateway/polling.py
+++ b/src/sassafrasdale/gateway/poller.py
@@ -2,7 +2,7 @@
 
 While the store is unresponsive, it may lose the watches of all gateways at once. The
 gateways that watch therefore also poll in turn, without waiting for changes; see
-:mod:`sassafrasdale.decisions.turns` for the reasons and the cost. A gateway
+:mod:`sassafrasdale.decisions.poll_slots` for the reasons and the cost. A gateway
 that finds a change renews its watches, and reports the change to the others like any
 other.
 """
@@ -12,8 +12,8 @@
 
 from logbook import Logger
 
-from sassafrasdale.decisions.turns import PollSlot
-from sassafrasdale.gateway.following import Follower
+from sassafrasdale.decisions.poll_slots import PollSlot
+from sassafrasdale.gateway.follower import Follower
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.store import PlatformStore
--- a/src/sassafrasdale/gateway/prefill_times.py
+++ b/src/sassafrasdale/gateway/prefill_times.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 from statistics import fmean
 
-from sassafrasdale.decisions.speeds import MIN_TOKEN_TIME, PrefillSpeed
+from sassafrasdale.decisions.prefill_speeds import MIN_TOKEN_TIME, PrefillSpeed
 
 
 class PrefillTimes:
--- a/src/sassafrasdale/gateway/process.py
+++ b/src/sassafrasdale/gateway/process.py
@@ -14,13 +14,13 @@
 from sassafrasdale.charts import Lifecycle, load_chart
 from sassafrasdale.clock import Clock, SuspendAwareClock
 from sassafrasdale.deployment import GatewaySettings
+from sassafrasdale.gateway.components import GatewayComponents
 from sassafrasdale.gateway.drain import Drain
-from sassafrasdale.gateway.parts import GatewayComponents
 from sassafrasdale.green import listen, make_green, sleep, spawn
 from sassafrasdale.http.messages import Request
 from sassafrasdale.http.server import HttpServer, ServerConnection, ServerLimits
 from sassafrasdale.logs import start_logs
-from sassafrasdale.platform.early import take_early_listener
+from sassafrasdale.platform.early_listener import take_early_listener
 from sassafrasdale.platform.exceptions import AdapterError
 from sassafrasdale.signals import handle_signals
 from sassafrasdale.structures import Address
--- a/src/sassafrasdale/gateway/rollout.py
+++ b/src/sassafrasdale/gateway/rollout.py
@@ -7,14 +7,14 @@
 from sassafrasdale.decisions.canary import CanaryAnalysis, Outcomes, SequentialTest
 from sassafrasdale.decisions.exposure import CanaryAllowance
 from sassafrasdale.decisions.rollouts import RolloutOrder
-from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.rollout_news import (
+from sassafrasdale.gateway.canary_reports import (
     OTHERS,
     CanaryReport,
     OutcomeTable,
     group_of,
     rows_of,
 )
+from sassafrasdale.gateway.directory import EndpointRecord
 
 # Replaced endpoints are stopped at once; after this time their entries are deleted.
 DELISTING_TIME = timedelta(seconds=10)
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -22,15 +22,15 @@
     RolloutStatus,
     RolloutView,
 )
-from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.peer_states import ReceivedGroup
-from sassafrasdale.gateway.rollout import Rollout
-from sassafrasdale.gateway.rollout_news import (
+from sassafrasdale.gateway.canary_reports import (
     CanaryReport,
     OutcomeTable,
     add_rows,
     rows_of,
 )
+from sassafrasdale.gateway.directory import EndpointRecord
+from sassafrasdale.gateway.peer_states import ReceivedGroup
+from sassafrasdale.gateway.rollout import Rollout
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import Event
 
--- a/src/sassafrasdale/gateway/knowledge.py
+++ b/src/sassafrasdale/gateway/store_view.py
@@ -13,7 +13,7 @@
 from sassafrasdale.deployment import CallerLimits, Configuration, Endpoint
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.following import Follower, PrefixChanges
+from sassafrasdale.gateway.follower import Follower, PrefixChanges
 from sassafrasdale.gateway.peer_states import StoreValues
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.routing import RouteTable
--- a/src/sassafrasdale/peers/agent.py
+++ b/src/sassafrasdale/peers/agent.py
@@ -22,6 +22,7 @@
     ProbeRequest,
     SpreadRequest,
 )
+from sassafrasdale.peers.local_health import LocalHealth
 from sassafrasdale.peers.membership import Membership
 from sassafrasdale.peers.messages import (
     member_from_message,
@@ -32,7 +33,6 @@
 from sassafrasdale.peers.notices import NoticeLog
 from sassafrasdale.peers.pulling import TextPuller
 from sassafrasdale.peers.rendezvous import first_of_each_zone, rendezvous
-from sassafrasdale.peers.slowness import LocalHealth
 from sassafrasdale.peers.spreading import Spreader, SpreadRound
 from sassafrasdale.peers.structures import (
     HandOver,
--- a/src/sassafrasdale/platform/settings.py
+++ b/src/sassafrasdale/platform/settings.py
@@ -8,7 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from sassafrasdale.deployment import Bounds, GatewaySettings
-from sassafrasdale.platform.early import PATH_VARIABLE
+from sassafrasdale.platform.early_listener import PATH_VARIABLE
 from sassafrasdale.platform.exceptions import (
     SettingsFileError,
     SettingsFileFaults,
--- a/src/sassafrasdale/requests/claims.py
+++ b/src/sassafrasdale/requests/claims.py
@@ -23,8 +23,8 @@
     ClaimState,
     StoredResponse,
 )
-from sassafrasdale.requests.claim_repairs import ClaimOutcome, OutcomeWriter
 from sassafrasdale.requests.exceptions import ClaimRefused
+from sassafrasdale.requests.outcome_writer import ClaimOutcome, OutcomeWriter
 from sassafrasdale.requests.recent_claims import RecentClaims
 from sassafrasdale.requests.retention import RetentionLease
 
--- a/src/sassafrasdale/requests/dispatcher.py
+++ b/src/sassafrasdale/requests/dispatcher.py
@@ -21,9 +21,9 @@
 from sassafrasdale.requests.generation import Generation
 from sassafrasdale.requests.guarded import GuardedExecution
 from sassafrasdale.requests.hedges import Hedger
-from sassafrasdale.requests.ledger import RequestCounters
 from sassafrasdale.requests.placement import Placement, Progress
 from sassafrasdale.requests.registry import Registry
+from sassafrasdale.requests.request_counters import RequestCounters
 from sassafrasdale.requests.selection import Selector
 from sassafrasdale.requests.structures import (
     Answered,
--- a/src/sassafrasdale/requests/generation.py
+++ b/src/sassafrasdale/requests/generation.py
@@ -31,10 +31,10 @@
     StreamUnknown,
 )
 from sassafrasdale.green import GreenThread, sleep, spawn
-from sassafrasdale.requests.course import StreamSource
 from sassafrasdale.requests.exceptions import EndpointLeaving
 from sassafrasdale.requests.gate import Gate
 from sassafrasdale.requests.placement import Placement, Progress
+from sassafrasdale.requests.stream_source import StreamSource
 from sassafrasdale.requests.structures import (
     Answered,
     ModelCall,
--- a/tests/coordination/test_gathering.py
+++ b/tests/coordination/test_batching.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from sassafrasdale.coordination.exceptions import StoreAnswerLost, StoreOverloaded
-from sassafrasdale.coordination.gathering import (
+from sassafrasdale.coordination.batching import (
     MAX_OVERLOADS,
     MIN_INTERVAL,
     BatchingStore,
 )
+from sassafrasdale.coordination.exceptions import StoreAnswerLost, StoreOverloaded
 from sassafrasdale.green import spawn
 from tests.coordination.fakes import FakeStore
 
--- a/tests/decisions/test_news.py
+++ b/tests/decisions/test_load_reports.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from sassafrasdale.decisions.news import (
+from sassafrasdale.decisions.load_reports import (
     NO_LOAD,
     ReportedLoad,
     remaining_prefill_tokens,
--- a/tests/decisions/test_turns.py
+++ b/tests/decisions/test_poll_slots.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sassafrasdale.decisions.turns import PollSlot, poll_slot_of
+from sassafrasdale.decisions.poll_slots import PollSlot, poll_slot_of
 
 STEP = timedelta(milliseconds=500)
 UNEVEN = {"a": 3, "b": 1, "c": 2}
--- a/tests/decisions/test_speeds.py
+++ b/tests/decisions/test_prefill_speeds.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from sassafrasdale.decisions.speeds import (
+from sassafrasdale.decisions.prefill_speeds import (
     INITIAL_TOKEN_TIME,
     MIN_OBSERVATIONS,
     PrefillSpeed,
--- a/tests/decisions/test_paces.py
+++ b/tests/decisions/test_step_times.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sassafrasdale.decisions.paces import MAX_SLOWNESS, EngineStepTimes
+from sassafrasdale.decisions.step_times import MAX_SLOWNESS, EngineStepTimes
 
 MILLISECOND = timedelta(milliseconds=1)
 
--- a/tests/endpoints/test_reports.py
+++ b/tests/endpoints/test_load_poller.py
@@ -7,7 +7,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.endpoints.directory import Directory, Endpoint
-from sassafrasdale.endpoints.reports import LoadPoller
+from sassafrasdale.endpoints.load_poller import LoadPoller
 from sassafrasdale.structures import Address, Instance, Role
 
 SECOND = timedelta(seconds=1)
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -20,7 +20,7 @@
 from sassafrasdale.gateway.quotas import Quotas
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.roster import Roster
-from sassafrasdale.gateway.strike_news import StrikeReplicator
+from sassafrasdale.gateway.strike_replication import StrikeReplicator
 from sassafrasdale.gateway.usage import ClockReading, ClusterTime, UsageLedger
 from sassafrasdale.green import sleep
 from sassafrasdale.http.exceptions import NotConnected, ResponseTimeout
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -7,7 +7,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.decisions.aggregators import EXPIRY_TIMEOUT
-from sassafrasdale.decisions.paces import EngineStepTimes
+from sassafrasdale.decisions.step_times import EngineStepTimes
 from sassafrasdale.deployment import (
     Configuration,
     Endpoint,
@@ -17,8 +17,10 @@
     RequestTraits,
     Service,
 )
-from sassafrasdale.gateway.asking import FALLBACK_TIME, DispatcherClient
-from sassafrasdale.gateway.assignment import (
+from sassafrasdale.gateway.directory import Directory
+from sassafrasdale.gateway.dispatcher import RECONCILE_GRACE, Dispatcher
+from sassafrasdale.gateway.dispatcher_client import FALLBACK_TIME, DispatcherClient
+from sassafrasdale.gateway.dispatcher_messages import (
     ASSIGNMENT,
     ASSIGNMENT_REQUEST,
     ATTEMPT_REPORT,
@@ -27,8 +29,6 @@
     AttemptReport,
     AttemptResult,
 )
-from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.dispatcher import RECONCILE_GRACE, Dispatcher
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.peer_states import encode
 from sassafrasdale.gateway.placement import CacheEstimate, Placement
--- a/tests/gateway/test_asking.py
+++ b/tests/gateway/test_dispatcher_client.py
@@ -5,12 +5,12 @@
 import pytest
 
 from sassafrasdale.clock import SystemClock
-from sassafrasdale.gateway.asking import (
+from sassafrasdale.gateway.dispatcher_client import (
     BATCH_DELAY,
     MAX_REPORT_INTERVAL,
     DispatcherClient,
 )
-from sassafrasdale.gateway.assignment import AttemptResult
+from sassafrasdale.gateway.dispatcher_messages import AttemptResult
 from sassafrasdale.green import sleep, spawn
 from tests.gateway.fleets import contact
 
--- a/tests/gateway/test_following.py
+++ b/tests/gateway/test_follower.py
@@ -10,7 +10,7 @@
 from sassafrasdale.coordination.exceptions import StoreHistoryLost, StoreNotReached
 from sassafrasdale.coordination.stores import StoredValue
 from sassafrasdale.gateway.dependencies import Dependency
-from sassafrasdale.gateway.following import MAX_DELETED_KEYS, Follower
+from sassafrasdale.gateway.follower import MAX_DELETED_KEYS, Follower
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.store import Change, Changes, Snapshot
 from standins.gateway_fleet import wait_for
--- a/tests/gateway/test_following_model.py
+++ b/tests/gateway/test_follower_model.py
@@ -10,7 +10,7 @@
 from sassafrasdale.coordination.exceptions import StoreHistoryLost, StoreNotReached
 from sassafrasdale.coordination.stores import StoredValue
 from sassafrasdale.gateway.dependencies import Dependency
-from sassafrasdale.gateway.following import Follower
+from sassafrasdale.gateway.follower import Follower
 from sassafrasdale.platform.store import Change, Changes, Snapshot
 
 FOLLOWERS = 3
--- a/tests/gateway/test_peer_states.py
+++ b/tests/gateway/test_peer_states.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sassafrasdale.decisions.news import ReportedLoad
+from sassafrasdale.decisions.load_reports import ReportedLoad
 from sassafrasdale.gateway.peer_states import (
     REPORT,
     EndpointLoad,
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from sassafrasdale.decisions.aggregators import CONTACT_TIMEOUT, EXPIRY_TIMEOUT
-from sassafrasdale.decisions.turns import PollSlot
+from sassafrasdale.decisions.poll_slots import PollSlot
 from sassafrasdale.gateway.peer_calls import REPORT_TARGET
 from sassafrasdale.gateway.peer_states import (
     DutyClaim,
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -6,8 +6,8 @@
 import pytest
 
 from sassafrasdale.decisions.fetching import CacheLink
-from sassafrasdale.decisions.news import ReportedLoad
-from sassafrasdale.decisions.paces import EngineStepTimes
+from sassafrasdale.decisions.load_reports import ReportedLoad
+from sassafrasdale.decisions.step_times import EngineStepTimes
 from sassafrasdale.deployment import (
     Endpoint,
     EndpointState,
--- a/tests/gateway/test_polling.py
+++ b/tests/gateway/test_poller.py
@@ -19,10 +19,10 @@
     StoreWatchDropped,
 )
 from sassafrasdale.coordination.stores import StoredValue
-from sassafrasdale.decisions.turns import PollSlot
+from sassafrasdale.decisions.poll_slots import PollSlot
 from sassafrasdale.gateway.dependencies import Dependency
-from sassafrasdale.gateway.following import BATCH_DELAY, Follower
-from sassafrasdale.gateway.polling import SLOTS_PER_DELAY, Poller
+from sassafrasdale.gateway.follower import BATCH_DELAY, Follower
+from sassafrasdale.gateway.poller import SLOTS_PER_DELAY, Poller
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep, spawn
 from sassafrasdale.platform.store import (
--- a/tests/gateway/test_reading.py
+++ b/tests/gateway/test_prefill_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sassafrasdale.decisions.speeds import (
+from sassafrasdale.decisions.prefill_speeds import (
     INITIAL_TOKEN_TIME,
     MIN_OBSERVATIONS,
     MIN_TOKEN_TIME,
--- a/tests/gateway/test_suspects.py
+++ b/tests/gateway/test_request_quarantine.py
@@ -10,7 +10,7 @@
 from sassafrasdale.deployment import Endpoint, EndpointState
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.gateway.fingerprints import fingerprint
-from sassafrasdale.gateway.suspects import RequestQuarantine
+from sassafrasdale.gateway.request_quarantine import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import sleep
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -12,10 +12,10 @@
     RolloutStatus,
 )
 from sassafrasdale.deployment import EndpointState
+from sassafrasdale.gateway.canary_reports import CanaryReport, rows_of
 from sassafrasdale.gateway.groups import Group
 from sassafrasdale.gateway.peer_states import ReceivedGroup
 from sassafrasdale.gateway.rollout import DELISTING_TIME
-from sassafrasdale.gateway.rollout_news import CanaryReport, rows_of
 from sassafrasdale.gateway.rollouts import ROTATION_PERIOD
 from sassafrasdale.green import sleep, spawn
 from standins.gateway_fleet import wait_for
--- a/tests/gateway/test_knowledge.py
+++ b/tests/gateway/test_store_view.py
@@ -10,9 +10,9 @@
 from sassafrasdale.deployment import PromptPart
 from sassafrasdale.gateway.dependencies import Dependency
 from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.following import PrefixChanges
-from sassafrasdale.gateway.knowledge import StoreView
+from sassafrasdale.gateway.follower import PrefixChanges
 from sassafrasdale.gateway.placement import CacheEstimate
+from sassafrasdale.gateway.store_view import StoreView
 from tests.gateway.fleets import no_rollouts
 
 REGISTRATION = {
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -7,17 +7,17 @@
 from random import Random
 
 from sassafrasdale.clock import SystemClock
-from sassafrasdale.decisions.paces import EngineStepTimes
 from sassafrasdale.decisions.quarantine import StrikeLedger
+from sassafrasdale.decisions.step_times import EngineStepTimes
 from sassafrasdale.deployment import Endpoint, EndpointState, GatewaySettings
 from sassafrasdale.gateway.directory import Directory
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.frontend import Frontend
 from sassafrasdale.gateway.placement import CacheEstimate, Placement
 from sassafrasdale.gateway.quotas import Quotas
+from sassafrasdale.gateway.request_quarantine import RequestQuarantine
 from sassafrasdale.gateway.rollouts import Rollouts
 from sassafrasdale.gateway.routing import RouteTable
-from sassafrasdale.gateway.suspects import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import ClusterTime, UsageCounts
 from sassafrasdale.green import listen, spawn
--- a/tests/requests/test_ledger.py
+++ b/tests/requests/test_request_counters.py
@@ -7,7 +7,7 @@
 
 from sassafrasdale.clock import ManualClock
 from sassafrasdale.metrics import Metrics
-from sassafrasdale.requests.ledger import RequestCounters
+from sassafrasdale.requests.request_counters import RequestCounters
 from sassafrasdale.requests.structures import Answered, Call, NotRun, Outcome
 from sassafrasdale.text.parser import parse_text
 
--- a/tests/test_late_metrics.py
+++ b/tests/test_lazy_metrics.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from sassafrasdale.late_metrics import MAX_BUFFERED_DURATIONS, LazyMetrics
+from sassafrasdale.lazy_metrics import MAX_BUFFERED_DURATIONS, LazyMetrics
 from sassafrasdale.metrics import Metrics
 
 SECOND = timedelta(seconds=1)
