--- a/src/sassafrasdale/gateway/attempts.py
+++ b/src/sassafrasdale/gateway/attempts.py
@@ -11,7 +11,7 @@
 class Attempt:
     """One attempt that is in progress.
 
-    :param unread_tokens: prompt tokens that the endpoint has yet to prefill for it.
+    :param prefill_tokens: prompt tokens that the endpoint has yet to prefill for it.
     :param source: engine from which it fetches the KV cache of shared prompt parts.
     :param queued_tokens: prefill tokens ahead of it at the endpoint, as far as the
         gateway knew that chose it.
--- a/src/sassafrasdale/gateway/directory.py
+++ b/src/sassafrasdale/gateway/directory.py
@@ -72,9 +72,9 @@
     :param drain_time: time within which requests to a leaving endpoint must stop.
     :param since_outage: returns the time since the store last failed; None if it never
         did.
-    :param opened: called for each connection that is opened.
-    :param restarted: called with the name of each endpoint that has restarted.
-    :param vanished: called with each endpoint whose registration has disappeared while
+    :param on_open: called for each connection that is opened.
+    :param on_restart: called with the name of each endpoint that has restarted.
+    :param on_expiry: called with each endpoint whose registration has disappeared while
         it was ready.
     """
 
@@ -92,9 +92,9 @@
         self._rng = rng
         self._drain_time = drain_time
         self._since_outage = since_outage
-        self._opened = on_open
-        self._restarted = on_restart
-        self._vanished = on_expiry
+        self._on_open = on_open
+        self._on_restart = on_restart
+        self._on_expiry = on_expiry
         self._records: dict[str, EndpointRecord] = {}
         self._services: dict[str, list[EndpointRecord]] = {}
         self._fallback: dict[str, tuple[EndpointRecord, timedelta]] = {}
@@ -154,7 +154,7 @@
             )
             record.pool.close()
             self.health_of(endpoint.service).forget(endpoint.name)
-            self._restarted(endpoint.name)
+            self._on_restart(endpoint.name)
             record = None
         if record is None or record.endpoint.address != endpoint.address:
             record = EndpointRecord(
@@ -178,7 +178,7 @@
         if record.is_ready:
             grace = EXPIRY_GRACE if expired else self._drain_time / 2
             self._fallback[name] = (record, self._clock.elapsed() + grace)
-            self._vanished(record)
+            self._on_expiry(record)
         log.info(
             "endpoint removed", during_outage=expired, **_log_fields(record.endpoint)
         )
@@ -194,7 +194,7 @@
 
     def _pool(self, endpoint: Endpoint) -> ConnectionPool:
         return ConnectionPool(
-            endpoint.address, CONNECT_LIMIT, self._clock, self._opened
+            endpoint.address, CONNECT_LIMIT, self._clock, self._on_open
         )
 
     def _index(self) -> None:
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -92,7 +92,7 @@
     :param admitted: the request.
     :param caller: the caller's connection.
     :param fleet: chooses endpoints and tracks their load.
-    :param quarantine: is told of endpoints that crash while they run the request.
+    :param quarantine: records endpoints that crash while they run the request.
     :param clock: source of elapsed time.
     """
 
@@ -179,11 +179,11 @@
         """Send the request to an endpoint and relay its response."""
         admitted = self._admitted
         record = attempt.record
-        limit = None if admitted.route.repeatable else NON_IDEMPOTENT_MAX_IDLE
+        max_idle = None if admitted.route.repeatable else NON_IDEMPOTENT_MAX_IDLE
         connection: HttpConnection | None = None
         try:
             try:
-                connection = record.pool.acquire(limit)
+                connection = record.pool.acquire(max_idle)
             except NotConnected as error:
                 raise AttemptFailed(AttemptOutcome.NOT_SENT, "not connected") from error
             record.connections.add(connection)
@@ -213,20 +213,20 @@
         self._attempts += 1
         self._endpoint_crashed = False
         self._events_before_attempt = self._splitter.count
-        left = admitted.deadline - self._clock.elapsed()
-        if left <= timedelta():
+        time_left = admitted.deadline - self._clock.elapsed()
+        if time_left <= timedelta():
             raise AttemptFailed(AttemptOutcome.NOT_SENT, "no time left")
         self._fleet.count_attempt(attempt, is_retry=self._attempts > 1)
-        order = EndpointHeaders(
+        headers = EndpointHeaders(
             endpoint=record.name,
             customer=admitted.customer_name,
-            time_left=left,
+            time_left=time_left,
             priority=self._priority(),
             resume_after=self._splitter.last_id,
             fetch_from=attempt.source.endpoint.address if attempt.source else None,
         )
         try:
-            connection.send(endpoint_request(admitted.request, order))
+            connection.send(endpoint_request(admitted.request, headers))
             head = connection.read_head(
                 admitted.deadline,
                 echoed=(REQUEST_ID, admitted.request.header(REQUEST_ID)),
@@ -316,15 +316,16 @@
     def _next_read_deadline(self) -> timedelta:
         """Return the deadline for the next data of a stream.
 
-        A silent engine is abandoned early only if another engine can resume the stream.
+        An unresponsive engine is abandoned early only if another one can resume the
+        stream.
         """
         admitted = self._admitted
-        may_go_on = (
+        can_resume = (
             admitted.route.repeatable
             and self._attempts < admitted.route.max_attempts
             and self._fleet.has_alternative(admitted.service, self._tried)
         )
-        if not may_go_on:
+        if not can_resume:
             return admitted.deadline
         return min(self._clock.elapsed() + STREAM_IDLE_TIMEOUT, admitted.deadline)
 
@@ -339,13 +340,15 @@
     def _record_failure(self, attempt: Attempt, failure: AttemptFailed) -> None:
         if failure.outcome is AttemptOutcome.UNKNOWN:
             self._may_have_run = True
-        counts = failure.reason != "no time left"
+        # An attempt that ran out of time before it was sent is no evidence of the
+        # endpoint's health.
+        is_counted = failure.reason != "no time left"
         is_fault = failure.outcome is not AttemptOutcome.NOT_RUN
-        if counts:
+        if is_counted:
             self._fleet.record_failure(attempt, is_fault)
         # This probes the endpoint, which takes time, so the failure is counted first.
         crashed = self._check_crash(attempt, failure)
-        if counts and is_fault and not crashed:
+        if is_counted and is_fault and not crashed:
             self._fleet.record_version_failure(attempt)
         self._last_failure = failure.reason
         log.info(
@@ -404,6 +407,7 @@
         return self._fleet.retry_budgets.allow_retry(admitted.service, spend=True)
 
     def _give_up(self, failure: AttemptFailed) -> None:
+        """Raise the error that ends the request; abort a response that has begun."""
         if self._caller.response_started:
             log.info(
                 "stream broken off",
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -40,7 +40,8 @@
     :param directory: registered endpoints.
     :param placement: chooses among them.
     :param cache: estimated contents of the engines' KV caches.
-    :param paces: estimates the engines' step times from the gaps between stream events.
+    :param step_times: estimates the engines' step times from the gaps between stream
+        events.
     :param peering: the other gateways.
     :param usage: counts of the requests that ran.
     :param configuration: returns the current configuration.
@@ -55,7 +56,7 @@
         directory: Directory,
         placement: Placement,
         cache: CacheEstimate,
-        paces: EngineStepTimes,
+        step_times: EngineStepTimes,
         peering: Peering,
         usage: UsageCounts,
         configuration: Callable[[], Configuration],
@@ -69,7 +70,7 @@
         self._directory = directory
         self._placement = placement
         self._cache = cache
-        self._paces = paces
+        self._step_times = step_times
         self._peering = peering
         self._usage = usage
         self._configuration = configuration
@@ -414,7 +415,7 @@
         :param gap: a low gap between the stream's events; None if there were too few.
         """
         if gap:
-            self._paces.observe_low_gap(record.name, gap)
+            self._step_times.observe_low_gap(record.name, gap)
         if result is AttemptResult.NEUTRAL:
             return
         self._directory.health_of(record.endpoint.service).observe(
@@ -441,7 +442,7 @@
         self._rollouts.note_end(attempt.record, attempt.route, ok=True)
         attempt.gap = low_gap(gaps)
         if attempt.gap is not None:
-            self._paces.observe_low_gap(attempt.record.name, attempt.gap)
+            self._step_times.observe_low_gap(attempt.record.name, attempt.gap)
         self._directory.health_of(attempt.service).observe(
             attempt.record.name, ok=True, now=self._clock.elapsed()
         )
@@ -449,7 +450,8 @@
     def record_version_failure(self, attempt: Attempt) -> None:
         """Count a failure against the version of its endpoint, too.
 
-        Not if the endpoint itself has crashed: then all its requests fail at once.
+        Not called if the endpoint itself has crashed: then all its requests fail at
+        once.
         """
         self._rollouts.note_end(attempt.record, attempt.route, ok=False)
 
@@ -466,7 +468,11 @@
             )
 
     def record_disconnect(self, attempt: Attempt) -> None:
-        """Record that the caller disconnected and, before a first token, its wait."""
+        """Record a disconnect of the caller.
+
+        If there was no first token yet, its wait counts as the time to first token in
+        the canary's statistics.
+        """
         if not attempt.has_first_token:
             waited = self._clock.elapsed() - attempt.began_at
             self._rollouts.note_first(attempt.record, attempt.route, waited)
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -79,10 +79,10 @@
     def handle(self, caller: ServerConnection, request: Request) -> None:
         """Handle one request; errors become responses and are never raised."""
         with request_context(request.header(REQUEST_ID) or "none"):
-            began = self._clock.elapsed()
+            began_at = self._clock.elapsed()
             record = _AccessRecord()
             try:
-                self._answer(caller, request, record)
+                self._run_request(caller, request, record)
             except RequestRefused as refusal:
                 self._refuse(caller, refusal, record)
             except StreamBrokenOff as error:
@@ -98,9 +98,9 @@
                 else:
                     caller.answer(500)
             finally:
-                self._log_end(record, self._clock.elapsed() - began)
+                self._log_end(record, self._clock.elapsed() - began_at)
 
-    def _answer(
+    def _run_request(
         self, caller: ServerConnection, request: Request, record: "_AccessRecord"
     ) -> None:
         admitted = self._admit(request, record)
@@ -146,11 +146,11 @@
         avoided = self._check_quarantine(request, customer, service, record)
         if customer is not None:
             record.customer = customer.name
-            pause = self._quotas.admit(customer, traits)
-            if pause is not None:
+            retry_after = self._quotas.admit(customer, traits)
+            if retry_after is not None:
                 record.limit = self._quotas.explain(customer)
                 raise RequestRefused(
-                    429, "over the customer's limit", retry_after=pause
+                    429, "over the customer's limit", retry_after=retry_after
                 )
         record.service = service
         self._metrics.request_began(service)
--- a/src/sassafrasdale/gateway/placement.py
+++ b/src/sassafrasdale/gateway/placement.py
@@ -89,19 +89,19 @@
 
     :param availability_zone: where this gateway runs.
     :param cache: estimated contents of the engines' KV caches.
-    :param paces: how much slower some engines are than others.
+    :param step_times: step times of the engines, some of which are slower than others.
     """
 
     def __init__(
         self,
         availability_zone: str,
         cache: CacheEstimate,
-        paces: EngineStepTimes,
+        step_times: EngineStepTimes,
         rng: Random,
     ) -> None:
         self._availability_zone = availability_zone
         self._cache = cache
-        self._paces = paces
+        self._step_times = step_times
         self._rng = rng
 
     def choose(
@@ -109,14 +109,14 @@
         candidates: Sequence[EndpointRecord],
         service: Service,
         traits: RequestTraits,
-        peers: Mapping[str, ReportedLoad],
+        peer_loads: Mapping[str, ReportedLoad],
         weights: Mapping[str, float],
         token_time: timedelta,
         unreported_work: timedelta = timedelta(),
     ) -> EndpointRecord | None:
         """Return the best of the candidates, or None if there are none.
 
-        :param peers: load from the other gateways, by endpoint.
+        :param peer_loads: load from the other gateways, by endpoint.
         :param weights: health by endpoint; 0 for one that is ejected.
         :param token_time: time that an engine takes to prefill a token.
         :param unreported_work: engine time that the other gateways' requests have most
@@ -126,10 +126,10 @@
             return None
         healthy = [rec for rec in candidates if weights.get(rec.name, 1.0) > 0]
         owner = self._owner(healthy or candidates, traits)
-        slowness = self._paces.slowness([record.name for record in candidates])
+        slowness = self._step_times.slowness([record.name for record in candidates])
 
         def cost(record: EndpointRecord) -> timedelta:
-            load = peers.get(record.name, NO_LOAD)
+            load = peer_loads.get(record.name, NO_LOAD)
             scaled_token_time = token_time * slowness.get(record.name, 1.0)
             expected = self._expected_time(
                 record, service, traits, load, owner, scaled_token_time
@@ -217,10 +217,10 @@
         token_time: timedelta,
     ) -> timedelta:
         same_zone = record.endpoint.availability_zone == self._availability_zone
-        network_delay = timedelta() if same_zone else CROSS_ZONE_PENALTY
+        network_time = timedelta() if same_zone else CROSS_ZONE_PENALTY
         in_flight = record.in_flight + load.in_flight
         if service.engine is None:
-            return network_delay + PLAIN_REQUEST_TIME * (
+            return network_time + PLAIN_REQUEST_TIME * (
                 1 + in_flight / record.endpoint.slots
             )
         queued_tokens = record.prefill_tokens + remaining_prefill_tokens(
@@ -230,9 +230,9 @@
         shared = self._missing_shared_tokens(record, traits, owner)
         if is_fetch_worthwhile(shared, service.engine.link, token_time):
             uncached -= shared
-            network_delay += transfer_time(shared, service.engine.link)
+            network_time += transfer_time(shared, service.engine.link)
         return (
-            network_delay
+            network_time
             + token_time * (queued_tokens + uncached)
             + RUNNING_REQUEST_TIME * in_flight
         )
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -50,8 +50,8 @@
     return script
 
 
-def body_of(answer: bytes) -> bytes:
-    _, _, rest = answer.partition(b"\r\n\r\n")
+def body_of(response: bytes) -> bytes:
+    _, _, rest = response.partition(b"\r\n\r\n")
     data = b""
     while rest:
         size, _, rest = rest.partition(b"\r\n")
@@ -62,33 +62,33 @@
     return data
 
 
-def status_of(answer: bytes) -> int:
-    return int(answer.split(b" ", 2)[1])
+def status_of(response: bytes) -> int:
+    return int(response.split(b" ", 2)[1])
 
 
 def test_a_failure_counts_before_the_endpoint_is_probed():
     """Guards against requests sent to a failed endpoint while it is being probed."""
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(reset))
-    noted = []
+    calls = []
     failed, lost = world.fleet.record_failure, world.suspects.record_lost_connection
-    world.fleet.record_failure = lambda *args: (noted.append("failed"), failed(*args))
+    world.fleet.record_failure = lambda *args: (calls.append("failed"), failed(*args))
     world.suspects.record_lost_connection = lambda *args, **also: (
-        noted.append("looked at"),
+        calls.append("probed"),
         lost(*args, **also),
     )[1]
     world.ask(request("/certificates/7"))
-    assert noted == ["failed", "looked at"]
+    assert calls == ["failed", "probed"]
 
 
 def test_an_endpoints_response_is_relayed():
     world = World()
     endpoint = ScriptedEndpoint(respond_with(b"record"))
     world.add("i-1", "records", endpoint)
-    answer = world.ask(request("/certificates/7"))
-    assert status_of(answer) == 200
-    assert answer.endswith(b"record")
-    assert header(answer, "replica-stamp") == "stamp"
+    response = world.ask(request("/certificates/7"))
+    assert status_of(response) == 200
+    assert response.endswith(b"record")
+    assert header(response, "replica-stamp") == "stamp"
     sent = endpoint.requests[0]
     assert header(sent, "tenant") == "lab-a"
     assert header(sent, "expect-replica") == "i-1"
@@ -99,9 +99,9 @@
 def test_an_endpoints_error_response_is_relayed():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(respond_with(b"no", "500 Error")))
-    answer = world.ask(request("/certificates/7"))
-    assert status_of(answer) == 500
-    assert header(answer, "replica-stamp") == "stamp"
+    response = world.ask(request("/certificates/7"))
+    assert status_of(response) == 500
+    assert header(response, "replica-stamp") == "stamp"
 
 
 @pytest.mark.parametrize(
@@ -123,9 +123,9 @@
 def test_no_configuration_yet():
     world = World()
     world.routes = None
-    answer = world.ask(request("/certificates/7"))
-    assert status_of(answer) == 503
-    assert float(header(answer, "retry-after")) > 0
+    response = world.ask(request("/certificates/7"))
+    assert status_of(response) == 503
+    assert float(header(response, "retry-after")) > 0
 
 
 def test_a_non_idempotent_request_runs_at_most_once():
@@ -139,8 +139,8 @@
     endpoints = [ScriptedEndpoint(reset), ScriptedEndpoint(reset)]
     for number, endpoint in enumerate(endpoints):
         world.add(f"i-{number}", "records", endpoint)
-    answer = world.ask(request("/certificates/7"))
-    assert status_of(answer) == 502
+    response = world.ask(request("/certificates/7"))
+    assert status_of(response) == 502
     assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
 
@@ -148,9 +148,9 @@
     world = World()
     shed = respond_with(b"", "503 Unavailable", "Not-Run: 1\r\n")
     world.add("i-1", "records", ScriptedEndpoint(shed))
-    answer = world.ask(request("/certificates/7"))
-    assert status_of(answer) == 503
-    assert float(header(answer, "retry-after")) > 0
+    response = world.ask(request("/certificates/7"))
+    assert status_of(response) == 503
+    assert float(header(response, "retry-after")) > 0
 
 
 def test_an_idempotent_request_is_retried():
@@ -158,8 +158,8 @@
     world.add("i-1", "records", ScriptedEndpoint(reset))
     world.add("i-2", "records", ScriptedEndpoint(respond_with(b"page")))
     for number in range(4):
-        answer = world.ask(request("/reports/open/1", f"r-{number}", method="GET"))
-        assert status_of(answer) == 200
+        response = world.ask(request("/reports/open/1", f"r-{number}", method="GET"))
+        assert status_of(response) == 200
 
 
 def test_attempts_are_limited_by_the_route():
@@ -168,8 +168,8 @@
     for number, endpoint in enumerate(endpoints):
         world.add(f"i-{number}", "records", endpoint)
     world.fleet.retry_budgets.count_attempt("records", is_retry=False)
-    answer = world.ask(request("/reports/open/1", method="GET"))
-    assert status_of(answer) == 502
+    response = world.ask(request("/reports/open/1", method="GET"))
+    assert status_of(response) == 502
     assert sum(len(endpoint.requests) for endpoint in endpoints) <= 3
 
 
@@ -198,10 +198,10 @@
     world = World()
     world.add("i-1", "models", ScriptedEndpoint(streamed(1, 2, 3)))
     world.add("i-2", "models-next", ScriptedEndpoint(streamed(1, 2, 3)))
-    answer = world.ask(request("/reports/7", **STREAM))
-    assert status_of(answer) == 200
-    assert body_of(answer) == event(1) + event(2) + event(3)
-    assert answer.endswith(b"0\r\n\r\n")
+    response = world.ask(request("/reports/7", **STREAM))
+    assert status_of(response) == 200
+    assert body_of(response) == event(1) + event(2) + event(3)
+    assert response.endswith(b"0\r\n\r\n")
 
 
 def test_an_interrupted_stream_is_resumed_elsewhere():
@@ -220,9 +220,9 @@
     world.add("i-2", "models", second)
     if not first.requests and not second.requests:
         sleep(timedelta(milliseconds=50))
-    answer = caller.read()
-    assert status_of(answer) == 200
-    assert body_of(answer) == event(1) + event(2) + event(3) + event(4)
+    response = caller.read()
+    assert status_of(response) == 200
+    assert body_of(response) == event(1) + event(2) + event(3) + event(4)
     assert header(second.requests[0], "last-event-id") == "2"
 
 
@@ -240,25 +240,25 @@
     engines[1]._scripts.pop(0)
     for number, engine in enumerate(engines):
         world.add(f"i-{number}", "models", engine)
-    answers = [
+    responses = [
         world.ask(request("/reports/7", f"r-{number}", **STREAM)) for number in range(3)
     ]
-    assert [status_of(answer) for answer in answers] == [200] * 3
+    assert [status_of(response) for response in responses] == [200] * 3
 
 
 def test_a_stream_that_may_not_be_resumed_is_aborted():
     world = World(routes=_only_reports(allowResume=False))
     world.add("i-1", "models", ScriptedEndpoint(streamed(1, ends=False)))
-    answer = world.ask(request("/reports/7", **STREAM))
-    assert event(1) in answer
-    assert not answer.endswith(b"0\r\n\r\n")
+    response = world.ask(request("/reports/7", **STREAM))
+    assert event(1) in response
+    assert not response.endswith(b"0\r\n\r\n")
 
 
 def test_a_stream_that_ends_within_an_event_is_aborted():
     world = World(routes=_only_reports(allowResume=False))
     world.add("i-1", "models", ScriptedEndpoint(streamed(1, tail=b"id: 2\nda")))
-    answer = world.ask(request("/reports/7", **STREAM))
-    assert not answer.endswith(b"0\r\n\r\n")
+    response = world.ask(request("/reports/7", **STREAM))
+    assert not response.endswith(b"0\r\n\r\n")
 
 
 def pausing(before: float, between: float):
@@ -293,9 +293,9 @@
     caller.send(request("/reports/7", **STREAM))
     engines[1]._scripts.pop(0)
     world.add("i-1", "models", engines[1])
-    answer = caller.read()
-    assert status_of(answer) == 200
-    assert body_of(answer) == event(1) + event(2)
+    response = caller.read()
+    assert status_of(response) == 200
+    assert body_of(response) == event(1) + event(2)
 
 
 def test_a_silent_engine_is_abandoned_for_another(monkeypatch):
@@ -308,8 +308,8 @@
     caller = world.caller()
     caller.send(request("/reports/7", **STREAM))
     world.add("i-1", "models", ScriptedEndpoint(streamed(2, 3)))
-    answer = caller.read()
-    assert body_of(answer) == event(1) + event(2) + event(3)
+    response = caller.read()
+    assert body_of(response) == event(1) + event(2) + event(3)
 
 
 def test_quota_is_returned_only_for_requests_that_did_not_run():
@@ -319,8 +319,8 @@
     limit; one that the endpoint refuses as not run doesn't.
     """
     world = World()
-    taken = []
-    world.quotas.refund = lambda customer, traits: taken.append(customer.name)
+    refunded = []
+    world.quotas.refund = lambda customer, traits: refunded.append(customer.name)
     endpoint = ScriptedEndpoint(hang)
     world.add("i-1", "records", endpoint)
     caller = world.caller()
@@ -328,11 +328,11 @@
     sleep(timedelta(milliseconds=40))
     caller.close()
     sleep(timedelta(milliseconds=40))
-    assert taken == []
+    assert refunded == []
     shed = respond_with(b"", "503 Unavailable", "Not-Run: 1\r\n")
     world.add("i-1", "records", ScriptedEndpoint(shed))
     world.ask(request("/certificates/8"))
-    assert taken == ["lab-a"]
+    assert refunded == ["lab-a"]
 
 
 def test_a_disconnect_closes_the_endpoints_connection():
@@ -358,11 +358,11 @@
 def test_the_deadline_gives_status_504():
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(hang))
-    began = CLOCK.elapsed()
-    answer = world.ask(request("/certificates/7", deadline_ms="150"))
-    assert status_of(answer) == 504
-    assert timedelta(milliseconds=140) < CLOCK.elapsed() - began
-    assert CLOCK.elapsed() - began < timedelta(milliseconds=300)
+    began_at = CLOCK.elapsed()
+    response = world.ask(request("/certificates/7", deadline_ms="150"))
+    assert status_of(response) == 504
+    assert timedelta(milliseconds=140) < CLOCK.elapsed() - began_at
+    assert CLOCK.elapsed() - began_at < timedelta(milliseconds=300)
 
 
 def test_load_counts_return_to_zero():
@@ -441,17 +441,17 @@
     world = World(routes=_only_reports(allowResume=False))
     for number in range(3):
         world.add(f"i-{number}", "models", CrashingEndpoint())
-        answer = world.ask(request("/reports/7", f"r-{number}", **STREAM))
-        assert status_of(answer) == 502
+        response = world.ask(request("/reports/7", f"r-{number}", **STREAM))
+        assert status_of(response) == 502
         world.directory.remove(f"i-{number}")
     spared = ScriptedEndpoint(streamed(1, 2))
     world.add("i-3", "models", spared)
     limits = world.quotas.report()
-    began = CLOCK.elapsed()
-    answer = world.ask(request("/reports/7", "r-4", **STREAM))
-    assert CLOCK.elapsed() - began < timedelta(seconds=0.1)
-    assert status_of(answer) == 503
-    assert float(header(answer, "retry-after")) >= 30
+    began_at = CLOCK.elapsed()
+    response = world.ask(request("/reports/7", "r-4", **STREAM))
+    assert CLOCK.elapsed() - began_at < timedelta(seconds=0.1)
+    assert status_of(response) == 503
+    assert float(header(response, "retry-after")) >= 30
     assert spared.requests == []
     assert world.quotas.report().keys() == limits.keys()
     assert world.quotas.report()["lab-a"].spent == limits["lab-a"].spent
@@ -465,8 +465,8 @@
     endpoints = [CrashingEndpoint() for _ in range(4)]
     for number, endpoint in enumerate(endpoints):
         world.add(f"i-{number}", "models", endpoint)
-    answer = world.ask(request("/reports/7", **STREAM))
-    assert status_of(answer) == 502
+    response = world.ask(request("/reports/7", **STREAM))
+    assert status_of(response) == 502
     assert sum(len(endpoint.requests) for endpoint in endpoints) == 2
 
 
@@ -477,9 +477,9 @@
     for number in range(4):
         endpoint = CrashingEndpoint(lambda: next(crashes), events=2)
         world.add(f"i-{number}", "models", endpoint)
-    answer = world.ask(request("/reports/7", **STREAM))
-    assert body_of(answer) == b"".join(event(number) for number in range(1, 7))
-    assert answer.endswith(b"0\r\n\r\n")
+    response = world.ask(request("/reports/7", **STREAM))
+    assert body_of(response) == b"".join(event(number) for number in range(1, 7))
+    assert response.endswith(b"0\r\n\r\n")
     assert world.suspects.describe() == []
 
 
@@ -514,11 +514,11 @@
     caller.send(request("/reports/7", **STREAM))
     wait_for(lambda: silent.requests, "the request was not sent")
     world.add("i-2", "models", ScriptedEndpoint(streamed(1, 2)))
-    began = CLOCK.elapsed()
+    began_at = CLOCK.elapsed()
     world.directory.remove("i-1")
-    answer = caller.read()
-    assert status_of(answer) == 200
-    assert CLOCK.elapsed() - began < timedelta(seconds=3)
+    response = caller.read()
+    assert status_of(response) == 200
+    assert CLOCK.elapsed() - began_at < timedelta(seconds=3)
     silent.close()
 
 
@@ -547,8 +547,8 @@
     caller.send(request("/reports/7", **STREAM))
     sleep(timedelta(milliseconds=100))
     world.directory.remove("i-1")
-    answer = caller.read()
-    assert body_of(answer) == event(1) + event(2)
+    response = caller.read()
+    assert body_of(response) == event(1) + event(2)
     assert world.suspects.describe() == []
 
 
@@ -561,8 +561,8 @@
     spare = ScriptedEndpoint(streamed(1, 2))
     world.add("i-2", "models", spare)
     for number in range(10):
-        answer = world.ask(request(f"/reports/{number}", f"r-{number}", **STREAM))
-        assert status_of(answer) == 200
+        response = world.ask(request(f"/reports/{number}", f"r-{number}", **STREAM))
+        assert status_of(response) == 200
     back = ScriptedEndpoint(streamed(1, 2))
     entry = world.directory.records["i-1"].endpoint
     world.directory.put(replace(entry, born=1))
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -27,10 +27,10 @@
 
 
 def record(name: str, zone: str = "a") -> EndpointRecord:
-    listed = Endpoint(
+    endpoint = Endpoint(
         name, "s", Address("127.0.0.1", 1), zone, EndpointState.READY, slots=6
     )
-    return EndpointRecord(listed, pool=None)
+    return EndpointRecord(endpoint, pool=None)
 
 
 def prompt(shared: str, own: str, tokens: int = 3000) -> RequestTraits:
@@ -49,13 +49,13 @@
 
 
 @pytest.fixture
-def paces():
+def step_times():
     return EngineStepTimes()
 
 
 @pytest.fixture
-def placement(cache, paces):
-    return Placement("a", cache, paces, Random(1))
+def placement(cache, step_times):
+    return Placement("a", cache, step_times, Random(1))
 
 
 def choose(placement, records, traits, service=MODELS, peers=None, weights=None):
@@ -103,8 +103,8 @@
 def test_an_ejected_endpoint_is_chosen_only_if_all_are(placement, records):
     weights = {"i-1": 0.0, "i-2": 0.0, "i-3": 1.0}
     assert choose(placement, records, prompt("x", "y"), weights=weights) == "i-3"
-    nobody = dict.fromkeys(weights, 0.0)
-    assert choose(placement, records, prompt("x", "y"), weights=nobody)
+    all_ejected = dict.fromkeys(weights, 0.0)
+    assert choose(placement, records, prompt("x", "y"), weights=all_ejected)
 
 
 def test_plain_requests_go_to_the_least_loaded_endpoint(placement, records):
@@ -204,15 +204,15 @@
     assert source(placement, records[0], records[:1], prompt("x", "y")) is None
 
 
-def test_a_long_prompt_goes_to_a_fast_engine(placement, paces, records):
+def test_a_long_prompt_goes_to_a_fast_engine(placement, step_times, records):
     """Guards against a long prompt that is late at a slow engine.
 
     The prompt has 50,000 tokens; the slow engine takes 1.3 times as long per token. It
     is in the gateway's own zone and idle; a fast one is idle, too.
     """
-    far = [records[0], record("i-2", zone="b")]
-    pause = timedelta(milliseconds=16)
+    engines = [records[0], record("i-2", zone="b")]
+    gap = timedelta(milliseconds=16)
     for _ in range(4):
-        paces.observe("i-1", [pause * 1.3] * 20)
-        paces.observe("i-2", [pause] * 20)
-    assert choose(placement, far, RequestTraits("r", prompt_tokens=50_000)) == "i-2"
+        step_times.observe("i-1", [gap * 1.3] * 20)
+        step_times.observe("i-2", [gap] * 20)
+    assert choose(placement, engines, RequestTraits("r", prompt_tokens=50_000)) == "i-2"
--- a/tests/gateway/test_session.py
+++ b/tests/gateway/test_session.py
@@ -30,7 +30,7 @@
     world.add("r-1", "records", records)
     world.add("m-1", "models", models)
     world.add("n-1", "models-next", ScriptedEndpoint(streamed(1, 2, 3)))
-    answers = [
+    responses = [
         world.ask(raw)
         for raw in (
             request("/certificates/7?full=1", "s-1", deadline_ms="400", tenant="x"),
@@ -45,5 +45,5 @@
     assert {
         "sent to the plain service": [readable(raw) for raw in records.requests],
         "sent to the engine": [readable(raw) for raw in models.requests],
-        "answered": [readable(raw) for raw in answers],
+        "answered": [readable(raw) for raw in responses],
     } == snapshot
