--- a/src/sassafrasdale/gateway/dispatcher.py
+++ b/src/sassafrasdale/gateway/dispatcher.py
@@ -71,12 +71,12 @@
             max(attempt.queued_tokens, 0),
         )
 
-    def record_report(self, notes: AttemptReport) -> None:
+    def record_report(self, report: AttemptReport) -> None:
         """Apply a gateway's report on its attempts."""
-        state = self._state_of(notes.gateway, notes.incarnation)
-        for first in notes.first:
+        state = self._state_of(report.gateway, report.incarnation)
+        for first in report.first:
             self._record_first_token(state, first)
-        for ended in notes.ended:
+        for ended in report.ended:
             self._record_end(state, ended)
 
     def reconcile(
--- a/src/sassafrasdale/gateway/dispatcher_client.py
+++ b/src/sassafrasdale/gateway/dispatcher_client.py
@@ -165,6 +165,6 @@
         self._current = contact
         self._first.clear()
         self._ended.clear()
-        taken, self._open = self._open, {}
-        for take_over in taken.values():
+        former, self._open = self._open, {}
+        for take_over in former.values():
             take_over()
--- a/src/sassafrasdale/gateway/dispatcher_messages.py
+++ b/src/sassafrasdale/gateway/dispatcher_messages.py
@@ -63,7 +63,7 @@
     """The endpoint for an attempt, which counts as in progress there from now on.
 
     :param source: engine from which it fetches the KV cache of shared prompt parts.
-    :param unread_tokens: prompt tokens that it has yet to prefill.
+    :param prefill_tokens: prompt tokens that it has yet to prefill.
     :param queued_tokens: prefill tokens ahead of them.
     """
 
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -45,7 +45,7 @@
 class Gateway:
     """A gateway's view of four engines, and its dispatcher client."""
 
-    def __init__(self, name, clock, asking=None):
+    def __init__(self, name, clock, client=None):
         self.name = name
         self.clock = clock
         rng = Random(name)
@@ -55,22 +55,22 @@
             self.directory.put(
                 Endpoint(f"i-{number}", "models", address, "a", EndpointState.READY, 32)
             )
-        cache, paces = CacheEstimate(), EngineStepTimes()
+        cache, step_times = CacheEstimate(), EngineStepTimes()
         self.fleet = Fleet(
             self.directory,
-            Placement("a", cache, paces, rng),
+            Placement("a", cache, step_times, rng),
             cache,
-            paces,
+            step_times,
             single_peering(clock, rng),
             UsageCounts(5 * SECOND, ClusterTime(clock)),
             lambda: CONFIGURATION,
             bounds(),
             clock,
             no_rollouts(clock),
-            asking,
+            client,
         )
 
-    def under_way(self):
+    def in_flight_counts(self):
         records = self.directory.records.values()
         return [record.in_flight for record in records]
 
@@ -86,10 +86,10 @@
         self.clock = ManualClock()
         self.central = Gateway("central", self.clock)
         self.dispatcher = Dispatcher(self.central.fleet, self.clock)
-        self.answers = True
+        self.responds = True
         self.receives_reports = True
         self.contact = contact("central")
-        self.asking = [
+        self.clients = [
             DispatcherClient(
                 contact(f"g-{number}"),
                 lambda: self.contact,
@@ -100,19 +100,19 @@
             for number in range(gateways)
         ]
         self.gateways = [
-            Gateway(f"g-{number}", self.clock, asking)
-            for number, asking in enumerate(self.asking)
+            Gateway(f"g-{number}", self.clock, client)
+            for number, client in enumerate(self.clients)
         ]
 
-    def _ask(self, _, ask):
-        assigned = self.dispatcher.assign(ASSIGNMENT_REQUEST.decode(encode(ask)))
-        if not self.answers or assigned is None:
+    def _ask(self, _, request):
+        assigned = self.dispatcher.assign(ASSIGNMENT_REQUEST.decode(encode(request)))
+        if not self.responds or assigned is None:
             return None
         return ASSIGNMENT.decode(encode(assigned))
 
-    def _report(self, _, notes):
+    def _report(self, _, report):
         if self.receives_reports:
-            self.dispatcher.record_report(ATTEMPT_REPORT.decode(encode(notes)))
+            self.dispatcher.record_report(ATTEMPT_REPORT.decode(encode(report)))
         return self.receives_reports
 
     def send(self, number, tokens=5000):
@@ -120,13 +120,13 @@
             "models", prompt(tokens), frozenset(), is_retry=False
         )
 
-    def tell(self):
-        for asking in self.asking:
-            asking.step()
+    def send_results(self):
+        for client in self.clients:
+            client.step()
 
-    def report(self):
-        for number, asking in enumerate(self.asking):
-            self.dispatcher.reconcile(f"g-{number}", 1, asking.open_attempts)
+    def send_load_reports(self):
+        for number, client in enumerate(self.clients):
+            self.dispatcher.reconcile(f"g-{number}", 1, client.open_attempts)
 
 
 def prompt(tokens):
@@ -148,14 +148,14 @@
     """
     names = [zone.send(number, 20_000).record.name for number in range(3)]
     assert len(set(names)) == 3
-    assert zone.central.under_way().count(1) == 3
+    assert zone.central.in_flight_counts().count(1) == 3
 
 
 def test_an_attempt_is_counted_once(zone):
     """Guards against an engine that looks twice as loaded as it is and is avoided."""
     zone.send(0)
-    assert sum(zone.central.under_way()) == 1
-    assert [sum(gateway.under_way()) for gateway in zone.gateways] == [0, 0, 0]
+    assert sum(zone.central.in_flight_counts()) == 1
+    assert [sum(gateway.in_flight_counts()) for gateway in zone.gateways] == [0, 0, 0]
 
 
 def test_first_tokens_and_ends_are_reported(zone):
@@ -163,12 +163,12 @@
     assert zone.central.prefill_tokens() == 8000
     zone.clock.advance(SECOND / 5)
     zone.gateways[0].fleet.record_first_token(attempt)
-    zone.tell()
+    zone.send_results()
     assert zone.central.prefill_tokens() == 0
-    assert sum(zone.central.under_way()) == 1
+    assert sum(zone.central.in_flight_counts()) == 1
     zone.gateways[0].fleet.finish_attempt(attempt)
-    zone.tell()
-    assert sum(zone.central.under_way()) == 0
+    zone.send_results()
+    assert sum(zone.central.in_flight_counts()) == 0
 
 
 def test_without_a_response_a_gateway_chooses_itself(zone):
@@ -177,18 +177,18 @@
     The assignment request gets no timely response. The dispatcher may have counted the
     attempt; it is told that the attempt ended.
     """
-    zone.answers = False
+    zone.responds = False
     attempt = zone.send(0)
     assert attempt is not None
-    assert sum(zone.gateways[0].under_way()) == 1
-    zone.tell()
-    assert sum(zone.central.under_way()) == 0
-    zone.answers = True
+    assert sum(zone.gateways[0].in_flight_counts()) == 1
+    zone.send_results()
+    assert sum(zone.central.in_flight_counts()) == 0
+    zone.responds = True
     zone.send(0)
-    assert sum(zone.central.under_way()) == 0
+    assert sum(zone.central.in_flight_counts()) == 0
     zone.clock.advance(FALLBACK_TIME)
     zone.send(0)
-    assert sum(zone.central.under_way()) == 1
+    assert sum(zone.central.in_flight_counts()) == 1
 
 
 def test_open_attempts_are_counted_locally_after_a_dispatcher_change(zone):
@@ -201,22 +201,22 @@
     second = zone.send(0, 6000)
     zone.gateways[0].fleet.record_first_token(second)
     zone.contact = contact("next")
-    zone.tell()
+    zone.send_results()
     gateway = zone.gateways[0]
-    assert sum(gateway.under_way()) == 2
+    assert sum(gateway.in_flight_counts()) == 2
     assert gateway.prefill_tokens() == 8000
     gateway.fleet.record_first_token(first)
     gateway.fleet.finish_attempt(first)
     gateway.fleet.finish_attempt(second)
-    assert sum(gateway.under_way()) == 0
+    assert sum(gateway.in_flight_counts()) == 0
     assert gateway.prefill_tokens() == 0
 
 
 def test_a_restarted_dispatcher_counts_as_changed(zone):
     zone.send(0)
     zone.contact = contact("central", incarnation=2)
-    zone.tell()
-    assert sum(zone.gateways[0].under_way()) == 1
+    zone.send_results()
+    assert sum(zone.gateways[0].in_flight_counts()) == 1
 
 
 def test_the_next_report_makes_up_for_lost_results(zone):
@@ -224,41 +224,41 @@
     attempt = zone.send(0)
     zone.receives_reports = False
     zone.gateways[0].fleet.finish_attempt(attempt)
-    zone.tell()
-    assert sum(zone.central.under_way()) == 1
+    zone.send_results()
+    assert sum(zone.central.in_flight_counts()) == 1
     zone.clock.advance(RECONCILE_GRACE * 2)
-    zone.report()
-    assert sum(zone.central.under_way()) == 0
+    zone.send_load_reports()
+    assert sum(zone.central.in_flight_counts()) == 0
 
 
 def test_a_report_written_before_an_assignment_drops_nothing(zone):
     """The report was written before the assignment arrived, so it lacks the attempt."""
     zone.send(0)
     zone.dispatcher.reconcile("g-0", 1, ())
-    assert sum(zone.central.under_way()) == 1
+    assert sum(zone.central.in_flight_counts()) == 1
 
 
 def test_attempts_of_a_lost_gateway_are_dropped(zone):
     zone.send(0)
     zone.send(1)
     zone.clock.advance(EXPIRY_TIMEOUT / 2)
-    zone.dispatcher.reconcile("g-1", 1, zone.asking[1].open_attempts)
+    zone.dispatcher.reconcile("g-1", 1, zone.clients[1].open_attempts)
     zone.clock.advance(EXPIRY_TIMEOUT * 0.7)
     zone.dispatcher.drop_unresponsive()
-    assert sum(zone.central.under_way()) == 1
+    assert sum(zone.central.in_flight_counts()) == 1
 
 
 def test_attempts_of_an_earlier_incarnation_are_dropped(zone):
     zone.send(0)
     zone.dispatcher.reconcile("g-0", 2, ())
-    assert sum(zone.central.under_way()) == 0
+    assert sum(zone.central.in_flight_counts()) == 0
 
 
 def test_a_dispatcher_that_resigns_drops_all_attempts(zone):
     """Guards against two gateways counting the same attempts after a resignation."""
     zone.send(0)
     zone.dispatcher.resign()
-    assert sum(zone.central.under_way()) == 0
+    assert sum(zone.central.in_flight_counts()) == 0
     assert zone.central.prefill_tokens() == 0
 
 
@@ -268,19 +268,19 @@
     Its own attempts there got no response; those of the others succeed.
     """
     gateway = zone.gateways[0]
-    named = zone.send(0).record.name
-    zone.tell()
+    assigned = zone.send(0).record.name
+    zone.send_results()
     for _ in range(5):
         gateway.directory.health_of("models").observe(
-            named, ok=False, now=zone.clock.elapsed()
+            assigned, ok=False, now=zone.clock.elapsed()
         )
     for number in range(4):
-        if f"i-{number}" != named:
+        if f"i-{number}" != assigned:
             zone.central.directory.remove(f"i-{number}")
     attempt = zone.send(0)
-    assert attempt.record.name != named
-    zone.tell()
-    assert sum(zone.central.under_way()) == 1
+    assert attempt.record.name != assigned
+    zone.send_results()
+    assert sum(zone.central.in_flight_counts()) == 1
 
 
 def test_failures_are_reported_to_the_dispatcher(zone):
@@ -289,7 +289,7 @@
         attempt = zone.send(0)
         zone.gateways[0].fleet.record_failure(attempt, is_fault=True)
         zone.gateways[0].fleet.finish_attempt(attempt)
-        zone.tell()
+        zone.send_results()
         failed = attempt.record.name
     weights = zone.central.directory.health_of("models").weights(zone.clock.elapsed())
     assert weights[failed] < 1
@@ -299,13 +299,13 @@
     zone.dispatcher.record_report(
         AttemptReport("g-0", 1, (), (AttemptEnded(99, AttemptResult.FAILED),))
     )
-    assert sum(zone.central.under_way()) == 0
+    assert sum(zone.central.in_flight_counts()) == 0
 
 
 def test_an_assignment_request_keeps_the_traits():
     traits = prompt(700)
-    ask = AssignmentRequest.of("g-0", 1, 5, "models", traits, ("i-1",))
-    again = ASSIGNMENT_REQUEST.decode(encode(ask)).traits
+    request = AssignmentRequest.of("g-0", 1, 5, "models", traits, ("i-1",))
+    again = ASSIGNMENT_REQUEST.decode(encode(request)).traits
     assert (again.prompt_tokens, again.parts) == (700, traits.parts)
 
 
@@ -323,6 +323,6 @@
             zone.clock.advance(SECOND / 500)
             gateway.record_first_token(attempt, is_prefilled=False)
             gateway.finish_attempt(attempt)
-            zone.tell()
+            zone.send_results()
     assert zone.central.fleet.token_times() == {}
-    assert sum(zone.central.under_way()) == 0
+    assert sum(zone.central.in_flight_counts()) == 0
--- a/tests/gateway/test_dispatcher_client.py
+++ b/tests/gateway/test_dispatcher_client.py
@@ -24,10 +24,10 @@
         self.dispatcher = contact("central")
         self.lookups = 0
         self.reports = []
-        self.asking = DispatcherClient(
+        self.client = DispatcherClient(
             contact("g-1"), self._look_up, lambda *_: None, self._report, SystemClock()
         )
-        self.task = spawn(self.asking.run)
+        self.task = spawn(self.client.run)
 
     def _look_up(self):
         self.lookups += 1
@@ -48,9 +48,9 @@
 def test_results_are_reported_soon_and_in_batches(gateway):
     """Guards against a dispatcher that considers engines busy long after an attempt."""
     sleep(MAX_REPORT_INTERVAL + SOON)
-    gateway.asking.add_attempt(1, lambda: None)
-    gateway.asking.record_first_token(1, timedelta())
-    gateway.asking.record_end(1, AttemptResult.ANSWERED)
+    gateway.client.add_attempt(1, lambda: None)
+    gateway.client.record_first_token(1, timedelta())
+    gateway.client.record_end(1, AttemptResult.ANSWERED)
     sleep(SOON)
     (report,) = gateway.reports
     assert len(report.first) == len(report.ended) == 1
@@ -67,7 +67,7 @@
     """Guards against attempts that nobody counts after a change of the dispatcher."""
     local = []
     sleep(MAX_REPORT_INTERVAL + SOON)
-    gateway.asking.add_attempt(1, lambda: local.append(1))
+    gateway.client.add_attempt(1, lambda: local.append(1))
     gateway.dispatcher = contact("other")
     sleep(MAX_REPORT_INTERVAL + SOON)
     assert local == [1]
