--- a/src/sassafrasdale/gateway/crash_detection.py
+++ b/src/sassafrasdale/gateway/crash_detection.py
@@ -53,9 +53,9 @@
         for number in range(PROBES):
             if number:
                 sleep(PROBE_INTERVAL)
-            reach = record.pool.probe()
-            if reach is not ProbeResult.UNANSWERED:
-                return reach
+            result = record.pool.probe()
+            if result is not ProbeResult.UNANSWERED:
+                return result
         return ProbeResult.UNANSWERED
 
     def _forget_old(self, now: timedelta) -> None:
--- a/src/sassafrasdale/gateway/drain.py
+++ b/src/sassafrasdale/gateway/drain.py
@@ -16,7 +16,8 @@
 
 log = Logger("drain")
 
-# The balancer checks once a second and removes a gateway after two failures.
+# New connections are accepted for this time after the stop signal: the balancer checks
+# once a second and removes a gateway after two failures.
 SERVE_ON = timedelta(seconds=3.2)
 # During this time a request is accepted however long it may take. Later, only one that
 # must end within the grace period is: the balancer has switched to another gateway, and
@@ -39,32 +40,32 @@
         self._server = server
         self._grace = grace
         self._clock = clock
-        self._began: timedelta | None = None
+        self._began_at: timedelta | None = None
 
     @property
     def last_end(self) -> timedelta | None:
         """Elapsed time by which a new request must end; None for no limit."""
         if (
-            self._began is None
-            or self._clock.elapsed() < self._began + ACCEPT_ALL_PERIOD
+            self._began_at is None
+            or self._clock.elapsed() < self._began_at + ACCEPT_ALL_PERIOD
         ):
             return None
-        return self._end(self._began)
+        return self._deadline(self._began_at)
 
     def run(self) -> None:
         """Return when all requests are complete, or when the time is up."""
-        began = self._began = self._clock.elapsed()
-        end = self._end(began)
-        self._wait(min(began + SERVE_ON, end))
+        began_at = self._began_at = self._clock.elapsed()
+        deadline = self._deadline(began_at)
+        self._wait(min(began_at + SERVE_ON, deadline))
         self._server.close()
         self._server.close_idle()
         log.info("no more connections taken", busy=self._server.busy_connections)
-        while self._server.busy_connections and self._clock.elapsed() < end:
+        while self._server.busy_connections and self._clock.elapsed() < deadline:
             sleep(STEP)
             self._server.close_idle()
 
-    def _end(self, began: timedelta) -> timedelta:
-        return began + self._grace - MARGIN
+    def _deadline(self, began_at: timedelta) -> timedelta:
+        return began_at + self._grace - MARGIN
 
     def _wait(self, deadline: timedelta) -> None:
         while self._clock.elapsed() < deadline:
--- a/src/sassafrasdale/gateway/request_quarantine.py
+++ b/src/sassafrasdale/gateway/request_quarantine.py
@@ -1,4 +1,7 @@
-"""Quarantine of requests under which endpoints have crashed."""
+"""Quarantine of requests under which endpoints have crashed.
+
+Each such crash is recorded as a strike against the request.
+"""
 
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
@@ -24,10 +27,12 @@
 
 log = Logger("suspects")
 
-# The directory shows a crash within seconds: the registration expires, or shows a later
-# start time.
+# Longest time after a lost connection in which a crash of the endpoint is taken as its
+# cause. The directory shows a crash within seconds: the registration expires, or shows
+# a later start time.
 MAX_LOST_AGE = timedelta(seconds=10)
-# Most runs that are kept whose connection was lost without evidence of a crash.
+# Most runs that are kept whose connection was lost, so far without evidence of a
+# crash.
 MAX_LOST_RUNS = 500
 
 
@@ -105,7 +110,7 @@
         if name not in self._ledger.quarantined:
             return Verdict(name)
         strikes = self._ledger.open_strikes(name)
-        tried_versions = {held.strike.version for held in strikes}
+        tried_versions = {tracked.strike.version for tracked in strikes}
         versions = {record.name: record.endpoint.version for record in endpoints}
         scope = trial_scope(tried_versions, versions)
         if self._trials.try_claim(
@@ -151,12 +156,12 @@
             spawn(self._probe_expired, record)
 
     def _probe_expired(self, record: EndpointRecord) -> None:
-        reach = self._crash_detector.probe_repeatedly(record)
-        if reach is ProbeResult.OPEN:
+        result = self._crash_detector.probe_repeatedly(record)
+        if result is ProbeResult.OPEN:
             # It has lost its connection to the store, or is leaving.
             return
         self.record_crash(record.name)
-        if reach is ProbeResult.UNANSWERED and record.connections:
+        if result is ProbeResult.UNANSWERED and record.connections:
             self._abort_requests(record)
 
     def _abort_requests(self, record: EndpointRecord) -> None:
@@ -188,11 +193,11 @@
 
     def release(self, name: str) -> bool:
         """Release a request from quarantine, as an operator asks."""
-        lifted = self._ledger.clear(name)
-        if lifted:
+        released = self._ledger.clear(name)
+        if released:
             log.notice("strikes cleared", fingerprint=name, why="lifted by an operator")
             self.log_changes()
-        return lifted
+        return released
 
     def may_retry(self, name: str) -> bool:
         """Return whether a request may be retried at another endpoint."""
@@ -218,8 +223,8 @@
                 "ends": self._describe_strikes(strikes),
             }
             for strikes in (
-                [held for held in all_held if held.is_open]
-                for all_held in self._ledger.by_request()
+                [tracked for tracked in request_strikes if tracked.is_open]
+                for request_strikes in self._ledger.by_request()
             )
             if strikes
         ]
@@ -230,24 +235,24 @@
         now = self._time.seconds
         return [
             {
-                "endpoint": held.strike.endpoint,
-                "version": held.strike.version,
-                "witness": held.strike.witness,
-                "age_s": round(now - held.strike.at, 3),
-                "begun": held.strike.begun,
+                "endpoint": tracked.strike.endpoint,
+                "version": tracked.strike.version,
+                "witness": tracked.strike.witness,
+                "age_s": round(now - tracked.strike.at, 3),
+                "begun": tracked.strike.begun,
             }
-            for held in strikes
+            for tracked in strikes
         ]
 
     def _record_strike(self, run: LostRun, lost_at: timedelta) -> None:
         self._count("endpoint ended under a request")
-        since = (self._clock.elapsed() - lost_at).total_seconds()
+        age = (self._clock.elapsed() - lost_at).total_seconds()
         strike = Strike(
             run.fingerprint,
             run.endpoint,
             run.version,
             run.begun,
-            self._time.seconds - since,
+            self._time.seconds - age,
             self._name,
         )
         self._ledger.take(strike)
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -92,12 +92,12 @@
     def run(self) -> None:
         """Load the stored strikes, then store new ones, until the task is killed."""
         while True:
-            asked_at = self._clock.elapsed()
+            called_at = self._clock.elapsed()
             try:
                 if self.step():
-                    self._dependency.succeeded(asked_at)
+                    self._dependency.succeeded(called_at)
             except StoreError as error:
-                self._dependency.failed(error, asked_at)
+                self._dependency.failed(error, called_at)
             sleep(STEP_INTERVAL * self._rng.uniform(0.8, 1.2))
 
     def step(self) -> bool:
@@ -109,23 +109,25 @@
             self._load()
             return True
         due = self._due()
-        for held in due:
-            self._update_store(held)
-        for name in {held.strike.fingerprint for held in due if not held.is_open}:
+        for tracked in due:
+            self._update_store(tracked)
+        for name in {
+            tracked.strike.fingerprint for tracked in due if not tracked.is_open
+        }:
             self._trials.forget(name)
         dropped = self._dropped()
-        for held in dropped:
-            self._store.delete(_key(held.strike))
+        for tracked in dropped:
+            self._store.delete(_key(tracked.strike))
         return bool(due or dropped)
 
     def _dropped(self) -> list[TrackedStrike]:
         """Return stored strikes that the ledger has dropped for lack of space."""
         return [
-            held
-            for held in self._ledger.pop_dropped()
-            if StrikeState.STORED in held.state
-            and StrikeState.UNSTORED not in held.state
-            and self._is_responsible(held)
+            tracked
+            for tracked in self._ledger.pop_dropped()
+            if StrikeState.STORED in tracked.state
+            and StrikeState.UNSTORED not in tracked.state
+            and self._is_responsible(tracked)
         ]
 
     def _load(self) -> None:
@@ -161,33 +163,35 @@
         pending: list[TrackedStrike] = []
         for strikes in list(self._ledger.by_request()):
             self._clear_expired(strikes)
-            pending += [held for held in strikes if _is_out_of_date(held, strikes)]
+            pending += [
+                tracked for tracked in strikes if _is_out_of_date(tracked, strikes)
+            ]
         self._has_pending = bool(pending)
-        due = (held for held in pending if self._is_responsible(held))
+        due = (tracked for tracked in pending if self._is_responsible(tracked))
         return list(islice(due, MAX_WRITES))
 
     def _clear_expired(self, strikes: list[TrackedStrike]) -> None:
-        newest = max(held.strike.at for held in strikes)
-        if self._age(newest) > MAX_AGE and any(held.is_open for held in strikes):
+        newest = max(tracked.strike.at for tracked in strikes)
+        if self._age(newest) > MAX_AGE and any(tracked.is_open for tracked in strikes):
             name = strikes[0].strike.fingerprint
             self._ledger.clear(name)
             log.info("strikes cleared", fingerprint=name, why="too old")
 
-    def _is_responsible(self, held: TrackedStrike) -> bool:
-        if held.strike.witness == self._name:
+    def _is_responsible(self, tracked: TrackedStrike) -> bool:
+        if tracked.strike.witness == self._name:
             return True
-        is_overdue = self._age(held.strike.at) > WITNESS_TIMEOUT
+        is_overdue = self._age(tracked.strike.at) > WITNESS_TIMEOUT
         return is_overdue and self._peering.is_aggregator
 
     def _age(self, at: float) -> timedelta:
         return timedelta(seconds=self._time.seconds - at)
 
-    def _update_store(self, held: TrackedStrike) -> None:
-        strike = held.strike
+    def _update_store(self, tracked: TrackedStrike) -> None:
+        strike = tracked.strike
         name = strike.fingerprint
         key = _key(strike)
-        if held.is_open:
-            self._store.create(key, _ENCODE(StrikeRow.of(held)))
+        if tracked.is_open:
+            self._store.create(key, _ENCODE(StrikeRow.of(tracked)))
             self._ledger.take(strike, StrikeState.STORED)
             log.info("strike stored", fingerprint=name, endpoint=strike.endpoint)
             return
@@ -198,17 +202,17 @@
 
 def _key(strike: Strike) -> str:
     # Names may be too long for the store's keys.
-    end = f"{strike.endpoint} {strike.at} {strike.witness}"
-    return f"{STRIKES_PREFIX}{strike.fingerprint}/{xxh64_hexdigest(end.encode())}"
+    crash = f"{strike.endpoint} {strike.at} {strike.witness}"
+    return f"{STRIKES_PREFIX}{strike.fingerprint}/{xxh64_hexdigest(crash.encode())}"
 
 
-def _is_out_of_date(held: TrackedStrike, strikes: list[TrackedStrike]) -> bool:
+def _is_out_of_date(tracked: TrackedStrike, strikes: list[TrackedStrike]) -> bool:
     """Return whether the store's state of a strike is out of date.
 
     :param strikes: all of the same request.
     """
-    if held.is_open:
+    if tracked.is_open:
         has_enough = sum(other.is_open for other in strikes) >= MIN_STRIKES
-        return has_enough and not held.state & StrikeState.STORED
-    stored = held.state & (StrikeState.STORED | StrikeState.UNSTORED)
+        return has_enough and not tracked.state & StrikeState.STORED
+    stored = tracked.state & (StrikeState.STORED | StrikeState.UNSTORED)
     return stored == StrikeState.STORED
--- a/src/sassafrasdale/gateway/strike_replication.py
+++ b/src/sassafrasdale/gateway/strike_replication.py
@@ -34,9 +34,9 @@
     state: int = 0
 
     @classmethod
-    def of(cls, held: TrackedStrike) -> "StrikeRow":
+    def of(cls, tracked: TrackedStrike) -> "StrikeRow":
         """Return the row for a strike."""
-        strike = held.strike
+        strike = tracked.strike
         return cls(
             strike.fingerprint,
             strike.endpoint,
@@ -44,7 +44,7 @@
             strike.begun,
             strike.at,
             strike.witness,
-            int(held.state),
+            int(tracked.state),
         )
 
     @property
@@ -114,25 +114,25 @@
         return StrikeUpdate(
             peer.acked,
             version,
-            tuple(StrikeRow.of(held) for held in changed),
+            tuple(StrikeRow.of(tracked) for tracked in changed),
             peer.received,
             peer.received_from,
         )
 
-    def apply(self, name: str, incarnation: int, news: StrikeUpdate | None) -> None:
+    def apply(self, name: str, incarnation: int, update: StrikeUpdate | None) -> None:
         """Apply another gateway's update, and note which version it has received."""
-        if news is None:
+        if update is None:
             return
         peer = self._peer(name)
         if incarnation != peer.received_from:
             peer.received_from, peer.received = incarnation, 0
-        for row in news.rows:
+        for row in update.rows:
             # A later version of the program may send more states.
             state = StrikeState(row.state & _KNOWN_STATES)
             self._ledger.take(row.strike, state)
-        if news.since <= peer.received:
-            peer.received = max(peer.received, news.version)
-        peer.acked = news.received if news.received_from == self._incarnation else 0
+        if update.since <= peer.received:
+            peer.received = max(peer.received, update.version)
+        peer.acked = update.received if update.received_from == self._incarnation else 0
 
     def forget(self, is_gone: Callable[[str], bool]) -> None:
         """Drop the replication state for gateways that are gone for good."""
--- a/src/sassafrasdale/gateway/trials.py
+++ b/src/sassafrasdale/gateway/trials.py
@@ -55,21 +55,22 @@
         self._clock = clock
         self._queried_at: dict[str, timedelta] = {}
 
-    def try_claim(self, name: str, last_end: float, *, has_new: bool) -> bool:
+    def try_claim(self, name: str, last_crash_at: float, *, has_new: bool) -> bool:
         """Return whether this gateway may make a trial attempt of a request now.
 
         Without a response of the store it may not: another gateway might make it, too.
 
         :param name: the request's fingerprint.
-        :param last_end: when an endpoint last crashed under it, in seconds since 1970.
+        :param last_crash_at: when an endpoint last crashed under it, in seconds since
+            1970.
         :param has_new: whether there are endpoints of a version that it hasn't run on.
         """
         now = self._time.seconds
-        may_be_due = is_trial_due(0, last_end, now, has_new=has_new)
+        may_be_due = is_trial_due(0, last_crash_at, now, has_new=has_new)
         if not may_be_due or not self._may_query(name):
             return False
         try:
-            return self._claim(name, last_end, now, has_new)
+            return self._claim(name, last_crash_at, now, has_new)
         except StoreError as error:
             log.info("no trial", fingerprint=name, why=error.message)
             return False
@@ -91,23 +92,25 @@
         self._queried_at[name] = now
         return True
 
-    def _claim(self, name: str, last_end: float, now: float, has_new: bool) -> bool:
+    def _claim(
+        self, name: str, last_crash_at: float, now: float, has_new: bool
+    ) -> bool:
         key = TRIALS_PREFIX + name
-        held = self._store.get(key)
+        stored = self._store.get(key)
         record = TrialRecord()
-        if held is not None:
+        if stored is not None:
             try:
-                record = _DECODER.decode(held.value)
+                record = _DECODER.decode(stored.value)
             except DecodeError as error:
                 log.error(
                     "malformed trial record; starting a new one",
                     key=key,
                     why=str(error),
                 )
-        last = max(last_end, record.last_at)
+        last = max(last_crash_at, record.last_at)
         if not is_trial_due(record.count, last, now, has_new=has_new):
             return False
-        revision = ABSENT if held is None else held.mod_revision
+        revision = ABSENT if stored is None else stored.mod_revision
         value = _ENCODE(TrialRecord(record.count + 1, now))
         if not self._store.compare_and_swap(key, value, revision):
             return False
@@ -115,7 +118,7 @@
             "refused request tried again",
             fingerprint=name,
             trial=record.count + 1,
-            last_end_s=round(now - last_end, 1),
+            last_end_s=round(now - last_crash_at, 1),
             new_version=has_new,
         )
         return True
--- a/tests/gateway/test_crash_detection.py
+++ b/tests/gateway/test_crash_detection.py
@@ -33,11 +33,11 @@
 
 
 def test_an_endpoint_that_accepts_connections_has_not_crashed():
-    def hold(sock):
+    def read(sock):
         sock.recv(1)
 
     opened = []
-    record = record_at(serve_raw(hold), lambda: opened.append(1))
+    record = record_at(serve_raw(read), lambda: opened.append(1))
     assert not CrashDetector(CLOCK).has_crashed(record)
     record.pool.acquire()
     assert len(opened) == 1
@@ -47,12 +47,12 @@
     """Guards against a partitioned gateway that considers every endpoint crashed."""
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     address = Address(*full.getsockname())
-    kept = [socket.socket() for _ in range(4)]
-    for sock in kept:
+    connections = [socket.socket() for _ in range(4)]
+    for sock in connections:
         sock.setblocking(False)
         sock.connect_ex((address.host, address.port))
     assert not CrashDetector(CLOCK).has_crashed(record_at(address))
-    for sock in (*kept, full):
+    for sock in (*connections, full):
         sock.close()
 
 
@@ -69,19 +69,21 @@
 
 
 def test_an_endpoint_without_three_replies_is_unreachable():
-    dark = PowerLossEndpoint()
-    sock = socket.create_connection((dark.address.host, dark.address.port))
+    unreachable = PowerLossEndpoint()
+    sock = socket.create_connection(
+        (unreachable.address.host, unreachable.address.port)
+    )
     sock.sendall(b"GET / HTTP/1.1\r\n\r\n")
     sleep(timedelta(milliseconds=50))
-    record = record_at(dark.address)
+    record = record_at(unreachable.address)
     assert not CrashDetector(CLOCK).has_crashed(record)
     assert CrashDetector(CLOCK).probe_repeatedly(record) is ProbeResult.UNANSWERED
     sock.close()
-    dark.close()
+    unreachable.close()
 
 
 def test_an_endpoint_that_refuses_or_accepts_is_not_unreachable():
     refusing = record_at(refusing_address())
-    living = record_at(serve_raw(lambda sock: sock.recv(1)))
+    accepting = record_at(serve_raw(lambda sock: sock.recv(1)))
     assert CrashDetector(CLOCK).probe_repeatedly(refusing) is ProbeResult.REFUSED
-    assert CrashDetector(CLOCK).probe_repeatedly(living) is ProbeResult.OPEN
+    assert CrashDetector(CLOCK).probe_repeatedly(accepting) is ProbeResult.OPEN
--- a/tests/gateway/test_drain.py
+++ b/tests/gateway/test_drain.py
@@ -55,9 +55,9 @@
     world = World(last_end=lambda: CLOCK.elapsed() + timedelta(seconds=2))
     endpoint = ScriptedEndpoint(respond_with())
     world.add("i-1", "records", endpoint)
-    answer = world.ask(request("/reports/7", token_count="10,2"))
-    assert answer.startswith(b"HTTP/1.1 503")
-    assert float(header(answer, "retry-after")) < 0.2
+    response = world.ask(request("/reports/7", token_count="10,2"))
+    assert response.startswith(b"HTTP/1.1 503")
+    assert float(header(response, "retry-after")) < 0.2
     assert endpoint.requests == []
     assert world.ask(request("/certificates/7")).startswith(b"HTTP/1.1 200")
 
--- a/tests/gateway/test_quarantine_model.py
+++ b/tests/gateway/test_quarantine_model.py
@@ -113,13 +113,13 @@
         ledger.take(strike("crashing", len(self.crashes), at=at, witness=name))
         self._strike_innocents(len(self.crashes), at)
 
-    def _strike_innocents(self, end: int, at: float) -> None:
+    def _strike_innocents(self, crash: int, at: float) -> None:
         """Have innocent requests run at the same endpoint, and succeed elsewhere."""
         for number in range(4):
             witness = self.fleet.nodes[self.rng.choice(self.ready())]
-            name = f"innocent-{end}-{number}"
-            found = strike(name, end, begun=True, at=at, witness=witness.name)
-            witness.strikes.take(found)
+            name = f"innocent-{crash}-{number}"
+            witnessed = strike(name, crash, begun=True, at=at, witness=witness.name)
+            witness.strikes.take(witnessed)
             if self.rng.random() < 0.8:
                 self.fleet.nodes[self.rng.choice(self.ready())].strikes.clear(name)
 
@@ -159,8 +159,8 @@
     """Guards against more crashes while gateways or the store fail."""
     simulation = Simulation(seed)
     rng = simulation.rng
-    until = simulation.now + DURATION
-    while simulation.now < until:
+    deadline = simulation.now + DURATION
+    while simulation.now < deadline:
         match rng.randrange(40):
             case 0:
                 simulation.kill(*simulation.fleet.nodes)
--- a/tests/gateway/test_request_quarantine.py
+++ b/tests/gateway/test_request_quarantine.py
@@ -33,7 +33,7 @@
         self.ledger = StrikeLedger()
         time = ClusterTime(CLOCK)
         self.store = FakeStore(CLOCK)
-        self.suspects = RequestQuarantine(
+        self.quarantine = RequestQuarantine(
             "g-1",
             self.ledger,
             Trials(self.store, time, CLOCK),
@@ -45,11 +45,11 @@
             CLOCK,
             None,
             timedelta(seconds=2),
-            on_restart=self.suspects.record_crash,
-            on_expiry=self.suspects.handle_expiry,
+            on_restart=self.quarantine.record_crash,
+            on_expiry=self.quarantine.handle_expiry,
         )
 
-    def list_endpoint(self, address: Address, name: str = "i-1", **fields):
+    def register(self, address: Address, name: str = "i-1", **fields):
         self.directory.put(
             Endpoint(name, "models", address, "a", EndpointState.READY, **fields)
         )
@@ -57,7 +57,7 @@
 
     def verdict(self, request: Request = CRASHING):
         records = self.directory.of_service("models")
-        return self.suspects.check(request, "lab-a", records)
+        return self.quarantine.check(request, "lab-a", records)
 
 
 @pytest.fixture
@@ -74,15 +74,15 @@
         return Address(*listener.getsockname())
 
 
-def living_address() -> Address:
+def accepting_address() -> Address:
     return serve_raw(lambda sock: sock.recv(1))
 
 
 def test_crashes_are_strikes_against_running_requests(gateway):
     for number in range(3):
         assert not gateway.verdict().is_refused
-        record = gateway.list_endpoint(refusing_address(), f"i-{number}")
-        assert gateway.suspects.record_lost_connection(
+        record = gateway.register(refusing_address(), f"i-{number}")
+        assert gateway.quarantine.record_lost_connection(
             NAME, record, begun=False, registered=True
         )
     assert gateway.verdict().is_refused
@@ -93,9 +93,9 @@
 
 def test_a_reset_connection_is_no_strike(gateway):
     """Guards against refusing innocent requests whose connections are reset or cut."""
-    record = gateway.list_endpoint(living_address(), born=1)
+    record = gateway.register(accepting_address(), born=1)
     for _ in range(10):
-        assert not gateway.suspects.record_lost_connection(
+        assert not gateway.quarantine.record_lost_connection(
             NAME, record, begun=False, registered=True
         )
     assert len(gateway.ledger) == 0
@@ -104,8 +104,8 @@
 def test_the_stop_of_a_leaving_endpoint_is_no_strike(gateway):
     """Guards against refusing requests that ran at endpoints that were reclaimed."""
     for number in range(5):
-        record = gateway.list_endpoint(refusing_address(), f"i-{number}")
-        assert gateway.suspects.record_lost_connection(
+        record = gateway.register(refusing_address(), f"i-{number}")
+        assert gateway.quarantine.record_lost_connection(
             NAME, record, begun=False, registered=False
         )
     assert len(gateway.ledger) == 0
@@ -113,36 +113,36 @@
 
 def test_a_quick_restart_counts_as_a_crash(gateway):
     """Guards against missing a crash if the endpoint restarts quickly."""
-    address = living_address()
-    record = gateway.list_endpoint(address, born=1)
-    assert not gateway.suspects.record_lost_connection(
+    address = accepting_address()
+    record = gateway.register(address, born=1)
+    assert not gateway.quarantine.record_lost_connection(
         NAME, record, begun=False, registered=True
     )
-    gateway.list_endpoint(address, born=2)
+    gateway.register(address, born=2)
     assert len(gateway.ledger.open_strikes(NAME)) == 1
-    gateway.list_endpoint(address, born=3)
+    gateway.register(address, born=3)
     assert len(gateway.ledger.open_strikes(NAME)) == 1
 
 
-@pytest.mark.parametrize("lives", [True, False])
-def test_an_expired_registration_after_a_lost_connection_is_probed(gateway, lives):
+@pytest.mark.parametrize("is_alive", [True, False])
+def test_an_expired_registration_after_a_lost_connection_is_probed(gateway, is_alive):
     """Guards against missing a crash that the first probe did not show."""
     listener = socket.create_server(("127.0.0.1", 0))
-    record = gateway.list_endpoint(Address(*listener.getsockname()))
-    assert not gateway.suspects.record_lost_connection(
+    record = gateway.register(Address(*listener.getsockname()))
+    assert not gateway.quarantine.record_lost_connection(
         NAME, record, begun=False, registered=True
     )
-    if not lives:
+    if not is_alive:
         listener.close()
     gateway.directory.remove(record.name)
     sleep(timedelta(milliseconds=100))
-    assert len(gateway.ledger.open_strikes(NAME)) == (0 if lives else 1)
+    assert len(gateway.ledger.open_strikes(NAME)) == (0 if is_alive else 1)
     listener.close()
 
 
 def test_another_request_is_not_refused(gateway):
-    for end in range(3):
-        gateway.ledger.take(strike(NAME, end, at=now()))
+    for crash in range(3):
+        gateway.ledger.take(strike(NAME, crash, at=now()))
     other = Request("POST", "/reports/7", CRASHING.headers, b"cube 8")
     assert gateway.verdict().is_refused
     assert not gateway.verdict(other).is_refused
@@ -150,20 +150,20 @@
 
 def test_a_successful_attempt_clears_the_strikes(gateway):
     """Guards against refusing a frequent request for crashes with other causes."""
-    for end in range(2):
-        gateway.ledger.take(strike(NAME, end, at=now()))
-    gateway.suspects.record_success(CRASHING, "lab-a")
+    for crash in range(2):
+        gateway.ledger.take(strike(NAME, crash, at=now()))
+    gateway.quarantine.record_success(CRASHING, "lab-a")
     gateway.ledger.take(strike(NAME, 2, at=now()))
     assert not gateway.verdict().is_refused
 
 
 def test_a_new_version_gets_one_trial_and_the_old_one_none(gateway):
     """Guards against refusals for good, and against more crashes of old versions."""
-    old = gateway.list_endpoint(living_address(), "i-old", version="v1")
-    for end in range(3):
-        gateway.ledger.take(strike(NAME, end, at=now() - 100))
+    old = gateway.register(accepting_address(), "i-old", version="v1")
+    for crash in range(3):
+        gateway.ledger.take(strike(NAME, crash, at=now() - 100))
     assert gateway.verdict().is_refused
-    gateway.list_endpoint(living_address(), "i-new", version="v2")
+    gateway.register(accepting_address(), "i-new", version="v2")
     verdict = gateway.verdict()
     assert not verdict.is_refused
     assert verdict.avoided == {old.name}
@@ -171,13 +171,13 @@
 
 
 def test_an_operator_can_list_and_release_requests(gateway):
-    for end in range(3):
-        gateway.ledger.take(strike(NAME, end, at=now()))
-    gateway.suspects.log_changes()
-    shown = gateway.suspects.describe()
+    for crash in range(3):
+        gateway.ledger.take(strike(NAME, crash, at=now()))
+    gateway.quarantine.log_changes()
+    shown = gateway.quarantine.describe()
     assert [(row["fingerprint"], row["quarantined"]) for row in shown] == [(NAME, True)]
-    assert {end["endpoint"] for end in shown[0]["ends"]} == {"i-0", "i-1", "i-2"}
-    assert gateway.suspects.release(NAME)
-    assert not gateway.suspects.release(NAME)
+    assert {crash["endpoint"] for crash in shown[0]["ends"]} == {"i-0", "i-1", "i-2"}
+    assert gateway.quarantine.release(NAME)
+    assert not gateway.quarantine.release(NAME)
     assert not gateway.verdict().is_refused
-    assert gateway.suspects.describe() == []
+    assert gateway.quarantine.describe() == []
--- a/tests/gateway/test_strike_records.py
+++ b/tests/gateway/test_strike_records.py
@@ -32,11 +32,11 @@
     """One gateway's strikes and the task that stores them."""
 
     def __init__(
-        self, store: FakeStore, name: str = "g-1", most: int = MAX_STRIKES
+        self, store: FakeStore, name: str = "g-1", max_strikes: int = MAX_STRIKES
     ) -> None:
         self.store = store
         self.clock = store.clock
-        self.ledger = StrikeLedger(most)
+        self.ledger = StrikeLedger(max_strikes)
         self.peering = Peering()
         self.time = ClusterTime(self.clock)
         self.trials = Trials(store, self.time, self.clock)
@@ -52,10 +52,12 @@
             Random(1),
         )
 
-    def strike(self, *ends: int, name: str = "crashing", witness: str = "g-1") -> None:
-        for end in ends:
+    def strike(
+        self, *crashes: int, name: str = "crashing", witness: str = "g-1"
+    ) -> None:
+        for crash in crashes:
             at = self.time.seconds
-            self.ledger.take(strike(name, end, at=at, witness=witness))
+            self.ledger.take(strike(name, crash, at=at, witness=witness))
 
 
 @pytest.fixture
@@ -182,7 +184,7 @@
 
 def test_strikes_that_the_ledger_drops_are_deleted(store):
     """Guards against a store that fills up with the strikes of new requests."""
-    gateway = Gateway(store, most=60)
+    gateway = Gateway(store, max_strikes=60)
     for number in range(200):
         gateway.strike(1, 2, name=f"crashing-{number}")
         gateway.records.step()
--- a/tests/gateway/test_strike_replication.py
+++ b/tests/gateway/test_strike_replication.py
@@ -23,7 +23,7 @@
         self.name = name
         self.incarnation = incarnation
         self.ledger = StrikeLedger()
-        self.links = StrikeReplicator(self.ledger, incarnation)
+        self.replicator = StrikeReplicator(self.ledger, incarnation)
 
     @property
     def known(self) -> set[tuple[str, str, StrikeState]]:
@@ -35,9 +35,9 @@
 
     def send_to(self, other: "Node") -> int:
         """Send an update to another gateway, and return the number of its rows."""
-        news = self.links.update_for(other.name)
-        other.links.apply(self.name, self.incarnation, news)
-        return len(news.rows)
+        update = self.replicator.update_for(other.name)
+        other.replicator.apply(self.name, self.incarnation, update)
+        return len(update.rows)
 
 
 def exchange(a: Node, b: Node) -> int:
@@ -71,7 +71,7 @@
     """Guards against a strike that only one gateway ever knows."""
     a, b = nodes
     a.strike(1)
-    a.links.update_for("b")
+    a.replicator.update_for("b")
     exchange(a, b)
     assert a.known == b.known != set()
 
@@ -114,7 +114,7 @@
 def test_an_unknown_state_is_ignored(nodes):
     a, b = nodes
     row = StrikeRow("x", "i-1", "v1", False, 0.0, "a", state=64 | 2)
-    b.links.apply("a", 1, StrikeUpdate(0, 1, (row,), 0, 0))
+    b.replicator.apply("a", 1, StrikeUpdate(0, 1, (row,), 0, 0))
     assert not b.ledger.open_strikes("x")
 
 
@@ -147,7 +147,7 @@
                 nodes[number] = Node(old.name, old.incarnation + 1)
             case 3:
                 one, other = rng.sample(nodes, 2)
-                one.links.update_for(other.name)
+                one.replicator.update_for(other.name)
             case _:
                 one, other = rng.sample(nodes, 2)
                 one.send_to(other)
--- a/tests/gateway/test_trials.py
+++ b/tests/gateway/test_trials.py
@@ -23,12 +23,12 @@
         self.trials = [
             Trials(self.store, self.time, self.clock) for _ in range(gateways)
         ]
-        self.last_end = self.time.seconds
+        self.last_crash_at = self.time.seconds
 
     def claims(self, *, has_new: bool = True) -> int:
         """Return how many gateways may make a trial attempt now."""
         return sum(
-            trials.try_claim("crashing", self.last_end, has_new=has_new)
+            trials.try_claim("crashing", self.last_crash_at, has_new=has_new)
             for trials in self.trials
         )
 
