--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -28,7 +28,7 @@
     AttemptOutcome,
     reason_of,
 )
-from sassafrasdale.gateway.fingerprints import fingerprint
+from sassafrasdale.gateway.fingerprints import fingerprint_of
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.request_quarantine import RequestQuarantine
 from sassafrasdale.http.connections import HttpConnection
@@ -115,7 +115,7 @@
         self._events_before_attempt = 0
         self._may_have_run = False
         self._splitter = EventSplitter(admitted.traits.resume_after)
-        self._first_at: timedelta | None = None
+        self._first_byte_at: timedelta | None = None
         self._last_failure = ""
         self._endpoint: str | None = None
         self._last_attempt: Attempt | None = None
@@ -138,9 +138,9 @@
     @property
     def first_byte_after(self) -> timedelta | None:
         """Time to the first byte of a response; None if there was none."""
-        if self._first_at is None:
+        if self._first_byte_at is None:
             return None
-        return self._first_at - self._admitted.received_at
+        return self._first_byte_at - self._admitted.received_at
 
     def run(self) -> int:
         """Respond to the caller and return the status.
@@ -333,8 +333,8 @@
         self, attempt: Attempt, *, is_prefilled: bool = True
     ) -> None:
         self._fleet.record_first_token(attempt, is_prefilled=is_prefilled)
-        if self._first_at is None:
-            self._first_at = self._clock.elapsed()
+        if self._first_byte_at is None:
+            self._first_byte_at = self._clock.elapsed()
             self._fleet.count_usage(self._admitted.customer)
 
     def _record_failure(self, attempt: Attempt, failure: AttemptFailed) -> None:
@@ -379,7 +379,7 @@
 
     @cached_property
     def _fingerprint(self) -> str:
-        return fingerprint(self._admitted.request, self._admitted.customer_name)
+        return fingerprint_of(self._admitted.request, self._admitted.customer_name)
 
     def _may_retry_status(self) -> bool:
         """Return whether a 5xx response may be retried at another endpoint."""
--- a/src/sassafrasdale/gateway/fingerprints.py
+++ b/src/sassafrasdale/gateway/fingerprints.py
@@ -9,7 +9,7 @@
 DIGEST_BYTES = 12
 
 
-def fingerprint(request: Request, customer: str) -> str:
+def fingerprint_of(request: Request, customer: str) -> str:
     """Return a digest of the customer, the method, host and path, and the body.
 
     Other headers don't count: request ids, deadlines and the like differ between
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -118,7 +118,7 @@
         finally:
             record.attempts = exchange.attempts
             record.endpoint = exchange.endpoint
-            record.first_after = exchange.first_byte_after
+            record.first_byte_after = exchange.first_byte_after
             record.last_attempt = exchange.last_attempt
 
     def _admit(self, request: Request, record: "_AccessRecord") -> AdmittedRequest:
@@ -222,7 +222,7 @@
         )
         if record.service is not None:
             self._metrics.request_ended(record.service, record.outcome, took)
-        first = record.first_after
+        first = record.first_byte_after
         attempt = record.last_attempt
         log.info(
             "request ended",
@@ -260,7 +260,7 @@
         self.endpoint: str | None = None
         self.version = 0
         self.attempts = 0
-        self.first_after: timedelta | None = None
+        self.first_byte_after: timedelta | None = None
         self.limit: str | None = None
         self.fingerprint: str | None = None
         self.last_attempt: Attempt | None = None
--- a/src/sassafrasdale/gateway/request_quarantine.py
+++ b/src/sassafrasdale/gateway/request_quarantine.py
@@ -18,7 +18,7 @@
 )
 from sassafrasdale.gateway.crash_detection import CrashDetector
 from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.fingerprints import fingerprint
+from sassafrasdale.gateway.fingerprints import fingerprint_of
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import spawn
@@ -106,32 +106,32 @@
         """
         if not self._ledger.quarantined:
             return NO_RESTRICTION
-        name = fingerprint(request, customer)
-        if name not in self._ledger.quarantined:
-            return Verdict(name)
-        strikes = self._ledger.open_strikes(name)
+        fingerprint = fingerprint_of(request, customer)
+        if fingerprint not in self._ledger.quarantined:
+            return Verdict(fingerprint)
+        strikes = self._ledger.open_strikes(fingerprint)
         tried_versions = {tracked.strike.version for tracked in strikes}
         versions = {record.name: record.endpoint.version for record in endpoints}
         scope = trial_scope(tried_versions, versions)
         if self._trials.try_claim(
-            name, strikes[-1].strike.at, has_new=scope.has_new_version
+            fingerprint, strikes[-1].strike.at, has_new=scope.has_new_version
         ):
-            return Verdict(name, avoided=scope.excluded_endpoints)
+            return Verdict(fingerprint, avoided=scope.excluded_endpoints)
         self._count("quarantined request refused")
-        return Verdict(name, is_refused=True)
+        return Verdict(fingerprint, is_refused=True)
 
     def record_lost_connection(
-        self, name: str, record: EndpointRecord, *, begun: bool, registered: bool
+        self, fingerprint: str, record: EndpointRecord, *, begun: bool, registered: bool
     ) -> bool:
         """Record a lost connection and return whether the endpoint has crashed.
 
         A leaving endpoint stops as planned, whatever it runs, so that is no strike.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: of the request.
         :param begun: whether the endpoint had produced events for it.
         :param registered: whether the endpoint is registered as ready.
         """
-        run = LostRun(name, record.name, record.endpoint.version, begun)
+        run = LostRun(fingerprint, record.name, record.endpoint.version, begun)
         now = self._clock.elapsed()
         has_crashed = record.is_unreachable or self._crash_detector.has_crashed(record)
         if not registered and not record.is_unreachable:
@@ -186,32 +186,34 @@
         """Clear a request's strikes as an endpoint has completed it."""
         if not len(self._ledger):
             return
-        name = fingerprint(request, customer)
-        if self._ledger.clear(name):
-            log.info("strikes cleared", fingerprint=name, why="answered")
+        fingerprint = fingerprint_of(request, customer)
+        if self._ledger.clear(fingerprint):
+            log.info("strikes cleared", fingerprint=fingerprint, why="answered")
             self.log_changes()
 
-    def release(self, name: str) -> bool:
+    def release(self, fingerprint: str) -> bool:
         """Release a request from quarantine, as an operator asks."""
-        released = self._ledger.clear(name)
+        released = self._ledger.clear(fingerprint)
         if released:
-            log.notice("strikes cleared", fingerprint=name, why="lifted by an operator")
+            log.notice(
+                "strikes cleared", fingerprint=fingerprint, why="lifted by an operator"
+            )
             self.log_changes()
         return released
 
-    def may_retry(self, name: str) -> bool:
+    def may_retry(self, fingerprint: str) -> bool:
         """Return whether a request may be retried at another endpoint."""
-        return self._ledger.may_retry(name)
+        return self._ledger.may_retry(fingerprint)
 
     def log_changes(self) -> None:
         """Log which requests have entered or left quarantine."""
         now = self._ledger.quarantined
-        for name in sorted(now - self._quarantined):
+        for fingerprint in sorted(now - self._quarantined):
             self._count("request quarantined")
-            ends = self._describe_strikes(self._ledger.open_strikes(name))
-            log.warning("request quarantined", fingerprint=name, ends=ends)
-        for name in sorted(self._quarantined - now):
-            log.notice("quarantine ended", fingerprint=name)
+            ends = self._describe_strikes(self._ledger.open_strikes(fingerprint))
+            log.warning("request quarantined", fingerprint=fingerprint, ends=ends)
+        for fingerprint in sorted(self._quarantined - now):
+            log.notice("quarantine ended", fingerprint=fingerprint)
         self._quarantined = now
 
     def describe(self) -> list[dict[str, object]]:
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -111,10 +111,10 @@
         due = self._due()
         for tracked in due:
             self._update_store(tracked)
-        for name in {
+        for fingerprint in {
             tracked.strike.fingerprint for tracked in due if not tracked.is_open
         }:
-            self._trials.forget(name)
+            self._trials.forget(fingerprint)
         dropped = self._dropped()
         for tracked in dropped:
             self._store.delete(_key(tracked.strike))
@@ -173,9 +173,9 @@
     def _clear_expired(self, strikes: list[TrackedStrike]) -> None:
         newest = max(tracked.strike.at for tracked in strikes)
         if self._age(newest) > MAX_AGE and any(tracked.is_open for tracked in strikes):
-            name = strikes[0].strike.fingerprint
-            self._ledger.clear(name)
-            log.info("strikes cleared", fingerprint=name, why="too old")
+            fingerprint = strikes[0].strike.fingerprint
+            self._ledger.clear(fingerprint)
+            log.info("strikes cleared", fingerprint=fingerprint, why="too old")
 
     def _is_responsible(self, tracked: TrackedStrike) -> bool:
         if tracked.strike.witness == self._name:
@@ -188,16 +188,16 @@
 
     def _update_store(self, tracked: TrackedStrike) -> None:
         strike = tracked.strike
-        name = strike.fingerprint
+        fingerprint = strike.fingerprint
         key = _key(strike)
         if tracked.is_open:
             self._store.create(key, _ENCODE(StrikeRow.of(tracked)))
             self._ledger.take(strike, StrikeState.STORED)
-            log.info("strike stored", fingerprint=name, endpoint=strike.endpoint)
+            log.info("strike stored", fingerprint=fingerprint, endpoint=strike.endpoint)
             return
         self._store.delete(key)
         self._ledger.take(strike, StrikeState.UNSTORED)
-        log.info("strike removed", fingerprint=name, endpoint=strike.endpoint)
+        log.info("strike removed", fingerprint=fingerprint, endpoint=strike.endpoint)
 
 
 def _key(strike: Strike) -> str:
--- a/src/sassafrasdale/gateway/trials.py
+++ b/src/sassafrasdale/gateway/trials.py
@@ -55,47 +55,49 @@
         self._clock = clock
         self._queried_at: dict[str, timedelta] = {}
 
-    def try_claim(self, name: str, last_crash_at: float, *, has_new: bool) -> bool:
+    def try_claim(
+        self, fingerprint: str, last_crash_at: float, *, has_new: bool
+    ) -> bool:
         """Return whether this gateway may make a trial attempt of a request now.
 
         Without a response of the store it may not: another gateway might make it, too.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: of the request.
         :param last_crash_at: when an endpoint last crashed under it, in seconds since
             1970.
         :param has_new: whether there are endpoints of a version that it hasn't run on.
         """
         now = self._time.seconds
         may_be_due = is_trial_due(0, last_crash_at, now, has_new=has_new)
-        if not may_be_due or not self._may_query(name):
+        if not may_be_due or not self._may_query(fingerprint):
             return False
         try:
-            return self._claim(name, last_crash_at, now, has_new)
+            return self._claim(fingerprint, last_crash_at, now, has_new)
         except StoreError as error:
-            log.info("no trial", fingerprint=name, why=error.message)
+            log.info("no trial", fingerprint=fingerprint, why=error.message)
             return False
 
-    def forget(self, name: str) -> None:
+    def forget(self, fingerprint: str) -> None:
         """Delete a request's trial record from the store.
 
         :raises StoreError: if the store doesn't respond.
         """
-        self._store.delete(TRIALS_PREFIX + name)
+        self._store.delete(TRIALS_PREFIX + fingerprint)
 
-    def _may_query(self, name: str) -> bool:
+    def _may_query(self, fingerprint: str) -> bool:
         now = self._clock.elapsed()
-        queried_at = self._queried_at.get(name)
+        queried_at = self._queried_at.get(fingerprint)
         if queried_at is not None and now - queried_at < MIN_QUERY_INTERVAL:
             return False
         if len(self._queried_at) >= MAX_TRACKED:
             del self._queried_at[min(self._queried_at, key=self._queried_at.get)]
-        self._queried_at[name] = now
+        self._queried_at[fingerprint] = now
         return True
 
     def _claim(
-        self, name: str, last_crash_at: float, now: float, has_new: bool
+        self, fingerprint: str, last_crash_at: float, now: float, has_new: bool
     ) -> bool:
-        key = TRIALS_PREFIX + name
+        key = TRIALS_PREFIX + fingerprint
         stored = self._store.get(key)
         record = TrialRecord()
         if stored is not None:
@@ -116,7 +118,7 @@
             return False
         log.notice(
             "refused request tried again",
-            fingerprint=name,
+            fingerprint=fingerprint,
             trial=record.count + 1,
             last_end_s=round(now - last_crash_at, 1),
             new_version=has_new,
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -176,9 +176,9 @@
 def test_a_refused_connection_counts_as_no_attempt():
     world = World()
     address = serve_raw(hang)
-    gone = ScriptedEndpoint(respond_with())
-    gone.address = type(address)("127.0.0.1", 1)
-    world.add("i-1", "records", gone)
+    refusing = ScriptedEndpoint(respond_with())
+    refusing.address = type(address)("127.0.0.1", 1)
+    world.add("i-1", "records", refusing)
     world.add("i-2", "records", ScriptedEndpoint(respond_with(b"record")))
     for number in range(4):
         assert status_of(world.ask(request("/certificates/7", f"r-{number}"))) == 200
@@ -303,8 +303,8 @@
         "sassafrasdale.gateway.exchange.STREAM_IDLE_TIMEOUT", timedelta(milliseconds=50)
     )
     world = World(routes=_only_reports())
-    silent = ScriptedEndpoint(pausing(0, 5))
-    world.add("i-0", "models", silent)
+    unresponsive = ScriptedEndpoint(pausing(0, 5))
+    world.add("i-0", "models", unresponsive)
     caller = world.caller()
     caller.send(request("/reports/7", **STREAM))
     world.add("i-1", "models", ScriptedEndpoint(streamed(2, 3)))
@@ -389,12 +389,12 @@
     One of two endpoints reads requests and closes the connection without a response.
     """
     world = World()
-    dead = ScriptedEndpoint(reset)
-    world.add("i-1", "records", dead)
+    failing = ScriptedEndpoint(reset)
+    world.add("i-1", "records", failing)
     world.add("i-2", "records", ScriptedEndpoint(respond_with()))
     for number in range(20):
         world.ask(request("/certificates/7", f"r-{number}"))
-    assert len(dead.requests) <= 2
+    assert len(failing.requests) <= 2
 
 
 def test_error_responses_are_no_prefill_samples():
@@ -508,25 +508,25 @@
     reset, and new ones get no reply. Its registration expires.
     """
     world = World(routes=_only_reports())
-    silent = PowerLossEndpoint()
-    world.add("i-1", "models", silent)
+    unresponsive = PowerLossEndpoint()
+    world.add("i-1", "models", unresponsive)
     caller = world.caller()
     caller.send(request("/reports/7", **STREAM))
-    wait_for(lambda: silent.requests, "the request was not sent")
+    wait_for(lambda: unresponsive.requests, "the request was not sent")
     world.add("i-2", "models", ScriptedEndpoint(streamed(1, 2)))
     began_at = CLOCK.elapsed()
     world.directory.remove("i-1")
     response = caller.read()
     assert status_of(response) == 200
     assert CLOCK.elapsed() - began_at < timedelta(seconds=3)
-    silent.close()
+    unresponsive.close()
 
 
 def test_a_request_that_makes_endpoints_unreachable_is_quarantined():
     """Guards against losing one instance, without a reset, per retry by the caller."""
     world = World(routes=_only_reports(allowResume=False))
-    silent = [PowerLossEndpoint() for _ in range(3)]
-    for number, endpoint in enumerate(silent):
+    unresponsive = [PowerLossEndpoint() for _ in range(3)]
+    for number, endpoint in enumerate(unresponsive):
         world.add(f"i-{number}", "models", endpoint)
         caller = world.caller()
         caller.send(request("/reports/7", f"r-{number}", **STREAM))
@@ -535,7 +535,7 @@
         assert status_of(caller.read()) == 502
     world.add("i-3", "models", ScriptedEndpoint(streamed(1, 2)))
     assert status_of(world.ask(request("/reports/7", "r-4", **STREAM))) == 503
-    for endpoint in silent:
+    for endpoint in unresponsive:
         endpoint.close()
 
 
@@ -555,19 +555,19 @@
 def test_a_crashed_endpoint_is_used_again_after_its_restart():
     """Guards against requests sent to a crashed endpoint, or none after its restart."""
     world = World(routes=_only_reports(allowResume=False))
-    dead = CrashingEndpoint()
-    world.add("i-1", "models", dead)
+    crashing = CrashingEndpoint()
+    world.add("i-1", "models", crashing)
     world.ask(request("/reports/7", "r-crash", **STREAM))
     spare = ScriptedEndpoint(streamed(1, 2))
     world.add("i-2", "models", spare)
     for number in range(10):
         response = world.ask(request(f"/reports/{number}", f"r-{number}", **STREAM))
         assert status_of(response) == 200
-    back = ScriptedEndpoint(streamed(1, 2))
-    entry = world.directory.records["i-1"].endpoint
-    world.directory.put(replace(entry, born=1))
-    world.directory.put(replace(entry, born=2, address=back.address))
+    restarted = ScriptedEndpoint(streamed(1, 2))
+    registration = world.directory.records["i-1"].endpoint
+    world.directory.put(replace(registration, born=1))
+    world.directory.put(replace(registration, born=2, address=restarted.address))
     for number in range(10):
         traits = {"token_count": "100,20", "prompt_prefix": f"p{number}:60,bb:40"}
         world.ask(request(f"/reports/{number}", f"r-{number}", **traits))
-    assert back.requests
+    assert restarted.requests
--- a/tests/gateway/test_fingerprints.py
+++ b/tests/gateway/test_fingerprints.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from sassafrasdale.gateway.fingerprints import fingerprint
+from sassafrasdale.gateway.fingerprints import fingerprint_of
 from sassafrasdale.http.messages import Request
 
 HEADERS = (("host", "labs.example"), ("request-id", "r-1"), ("deadline-ms", "900"))
@@ -12,7 +12,7 @@
 def test_a_retry_has_the_same_fingerprint():
     headers = (("host", "labs.example"), ("request-id", "r-2"), ("deadline-ms", "400"))
     again = Request("POST", "/reports/7", headers, b"cube 7")
-    assert fingerprint(again, "lab-a") == fingerprint(FIRST, "lab-a")
+    assert fingerprint_of(again, "lab-a") == fingerprint_of(FIRST, "lab-a")
 
 
 @pytest.mark.parametrize(
@@ -28,4 +28,4 @@
     ],
 )
 def test_different_requests_have_different_fingerprints(request_, customer):
-    assert fingerprint(request_, customer) != fingerprint(FIRST, "lab-a")
+    assert fingerprint_of(request_, customer) != fingerprint_of(FIRST, "lab-a")
--- a/tests/gateway/test_request_quarantine.py
+++ b/tests/gateway/test_request_quarantine.py
@@ -9,7 +9,7 @@
 from sassafrasdale.decisions.quarantine import StrikeLedger
 from sassafrasdale.deployment import Endpoint, EndpointState
 from sassafrasdale.gateway.directory import Directory
-from sassafrasdale.gateway.fingerprints import fingerprint
+from sassafrasdale.gateway.fingerprints import fingerprint_of
 from sassafrasdale.gateway.request_quarantine import RequestQuarantine
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import ClusterTime
@@ -22,7 +22,7 @@
 
 CLOCK = SystemClock()
 CRASHING = Request("POST", "/reports/7", (("host", "labs.example"),), b"crash")
-NAME = fingerprint(CRASHING, "lab-a")
+FINGERPRINT = fingerprint_of(CRASHING, "lab-a")
 
 
 class Gateway:
@@ -83,10 +83,10 @@
         assert not gateway.verdict().is_refused
         record = gateway.register(refusing_address(), f"i-{number}")
         assert gateway.quarantine.record_lost_connection(
-            NAME, record, begun=False, registered=True
+            FINGERPRINT, record, begun=False, registered=True
         )
     assert gateway.verdict().is_refused
-    assert gateway.verdict().fingerprint == NAME
+    assert gateway.verdict().fingerprint == FINGERPRINT
     assert gateway.events.count("endpoint ended under a request") == 3
     assert gateway.events.count("request quarantined") == 1
 
@@ -96,7 +96,7 @@
     record = gateway.register(accepting_address(), born=1)
     for _ in range(10):
         assert not gateway.quarantine.record_lost_connection(
-            NAME, record, begun=False, registered=True
+            FINGERPRINT, record, begun=False, registered=True
         )
     assert len(gateway.ledger) == 0
 
@@ -106,7 +106,7 @@
     for number in range(5):
         record = gateway.register(refusing_address(), f"i-{number}")
         assert gateway.quarantine.record_lost_connection(
-            NAME, record, begun=False, registered=False
+            FINGERPRINT, record, begun=False, registered=False
         )
     assert len(gateway.ledger) == 0
 
@@ -116,12 +116,12 @@
     address = accepting_address()
     record = gateway.register(address, born=1)
     assert not gateway.quarantine.record_lost_connection(
-        NAME, record, begun=False, registered=True
+        FINGERPRINT, record, begun=False, registered=True
     )
     gateway.register(address, born=2)
-    assert len(gateway.ledger.open_strikes(NAME)) == 1
+    assert len(gateway.ledger.open_strikes(FINGERPRINT)) == 1
     gateway.register(address, born=3)
-    assert len(gateway.ledger.open_strikes(NAME)) == 1
+    assert len(gateway.ledger.open_strikes(FINGERPRINT)) == 1
 
 
 @pytest.mark.parametrize("is_alive", [True, False])
@@ -130,19 +130,19 @@
     listener = socket.create_server(("127.0.0.1", 0))
     record = gateway.register(Address(*listener.getsockname()))
     assert not gateway.quarantine.record_lost_connection(
-        NAME, record, begun=False, registered=True
+        FINGERPRINT, record, begun=False, registered=True
     )
     if not is_alive:
         listener.close()
     gateway.directory.remove(record.name)
     sleep(timedelta(milliseconds=100))
-    assert len(gateway.ledger.open_strikes(NAME)) == (0 if is_alive else 1)
+    assert len(gateway.ledger.open_strikes(FINGERPRINT)) == (0 if is_alive else 1)
     listener.close()
 
 
 def test_another_request_is_not_refused(gateway):
     for crash in range(3):
-        gateway.ledger.take(strike(NAME, crash, at=now()))
+        gateway.ledger.take(strike(FINGERPRINT, crash, at=now()))
     other = Request("POST", "/reports/7", CRASHING.headers, b"cube 8")
     assert gateway.verdict().is_refused
     assert not gateway.verdict(other).is_refused
@@ -151,9 +151,9 @@
 def test_a_successful_attempt_clears_the_strikes(gateway):
     """Guards against refusing a frequent request for crashes with other causes."""
     for crash in range(2):
-        gateway.ledger.take(strike(NAME, crash, at=now()))
+        gateway.ledger.take(strike(FINGERPRINT, crash, at=now()))
     gateway.quarantine.record_success(CRASHING, "lab-a")
-    gateway.ledger.take(strike(NAME, 2, at=now()))
+    gateway.ledger.take(strike(FINGERPRINT, 2, at=now()))
     assert not gateway.verdict().is_refused
 
 
@@ -161,7 +161,7 @@
     """Guards against refusals for good, and against more crashes of old versions."""
     old = gateway.register(accepting_address(), "i-old", version="v1")
     for crash in range(3):
-        gateway.ledger.take(strike(NAME, crash, at=now() - 100))
+        gateway.ledger.take(strike(FINGERPRINT, crash, at=now() - 100))
     assert gateway.verdict().is_refused
     gateway.register(accepting_address(), "i-new", version="v2")
     verdict = gateway.verdict()
@@ -172,12 +172,14 @@
 
 def test_an_operator_can_list_and_release_requests(gateway):
     for crash in range(3):
-        gateway.ledger.take(strike(NAME, crash, at=now()))
+        gateway.ledger.take(strike(FINGERPRINT, crash, at=now()))
     gateway.quarantine.log_changes()
     shown = gateway.quarantine.describe()
-    assert [(row["fingerprint"], row["quarantined"]) for row in shown] == [(NAME, True)]
+    assert [(row["fingerprint"], row["quarantined"]) for row in shown] == [
+        (FINGERPRINT, True)
+    ]
     assert {crash["endpoint"] for crash in shown[0]["ends"]} == {"i-0", "i-1", "i-2"}
-    assert gateway.quarantine.release(NAME)
-    assert not gateway.quarantine.release(NAME)
+    assert gateway.quarantine.release(FINGERPRINT)
+    assert not gateway.quarantine.release(FINGERPRINT)
     assert not gateway.verdict().is_refused
     assert gateway.quarantine.describe() == []
