--- a/src/sassafrasdale/gateway/dispatcher_messages.py
+++ b/src/sassafrasdale/gateway/dispatcher_messages.py
@@ -12,7 +12,7 @@
 class AttemptResult(IntEnum):
     """How an attempt ended, for the endpoint's health."""
 
-    ANSWERED = 0
+    SUCCEEDED = 0
     FAILED = 1
     # Refused, or the caller disconnected: no evidence of the endpoint's health.
     NEUTRAL = 2
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -420,7 +420,7 @@
             return
         self._directory.health_of(record.endpoint.service).observe(
             record.name,
-            ok=result is AttemptResult.ANSWERED,
+            ok=result is AttemptResult.SUCCEEDED,
             now=self._clock.elapsed(),
             weight=NO_RESPONSE_WEIGHT if result is AttemptResult.FAILED else 1,
         )
@@ -438,7 +438,7 @@
 
         :param gaps: times between its events.
         """
-        attempt.result = AttemptResult.ANSWERED
+        attempt.result = AttemptResult.SUCCEEDED
         self._rollouts.note_end(attempt.record, attempt.route, ok=True)
         attempt.gap = low_gap(gaps)
         if attempt.gap is not None:
--- a/src/sassafrasdale/gateway/placement.py
+++ b/src/sassafrasdale/gateway/placement.py
@@ -19,7 +19,8 @@
 
 # Time that each running request on an engine adds to another's.
 RUNNING_REQUEST_TIME = timedelta(milliseconds=2)
-# Time that a request takes at a plain endpoint while it has free slots.
+# Time that a request takes at a plain endpoint, one that is no engine, while it has
+# free slots.
 PLAIN_REQUEST_TIME = timedelta(milliseconds=20)
 # Penalty for an endpoint in another availability zone: the network round trip and the
 # price of the traffic.
--- a/src/sassafrasdale/gateway/prefill_times.py
+++ b/src/sassafrasdale/gateway/prefill_times.py
@@ -35,7 +35,7 @@
 
         One of two hundred gateways gets a long prompt about once a second, and needs
         eight of them for a measurement. The initial estimate may be wrong by half, and
-        so would be the loads and the ordered capacity that are based on it.
+        so would be the loads and the orders for capacity that are based on it.
         """
         reported = self._reported(service)
         speed = self._speed(service)
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -40,7 +40,6 @@
 # Strikes are dropped after this time: the request was not sent again since, or only
 # refused.
 MAX_AGE = timedelta(hours=24)
-
 # Interval of full checks while the ledger doesn't change.
 FULL_CHECK_INTERVAL = timedelta(minutes=1)
 
--- a/tests/gateway/test_dispatcher_client.py
+++ b/tests/gateway/test_dispatcher_client.py
@@ -50,7 +50,7 @@
     sleep(MAX_REPORT_INTERVAL + SOON)
     gateway.client.add_attempt(1, lambda: None)
     gateway.client.record_first_token(1, timedelta())
-    gateway.client.record_end(1, AttemptResult.ANSWERED)
+    gateway.client.record_end(1, AttemptResult.SUCCEEDED)
     sleep(SOON)
     (report,) = gateway.reports
     assert len(report.first) == len(report.ended) == 1
