--- a/src/sassafrasdale/gateway/dispatcher_messages.py
+++ b/src/sassafrasdale/gateway/dispatcher_messages.py
@@ -12,7 +12,7 @@
 class AttemptResult(IntEnum):
     """How an attempt ended, for the endpoint's health."""
 
-    ANSWERED = 0
+    SUCCEEDED = 0
     FAILED = 1
     # Refused, or the caller disconnected: no evidence of the endpoint's health.
     NEUTRAL = 2
@@ -63,7 +63,7 @@
     """The endpoint for an attempt, which counts as in progress there from now on.
 
     :param source: engine from which it fetches the KV cache of shared prompt parts.
-    :param unread_tokens: prompt tokens that it has yet to prefill.
+    :param prefill_tokens: prompt tokens that it has yet to prefill.
     :param queued_tokens: prefill tokens ahead of them.
     """
 
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -79,10 +79,10 @@
     def handle(self, caller: ServerConnection, request: Request) -> None:
         """Handle one request; errors become responses and are never raised."""
         with request_context(request.header(REQUEST_ID) or "none"):
-            began = self._clock.elapsed()
+            began_at = self._clock.elapsed()
             record = _AccessRecord()
             try:
-                self._answer(caller, request, record)
+                self._run_request(caller, request, record)
             except RequestRefused as refusal:
                 self._refuse(caller, refusal, record)
             except StreamBrokenOff as error:
@@ -98,9 +98,9 @@
                 else:
                     caller.answer(500)
             finally:
-                self._log_end(record, self._clock.elapsed() - began)
+                self._log_end(record, self._clock.elapsed() - began_at)
 
-    def _answer(
+    def _run_request(
         self, caller: ServerConnection, request: Request, record: "_AccessRecord"
     ) -> None:
         admitted = self._admit(request, record)
@@ -118,7 +118,7 @@
         finally:
             record.attempts = exchange.attempts
             record.endpoint = exchange.endpoint
-            record.first_after = exchange.first_byte_after
+            record.first_byte_after = exchange.first_byte_after
             record.last_attempt = exchange.last_attempt
 
     def _admit(self, request: Request, record: "_AccessRecord") -> AdmittedRequest:
@@ -146,11 +146,11 @@
         avoided = self._check_quarantine(request, customer, service, record)
         if customer is not None:
             record.customer = customer.name
-            pause = self._quotas.admit(customer, traits)
-            if pause is not None:
+            retry_after = self._quotas.admit(customer, traits)
+            if retry_after is not None:
                 record.limit = self._quotas.explain(customer)
                 raise RequestRefused(
-                    429, "over the customer's limit", retry_after=pause
+                    429, "over the customer's limit", retry_after=retry_after
                 )
         record.service = service
         self._metrics.request_began(service)
@@ -222,7 +222,7 @@
         )
         if record.service is not None:
             self._metrics.request_ended(record.service, record.outcome, took)
-        first = record.first_after
+        first = record.first_byte_after
         attempt = record.last_attempt
         log.info(
             "request ended",
@@ -260,7 +260,7 @@
         self.endpoint: str | None = None
         self.version = 0
         self.attempts = 0
-        self.first_after: timedelta | None = None
+        self.first_byte_after: timedelta | None = None
         self.limit: str | None = None
         self.fingerprint: str | None = None
         self.last_attempt: Attempt | None = None
--- a/src/sassafrasdale/gateway/request_quarantine.py
+++ b/src/sassafrasdale/gateway/request_quarantine.py
@@ -1,4 +1,7 @@
-"""Quarantine of requests under which endpoints have crashed."""
+"""Quarantine of requests under which endpoints have crashed.
+
+Each such crash is recorded as a strike against the request.
+"""
 
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
@@ -15,7 +18,7 @@
 )
 from sassafrasdale.gateway.crash_detection import CrashDetector
 from sassafrasdale.gateway.directory import EndpointRecord
-from sassafrasdale.gateway.fingerprints import fingerprint
+from sassafrasdale.gateway.fingerprints import fingerprint_of
 from sassafrasdale.gateway.trials import Trials
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.green import spawn
@@ -24,10 +27,12 @@
 
 log = Logger("suspects")
 
-# The directory shows a crash within seconds: the registration expires, or shows a later
-# start time.
+# Longest time after a lost connection in which a crash of the endpoint is taken as its
+# cause. The directory shows a crash within seconds: the registration expires, or shows
+# a later start time.
 MAX_LOST_AGE = timedelta(seconds=10)
-# Most runs that are kept whose connection was lost without evidence of a crash.
+# Most runs that are kept whose connection was lost, so far without evidence of a
+# crash.
 MAX_LOST_RUNS = 500
 
 
@@ -101,32 +106,32 @@
         """
         if not self._ledger.quarantined:
             return NO_RESTRICTION
-        name = fingerprint(request, customer)
-        if name not in self._ledger.quarantined:
-            return Verdict(name)
-        strikes = self._ledger.open_strikes(name)
-        tried_versions = {held.strike.version for held in strikes}
+        fingerprint = fingerprint_of(request, customer)
+        if fingerprint not in self._ledger.quarantined:
+            return Verdict(fingerprint)
+        strikes = self._ledger.open_strikes(fingerprint)
+        tried_versions = {tracked.strike.version for tracked in strikes}
         versions = {record.name: record.endpoint.version for record in endpoints}
         scope = trial_scope(tried_versions, versions)
         if self._trials.try_claim(
-            name, strikes[-1].strike.at, has_new=scope.has_new_version
+            fingerprint, strikes[-1].strike.at, has_new=scope.has_new_version
         ):
-            return Verdict(name, avoided=scope.excluded_endpoints)
+            return Verdict(fingerprint, avoided=scope.excluded_endpoints)
         self._count("quarantined request refused")
-        return Verdict(name, is_refused=True)
+        return Verdict(fingerprint, is_refused=True)
 
     def record_lost_connection(
-        self, name: str, record: EndpointRecord, *, begun: bool, registered: bool
+        self, fingerprint: str, record: EndpointRecord, *, begun: bool, registered: bool
     ) -> bool:
         """Record a lost connection and return whether the endpoint has crashed.
 
         A leaving endpoint stops as planned, whatever it runs, so that is no strike.
 
-        :param name: the request's fingerprint.
+        :param fingerprint: of the request.
         :param begun: whether the endpoint had produced events for it.
         :param registered: whether the endpoint is registered as ready.
         """
-        run = LostRun(name, record.name, record.endpoint.version, begun)
+        run = LostRun(fingerprint, record.name, record.endpoint.version, begun)
         now = self._clock.elapsed()
         has_crashed = record.is_unreachable or self._crash_detector.has_crashed(record)
         if not registered and not record.is_unreachable:
@@ -151,12 +156,12 @@
             spawn(self._probe_expired, record)
 
     def _probe_expired(self, record: EndpointRecord) -> None:
-        reach = self._crash_detector.probe_repeatedly(record)
-        if reach is ProbeResult.OPEN:
+        result = self._crash_detector.probe_repeatedly(record)
+        if result is ProbeResult.OPEN:
             # It has lost its connection to the store, or is leaving.
             return
         self.record_crash(record.name)
-        if reach is ProbeResult.UNANSWERED and record.connections:
+        if result is ProbeResult.UNANSWERED and record.connections:
             self._abort_requests(record)
 
     def _abort_requests(self, record: EndpointRecord) -> None:
@@ -181,32 +186,34 @@
         """Clear a request's strikes as an endpoint has completed it."""
         if not len(self._ledger):
             return
-        name = fingerprint(request, customer)
-        if self._ledger.clear(name):
-            log.info("strikes cleared", fingerprint=name, why="answered")
+        fingerprint = fingerprint_of(request, customer)
+        if self._ledger.clear(fingerprint):
+            log.info("strikes cleared", fingerprint=fingerprint, why="answered")
             self.log_changes()
 
-    def release(self, name: str) -> bool:
+    def release(self, fingerprint: str) -> bool:
         """Release a request from quarantine, as an operator asks."""
-        lifted = self._ledger.clear(name)
-        if lifted:
-            log.notice("strikes cleared", fingerprint=name, why="lifted by an operator")
+        released = self._ledger.clear(fingerprint)
+        if released:
+            log.notice(
+                "strikes cleared", fingerprint=fingerprint, why="lifted by an operator"
+            )
             self.log_changes()
-        return lifted
+        return released
 
-    def may_retry(self, name: str) -> bool:
+    def may_retry(self, fingerprint: str) -> bool:
         """Return whether a request may be retried at another endpoint."""
-        return self._ledger.may_retry(name)
+        return self._ledger.may_retry(fingerprint)
 
     def log_changes(self) -> None:
         """Log which requests have entered or left quarantine."""
         now = self._ledger.quarantined
-        for name in sorted(now - self._quarantined):
+        for fingerprint in sorted(now - self._quarantined):
             self._count("request quarantined")
-            ends = self._describe_strikes(self._ledger.open_strikes(name))
-            log.warning("request quarantined", fingerprint=name, ends=ends)
-        for name in sorted(self._quarantined - now):
-            log.notice("quarantine ended", fingerprint=name)
+            ends = self._describe_strikes(self._ledger.open_strikes(fingerprint))
+            log.warning("request quarantined", fingerprint=fingerprint, ends=ends)
+        for fingerprint in sorted(self._quarantined - now):
+            log.notice("quarantine ended", fingerprint=fingerprint)
         self._quarantined = now
 
     def describe(self) -> list[dict[str, object]]:
@@ -218,8 +225,8 @@
                 "ends": self._describe_strikes(strikes),
             }
             for strikes in (
-                [held for held in all_held if held.is_open]
-                for all_held in self._ledger.by_request()
+                [tracked for tracked in request_strikes if tracked.is_open]
+                for request_strikes in self._ledger.by_request()
             )
             if strikes
         ]
@@ -230,24 +237,24 @@
         now = self._time.seconds
         return [
             {
-                "endpoint": held.strike.endpoint,
-                "version": held.strike.version,
-                "witness": held.strike.witness,
-                "age_s": round(now - held.strike.at, 3),
-                "begun": held.strike.begun,
+                "endpoint": tracked.strike.endpoint,
+                "version": tracked.strike.version,
+                "witness": tracked.strike.witness,
+                "age_s": round(now - tracked.strike.at, 3),
+                "begun": tracked.strike.begun,
             }
-            for held in strikes
+            for tracked in strikes
         ]
 
     def _record_strike(self, run: LostRun, lost_at: timedelta) -> None:
         self._count("endpoint ended under a request")
-        since = (self._clock.elapsed() - lost_at).total_seconds()
+        age = (self._clock.elapsed() - lost_at).total_seconds()
         strike = Strike(
             run.fingerprint,
             run.endpoint,
             run.version,
             run.begun,
-            self._time.seconds - since,
+            self._time.seconds - age,
             self._name,
         )
         self._ledger.take(strike)
