--- a/src/sassafrasdale/gateway/dependencies.py
+++ b/src/sassafrasdale/gateway/dependencies.py
@@ -14,26 +14,26 @@
     """Health of an external system, derived from the calls made to it.
 
     A failed call reflects the state at the time at which it was sent. It is ignored
-    once a call that was sent later has been answered.
+    once a call that was sent later has got a response.
 
     :param name: name for the logs.
     :param clock: source of elapsed time.
-    :param regained: called when the system answers again after an outage.
+    :param on_recovery: called when the system responds again after an outage.
     """
 
     def __init__(
-        self, name: str, clock: Clock, regained: Callable[[], None] = lambda: None
+        self, name: str, clock: Clock, on_recovery: Callable[[], None] = lambda: None
     ) -> None:
         self._name = name
         self._clock = clock
-        self._regained = regained
+        self._on_recovery = on_recovery
         self._lost_at: timedelta | None = None
         self._failed_at: timedelta | None = None
         self._last_success_sent_at: timedelta | None = None
 
     @property
     def is_reached(self) -> bool:
-        """Whether the last call was answered."""
+        """Whether the last call got a response."""
         return self._last_success_sent_at is not None and self._lost_at is None
 
     @property
@@ -44,7 +44,7 @@
         return self._clock.elapsed() - self._failed_at
 
     def failed(self, error: Exception, sent_at: timedelta) -> None:
-        """Record a call that got no answer.
+        """Record a call that got no response.
 
         :param sent_at: elapsed time at which it was sent.
         """
@@ -65,7 +65,7 @@
         )
 
     def succeeded(self, sent_at: timedelta) -> None:
-        """Record a call that was answered.
+        """Record a call that got a response.
 
         :param sent_at: elapsed time at which it was sent.
         """
@@ -81,4 +81,4 @@
             dependency=self._name,
             away_s=round(outage.total_seconds(), 3),
         )
-        self._regained()
+        self._on_recovery()
--- a/src/sassafrasdale/gateway/duties.py
+++ b/src/sassafrasdale/gateway/duties.py
@@ -17,7 +17,7 @@
 from sassafrasdale.gateway.records import DutyRecord
 from sassafrasdale.gateway.rollout_duty import RolloutDuty
 from sassafrasdale.gateway.rollouts import Rollouts
-from sassafrasdale.gateway.scaling import ORDERS_FORM, ORDERS_RECORD, Scaler
+from sassafrasdale.gateway.scaling import ORDERS_ADAPTER, ORDERS_RECORD, Scaler
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.platform.duties import DutyClient
 from sassafrasdale.platform.store import PlatformStore
@@ -115,7 +115,7 @@
             scaler = Scaler(
                 self._lease,
                 client,
-                DutyRecord(self._store, ORDERS_RECORD, ORDERS_FORM),
+                DutyRecord(self._store, ORDERS_RECORD, ORDERS_ADAPTER),
                 self._view,
                 self._clock,
                 checks_fencing=settings.bounds.checks_fencing,
--- a/src/sassafrasdale/gateway/poller.py
+++ b/src/sassafrasdale/gateway/poller.py
@@ -21,8 +21,8 @@
 log = Logger("polling")
 
 # Slots in the time within which a change must take effect. A change that all watches
-# have missed is found within one slot. The other three quarters are left for passing it
-# on, which takes up to three reports.
+# have missed is found within one slot. The other three quarters are left for forwarding
+# it to all gateways, which takes up to three reports.
 SLOTS_PER_DELAY = 4
 # The store limits the rate of calls, and each call has a price. There are at most five
 # slots a second, even where less than 0.8 s is promised.
@@ -33,7 +33,7 @@
     """Task that polls for changes in this gateway's slots.
 
     :param followers: followers of the prefixes to poll.
-    :param slot: returns this gateway's present slot; None if it has none.
+    :param slot: returns this gateway's current slot; None if it has none.
     :param time: cluster time, which the slots are based on.
     :param delay: time within which a confirmed change must take effect.
     """
@@ -72,9 +72,9 @@
     def _poll_all(self) -> None:
         # A poll without a response must not delay the next one.
         for follower in self._followers:
-            spawn(self._ask, follower)
+            spawn(self._poll, follower)
 
-    def _ask(self, follower: Follower) -> None:
+    def _poll(self, follower: Follower) -> None:
         if follower.poll():
             log.info("watches asked anew", prefix=follower.prefix)
             self._store.drop_watches()
--- a/src/sassafrasdale/gateway/quotas.py
+++ b/src/sassafrasdale/gateway/quotas.py
@@ -2,7 +2,7 @@
 
 While a customer is below its limit, each gateway admits all of its requests. Near the
 limit each gateway keeps to a share in proportion to the demand that it receives. A
-gateway that falls silent may be partitioned and still admit requests, so the others
+gateway that stops responding may be partitioned and still admit requests, so the others
 reserve the share that it last reported. It does the same for them, so that all sides of
 a partition together stay within the limit.
 """
@@ -91,7 +91,7 @@
         self._customers: dict[str, Customer] = {}
         self._started_at = clock.elapsed()
         self._shares = DemandShares()
-        self._thinnings: dict[str, RequestThinner] = {}
+        self._thinners: dict[str, RequestThinner] = {}
         self._limits: dict[str, SharedLimit] = {}
 
     def admit(self, customer: Customer, traits: RequestTraits) -> timedelta | None:
@@ -120,7 +120,7 @@
             unreported = limit.unreported(now, propagation_time)
             if left <= 0 and not fits_unreported(amount, unreported, refill):
                 fraction = 0.0
-            if not self._thinning(customer.name).admits(fraction):
+            if not self._thinner(customer.name).admits(fraction):
                 return retry_after(left, rate, available.demand)
         limit.record_admitted(amount, now)
         return None
@@ -208,7 +208,7 @@
                     )
 
     def _refill(self, now: timedelta) -> None:
-        """Refill all limits at the rates that follow from the present reservations.
+        """Refill all limits at the rates that follow from the current reservations.
 
         One of many gateways may see a customer only every few seconds. At the rate of
         the last request, a limit would fill too slowly or too fast until the next one.
@@ -228,7 +228,7 @@
             members = state.gateways + state.silent
             counted += members
             usage = state.limit_usage.get(customer.name)
-            if not self._is_fresh(group, now):
+            if not self._is_in_touch(group, now):
                 equal_share = members / gateways
                 reserved += equal_share if usage is None else usage.share
                 reserved += 0.0 if usage is None else usage.reserved
@@ -243,7 +243,7 @@
         reserved += max(gateways - counted, 0) / gateways
         return _AvailableLimit(max(1 - reserved, 0.0), in_touch, demand)
 
-    def _is_fresh(self, group: ReceivedGroup, now: timedelta) -> bool:
+    def _is_in_touch(self, group: ReceivedGroup, now: timedelta) -> bool:
         return now - self._received_at + group.age <= CONTACT_TIMEOUT
 
     def _share(
@@ -263,10 +263,10 @@
     def _depth(self, customer: Customer) -> float:
         return customer.burst + DEPTH_SLACK_FRACTION * self._slack(customer)
 
-    def _thinning(self, name: str) -> RequestThinner:
-        if name not in self._thinnings:
-            self._thinnings[name] = RequestThinner(self._rng.random())
-        return self._thinnings[name]
+    def _thinner(self, name: str) -> RequestThinner:
+        if name not in self._thinners:
+            self._thinners[name] = RequestThinner(self._rng.random())
+        return self._thinners[name]
 
     def _limit(self, customer: Customer, now: timedelta) -> SharedLimit:
         name = customer.name
@@ -276,7 +276,7 @@
         used = [
             group.state.limit_usage[name].used
             for group in self._groups
-            if name in group.state.limit_usage and self._is_fresh(group, now)
+            if name in group.state.limit_usage and self._is_in_touch(group, now)
         ]
         limit = SharedLimit(max(used, default=self._initial_used(customer, now)), now)
         self._limits[name] = limit
--- a/src/sassafrasdale/gateway/records.py
+++ b/src/sassafrasdale/gateway/records.py
@@ -36,14 +36,14 @@
     def read(self) -> Any:
         """Return the document, or None if it is missing or malformed.
 
-        :raises StoreError: if the store does not answer.
+        :raises StoreError: if the store does not respond.
         """
-        held = self._store.get(self._key)
-        self._revision = 0 if held is None else held.mod_revision
-        if held is None:
+        stored = self._store.get(self._key)
+        self._revision = 0 if stored is None else stored.mod_revision
+        if stored is None:
             return None
         try:
-            return self._schema.validate_json(held.value)
+            return self._schema.validate_json(stored.value)
         except ValidationError as error:
             log.error(
                 "record malformed; starting with an empty one",
@@ -56,7 +56,7 @@
         """Write the document over the one that was read.
 
         :raises LeaseNotHeld: if another leader has written since.
-        :raises StoreError: if the store does not answer; the write may have been
+        :raises StoreError: if the store does not respond; the write may have been
             applied, so the document must be read before the next write.
         """
         value = self._schema.dump_json(document)
--- a/src/sassafrasdale/gateway/scaling.py
+++ b/src/sassafrasdale/gateway/scaling.py
@@ -33,20 +33,21 @@
 ORDERS_RECORD = "sassafrasdale/orders"
 # Service, availability zone, whether reclaimable, and count of endpoints.
 _Orders = list[tuple[str, str, bool, int]]
-ORDERS_FORM = TypeAdapter(_Orders)
+ORDERS_ADAPTER = TypeAdapter(_Orders)
 
 # Time between two planning steps. A reclaim is announced two to three seconds ahead and
 # an endpoint takes four to start, so each delay of an order lengthens the shortage.
 STEP_INTERVAL = timedelta(milliseconds=250)
 # Time after which an order that was not accepted, or had no effect, is sent again.
-RETRY_PAUSE = timedelta(seconds=2)
-# Time within which the platform carries out a former leader's order that got no answer.
+RETRY_DELAY = timedelta(seconds=2)
+# Time within which the platform carries out a former leader's order that got no
+# response.
 MAX_ORDER_DELAY = timedelta(seconds=7)
 # Scale-down delay, as a multiple of the start time of an endpoint. Load comes in waves:
 # an endpoint released in a trough is missing in the next rise until another starts.
 SCALE_DOWN_STARTS = 4
 # Scale-down delay of endpoints that can't be reclaimed. Each costs as much as several
-# reclaimable ones, and is released only while the rest can bear the load without any
+# reclaimable ones, and is released only while the rest can carry the load without any
 # one zone. One start time instead of two saves 0.01 of worth in the prices of a day.
 SCALE_DOWN_STARTS_ON_DEMAND = 1
 # Scale-down delay of a new leader. It doesn't know how long ago the load fell, and what
@@ -89,7 +90,7 @@
         checks_fencing: bool = True,
     ) -> None:
         self._checks_fencing = checks_fencing
-        self._repeat_at: timedelta | None = None
+        self._resend_at: timedelta | None = None
         self._lease = lease
         self._client = client
         self._record = record
@@ -129,29 +130,29 @@
             self._record_load_start(service)
         permit = self._lease.permit(checks_fencing=True)
         if permit.fencing_number != self._fencing_number:
-            # Repeats all orders under the new fencing number: from then on, the
+            # Resends all orders under the new fencing number: from then on, the
             # platform refuses delayed orders of a former leader.
             self._reset_term()
             self._inherited = _decode_orders(self._record.read())
             self._fencing_number = permit.fencing_number
             if not self._checks_fencing:
-                self._repeat_at = self._clock.elapsed() + MAX_ORDER_DELAY
-        self._repeat_if_due()
+                self._resend_at = self._clock.elapsed() + MAX_ORDER_DELAY
+        self._resend_if_due()
         for service in services:
             planned = self._with_estimated_load(service)
             plan = plan_orders(planned, frozenset(self._unavailable))
             self._send_orders(planned, plan)
         self._write_record()
 
-    def _repeat_if_due(self) -> None:
-        """Repeat all orders once a former leader's late orders have taken effect.
+    def _resend_if_due(self) -> None:
+        """Resend all orders once a former leader's late orders have taken effect.
 
-        An order that got no answer may be carried out seconds later. A platform that
+        An order that got no response may be carried out seconds later. A platform that
         doesn't check fencing numbers then follows it in place of the newer order.
         """
-        if self._repeat_at is None or self._clock.elapsed() < self._repeat_at:
+        if self._resend_at is None or self._clock.elapsed() < self._resend_at:
             return
-        self._repeat_at = None
+        self._resend_at = None
         self._inherited |= self._ordered
         self._ordered = {}
         self._last_sent = {}
@@ -240,7 +241,7 @@
         """Allow new orders for a zone at once if some of its endpoints are gone.
 
         Endpoints missing after an order are usually still starting, so the order is
-        not repeated. Endpoints that leave or crash meanwhile would be missing for all
+        not sent again. Endpoints that leave or crash meanwhile would be missing for all
         of that time, and for good if nothing else changes the order. They also free
         capacity: an order beyond the zone's limit is accepted, but not carried out.
         """
@@ -288,7 +289,7 @@
         last_count, until = self._last_sent.get(key, (None, now))
         if last_count == count and now < until:
             return
-        self._last_sent[key] = (count, now + RETRY_PAUSE)
+        self._last_sent[key] = (count, now + RETRY_DELAY)
         permit = self._lease.permit(checks_fencing=True)
         try:
             self._client.order_endpoints(
@@ -308,7 +309,7 @@
             if count > service.running.get(key, 0):
                 self._unavailable.discard(key)
             # A new endpoint is listed only after its start time; until then it counts.
-            listed_at = now + service.bounds.start_time + RETRY_PAUSE
+            listed_at = now + service.bounds.start_time + RETRY_DELAY
             self._last_sent[key] = (count, listed_at)
             outcome = "taken"
         log.info(
--- a/src/sassafrasdale/gateway/usage.py
+++ b/src/sassafrasdale/gateway/usage.py
@@ -22,7 +22,8 @@
 MAX_READING_AGE = timedelta(seconds=5)
 # Time after a start in which a gateway adopts the time of its peers.
 STARTUP_TIME = timedelta(seconds=3)
-# A peer that started at least this much earlier has had time to hear from others.
+# A peer that started at least this much earlier has had time to receive readings from
+# others.
 MIN_LEAD = timedelta(seconds=2)
 # Stepped clocks are corrected within seconds. A median that still differs after this
 # time is correct.
@@ -48,15 +49,15 @@
     """A peer's clock relative to this gateway's elapsed time, in seconds.
 
     :param wall: offset of its wall clock from the elapsed time.
-    :param true: offset of its cluster time from the elapsed time.
+    :param cluster: offset of its cluster time from the elapsed time.
     :param started_at: elapsed time at which it started.
-    :param heard_at: elapsed time of its last reading.
+    :param received_at: elapsed time of its last reading.
     """
 
     wall: float
-    true: float
+    cluster: float
     started_at: float
-    heard_at: timedelta
+    received_at: timedelta
 
 
 class ClusterTime:
@@ -96,7 +97,7 @@
             self._clock.elapsed(),
         )
 
-    def peer_readings(self, most: int) -> dict[str, ClockReading]:
+    def peer_readings(self, max_count: int) -> dict[str, ClockReading]:
         """Return readings of some other gateways, extrapolated to now, for a peer.
 
         Only recent ones: forwarded for longer, the clock of a stopped gateway would
@@ -104,16 +105,16 @@
         """
         now = self._clock.elapsed()
         elapsed = now.total_seconds()
-        fresh = [
+        recent = [
             (name, peer)
             for name, peer in self._peers.items()
-            if now - peer.heard_at <= FORWARDING_AGE
+            if now - peer.received_at <= FORWARDING_AGE
         ]
         return {
             name: ClockReading(
-                peer.wall + elapsed, peer.true + elapsed, elapsed - peer.started_at
+                peer.wall + elapsed, peer.cluster + elapsed, elapsed - peer.started_at
             )
-            for name, peer in fresh[:most]
+            for name, peer in recent[:max_count]
         }
 
     def update(self) -> None:
@@ -122,7 +123,7 @@
         self._peers = {
             name: peer
             for name, peer in self._peers.items()
-            if now - peer.heard_at <= MAX_READING_AGE
+            if now - peer.received_at <= MAX_READING_AGE
         }
         if self._age() < STARTUP_TIME:
             self._set(self._startup_offset(), "started")
@@ -131,7 +132,9 @@
 
     def _startup_offset(self) -> float:
         limit = (self._started_at - MIN_LEAD).total_seconds()
-        older = [peer.true for peer in self._peers.values() if peer.started_at < limit]
+        older = [
+            peer.cluster for peer in self._peers.values() if peer.started_at < limit
+        ]
         return median(older) if older else self._median_of_clocks()
 
     def _differs_for(self, limit: timedelta) -> bool:
--- a/tests/gateway/test_duty_model.py
+++ b/tests/gateway/test_duty_model.py
@@ -15,7 +15,7 @@
 from sassafrasdale.gateway.metering import USAGE_ADAPTER, USAGE_RECORD, UsageReporter
 from sassafrasdale.gateway.peer_states import UsageTotal
 from sassafrasdale.gateway.records import DutyRecord
-from sassafrasdale.gateway.scaling import ORDERS_FORM, ORDERS_RECORD, Scaler
+from sassafrasdale.gateway.scaling import ORDERS_ADAPTER, ORDERS_RECORD, Scaler
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.platform.exceptions import DutyCallFailed, DutyCallRefused
 from tests.coordination.fakes import FakeStore
@@ -100,7 +100,7 @@
         self.scaler = Scaler(
             self.lease,
             platform,
-            DutyRecord(store, ORDERS_RECORD, ORDERS_FORM),
+            DutyRecord(store, ORDERS_RECORD, ORDERS_ADAPTER),
             self.view,
             clock,
         )
