--- a/src/sassafrasdale/gateway/aggregator.py
+++ b/src/sassafrasdale/gateway/aggregator.py
@@ -11,7 +11,7 @@
     report_interval,
 )
 from sassafrasdale.gateway.groups import Group
-from sassafrasdale.gateway.peer_calls import NEWS_TARGET, PeerCalls, PeerContext
+from sassafrasdale.gateway.peer_calls import GROUP_UPDATE_TARGET, PeerCalls, PeerContext
 from sassafrasdale.gateway.peer_states import (
     GROUP_UPDATE,
     Contact,
@@ -243,7 +243,9 @@
         self._roster.mark_alive(self._group.members)
         self._context.strikes.forget(lambda name: self._roster.get(name) is None)
         zone = self._roster.own.zone
-        self._group.remove_gone({other.name for other in self._roster.in_zone(zone)})
+        self._group.remove_unlisted(
+            {other.name for other in self._roster.in_zone(zone)}
+        )
         for name, confirmed_at in list(self._aggregators.items()):
             if now - confirmed_at > EXPIRY_TIMEOUT:
                 del self._aggregators[name]
@@ -307,7 +309,9 @@
         self._exchanging.add(contact.name)
         try:
             update = self._update_for(contact)
-            response = self._calls.send(contact, NEWS_TARGET, update, GROUP_UPDATE)
+            response = self._calls.send(
+                contact, GROUP_UPDATE_TARGET, update, GROUP_UPDATE
+            )
             match response:
                 case GroupUpdate():
                     self._apply_update(response)
--- a/src/sassafrasdale/gateway/canary_reports.py
+++ b/src/sassafrasdale/gateway/canary_reports.py
@@ -43,17 +43,17 @@
 
     :param order: revision of the order.
     :param rows: outcomes since the order.
-    :param condemned: whether the version was rejected as faulty.
+    :param rejected: whether the version was rejected as faulty.
     :param suspect: whether it would be rejected if the test ended now.
-    :param full: whether the leader runs the canary at full load.
+    :param is_full_load: whether the leader runs the canary at full load.
     """
 
     service: str
     order: int
     rows: tuple[OutcomeRow, ...] = ()
-    condemned: bool = False
+    rejected: bool = False
     suspect: bool = False
-    full: bool = False
+    is_full_load: bool = False
 
 
 def group_of(endpoint: str) -> str:
@@ -83,11 +83,11 @@
     for report in reports:
         key = (report.service, report.order)
         add_rows(tables.setdefault(key, {}), report.rows)
-        condemned, suspect, full = flags.get(key, (False, False, False))
+        rejected, suspect, full_load = flags.get(key, (False, False, False))
         flags[key] = (
-            condemned or report.condemned,
+            rejected or report.rejected,
             suspect or report.suspect,
-            full or report.full,
+            full_load or report.is_full_load,
         )
     return tuple(
         CanaryReport(service, order, rows_of(table), *flags[service, order])
--- a/src/sassafrasdale/gateway/components.py
+++ b/src/sassafrasdale/gateway/components.py
@@ -76,12 +76,12 @@
         self.metrics = LazyMetrics(settings.name, settings.availability_zone)
         self.time = ClusterTime(clock)
         self._cache = CacheEstimate()
-        self._paces = EngineStepTimes()
+        self._step_times = EngineStepTimes()
         self._usage = UsageCounts(settings.bounds.usage_window, self.time)
         self._contact = self._own_contact()
         self._build_store()
-        self._build_suspects()
-        self._build_knowledge()
+        self._build_quarantine()
+        self._build_store_view()
         self._build_peering()
         self._build_serving(may_serve, last_end)
         self._build_duties()
@@ -93,11 +93,11 @@
         # again as soon as the store responds to any call.
         self._store_health = Dependency("store", clock, self._store.drop_watches)
 
-    def _build_suspects(self) -> None:
+    def _build_quarantine(self) -> None:
         clock = self._clock
         self._strikes = StrikeLedger()
         self._trials = Trials(self._store, self.time, clock)
-        self.suspects = RequestQuarantine(
+        self.quarantine = RequestQuarantine(
             self._settings.name,
             self._strikes,
             self._trials,
@@ -106,7 +106,7 @@
             self.metrics.count,
         )
 
-    def _build_knowledge(self) -> None:
+    def _build_store_view(self) -> None:
         settings = self._settings
         clock = self._clock
         self.directory = Directory(
@@ -115,8 +115,8 @@
             settings.bounds.endpoint_drain,
             lambda: self._store_health.since_failure,
             lambda: self.metrics.count("endpoint connection opened"),
-            self.suspects.record_crash,
-            self.suspects.handle_expiry,
+            self.quarantine.record_crash,
+            self.quarantine.handle_expiry,
         )
         self.rollouts = Rollouts(
             settings.bounds.canary_share,
@@ -132,7 +132,7 @@
             self.directory,
             self.rollouts,
             self._forget_engine,
-            lambda *asked: self.peering.fetch_values(*asked),
+            lambda *args: self.peering.fetch_values(*args),
             clock,
             self._rng,
             settings.availability_zones,
@@ -146,7 +146,7 @@
             self.store_view.revisions,
             self._usage.report,
             self.store_view.values_since,
-            lambda: self.asking.open_attempts,
+            lambda: self.dispatcher_client.open_attempts,
         )
         context = PeerContext(
             local_state,
@@ -161,7 +161,7 @@
         calls = PeerCalls(context.roster, clock)
         zones = len(self._settings.availability_zones)
         self.peering = Peering(context, zones, self._rng, calls)
-        self.asking = DispatcherClient(
+        self.dispatcher_client = DispatcherClient(
             self._contact,
             self.peering.dispatcher,
             calls.request_assignment,
@@ -186,23 +186,25 @@
         )
         self.fleet = Fleet(
             self.directory,
-            Placement(settings.availability_zone, self._cache, self._paces, self._rng),
+            Placement(
+                settings.availability_zone, self._cache, self._step_times, self._rng
+            ),
             self._cache,
-            self._paces,
+            self._step_times,
             self.peering,
             self._usage,
             lambda: self.store_view.configuration,
             settings.bounds,
             clock,
             self.rollouts,
-            self.asking,
+            self.dispatcher_client,
         )
         self.dispatcher = Dispatcher(self.fleet, clock)
         self.frontend = Frontend(
             lambda: self.store_view.routes,
             self.fleet,
             self._quotas,
-            self.suspects,
+            self.quarantine,
             self.metrics,
             clock,
             self._rng,
@@ -257,15 +259,15 @@
 
     def _forget_engine(self, name: str) -> None:
         self._cache.forget(name)
-        self._paces.forget(name)
+        self._step_times.forget(name)
 
     def receive_groups(self, groups: Sequence[ReceivedGroup]) -> None:
         """Receive the totals over all other gateways."""
         self._quotas.receive_groups(groups)
-        self.rollouts.hear_groups(groups)
+        self.rollouts.receive_groups(groups)
 
     def receive_clock(self, name: str, reading: ClockReading) -> None:
-        """Receive a present reading of another gateway's clock."""
+        """Receive a current reading of another gateway's clock."""
         self.time.add_reading(name, reading)
 
     def receive_revisions(self, peer: str, revisions: Mapping[str, int]) -> None:
@@ -278,13 +280,13 @@
         """Receive which attempts assigned here are still in flight at a member."""
         self.dispatcher.reconcile(member.name, member.incarnation, open_attempts)
 
-    def assign(self, ask: AssignmentRequest) -> Assignment | None:
+    def assign(self, request: AssignmentRequest) -> Assignment | None:
         """Return the endpoint for another gateway's attempt."""
-        return self.dispatcher.assign(ask)
+        return self.dispatcher.assign(request)
 
-    def receive_attempt_report(self, notes: AttemptReport) -> None:
+    def receive_attempt_report(self, report: AttemptReport) -> None:
         """Receive the outcomes of another gateway's attempts."""
-        self.dispatcher.record_report(notes)
+        self.dispatcher.record_report(report)
 
     def _own_contact(self) -> Contact:
         settings = self._settings
@@ -313,7 +315,7 @@
             duty=self.duties.claim(),
             follows_store=self._follows_store(),
             prefill_times=self.fleet.token_times(),
-            trials=self.rollouts.canary_reports(),
+            canary_reports=self.rollouts.canary_reports(),
         )
 
     def _follows_store(self) -> bool:
--- a/src/sassafrasdale/gateway/follower.py
+++ b/src/sassafrasdale/gateway/follower.py
@@ -122,7 +122,7 @@
 
     def run(self) -> None:
         """Follow the store until the task is killed."""
-        pause = INITIAL_BACKOFF
+        backoff = INITIAL_BACKOFF
         while True:
             if not self._needs_listing and not self._should_watch():
                 sleep(WATCH_CHECK_INTERVAL)
@@ -132,7 +132,7 @@
                 self.step()
                 self._dependency.succeeded(called_at)
                 self._log_recovery()
-                pause = INITIAL_BACKOFF
+                backoff = INITIAL_BACKOFF
                 # Changes come in bursts, and each watch costs a call.
                 sleep(BATCH_DELAY)
             except StoreWatchDropped:
@@ -143,8 +143,8 @@
             except StoreError as error:
                 self._dependency.failed(error, called_at)
                 self._log_loss(error, called_at)
-                sleep(pause * self._rng.uniform(0.7, 1.3))
-                pause = min(pause * 2, MAX_BACKOFF)
+                sleep(backoff * self._rng.uniform(0.7, 1.3))
+                backoff = min(backoff * 2, MAX_BACKOFF)
 
     def _log_loss(self, error: StoreError, called_at: timedelta) -> None:
         """Log that this prefix is no longer followed, once per loss.
@@ -293,12 +293,12 @@
             {key: self._values[key] for key in changed},
             changed,
             {key: at for key, at in self._deleted.items() if at > revision},
-            is_whole=False,
+            is_complete=False,
         )
 
     def apply_peer_values(self, values: StoreValues, since: int) -> None:
         """Apply a peer's response to a request for changes since ``since``."""
-        if values.is_whole:
+        if values.is_complete:
             self.replace_all(
                 values.values,
                 values.revision,
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -102,11 +102,11 @@
         self._epoch += 1
         self._counting_since = self._clock.elapsed()
 
-    def remove_gone(self, listed: Collection[str]) -> None:
+    def remove_unlisted(self, listed: Collection[str]) -> None:
         """Remove members that are both expired and unlisted."""
-        living = self.members
+        unexpired = self.members
         for name in list(self._members):
-            if name not in listed and name not in living:
+            if name not in listed and name not in unexpired:
                 self.remove(name)
 
     def totals(
@@ -153,7 +153,7 @@
             follows_store=any(member.state.follows_store for member in in_touch),
             prefill_times=_prefill_times(in_touch),
             counting_s=(now - self._counting_since).total_seconds(),
-            trials=_canary_results(members.values(), concise=concise),
+            canary_reports=_canary_results(members.values(), concise=concise),
         )
 
     def _limit_usage(
@@ -199,9 +199,9 @@
         total: Counter[str] = Counter()
         for member in members:
             silence = max(now - member.reported_at - CONTACT_TIMEOUT, timedelta())
-            part = exp(-(silence / self._work_window))
+            decay = exp(-(silence / self._work_window))
             for service, engine_time in member.state.engine_time.items():
-                total[service] += engine_time * part
+                total[service] += engine_time * decay
         return dict(total)
 
 
@@ -223,7 +223,9 @@
 def _canary_results(
     members: Iterable[_Member], *, concise: bool
 ) -> tuple[CanaryReport, ...]:
-    reported = tuple(news for member in members for news in member.state.trials)
+    reported = tuple(
+        report for member in members for report in member.state.canary_reports
+    )
     if not reported:
         return ()
     return sum_reports(without_rows(reported) if concise else reported)
--- a/src/sassafrasdale/gateway/peer_calls.py
+++ b/src/sassafrasdale/gateway/peer_calls.py
@@ -42,14 +42,14 @@
 # long again. A longer timeout would delay the updates of a whole zone.
 CALL_TIMEOUT = timedelta(milliseconds=500)
 REPORT_TARGET = "/report"
-NEWS_TARGET = "/news"
+GROUP_UPDATE_TARGET = "/news"
 USAGE_TARGET = "/usage/"
 VALUES_TARGET = "/values/"
-ASK_TARGET = "/ask"
-NOTES_TARGET = "/notes"
+ASSIGNMENT_TARGET = "/ask"
+ATTEMPT_REPORT_TARGET = "/notes"
 # An assignment takes a millisecond or two. Waiting longer costs a request more than a
 # better endpoint saves.
-ASK_TIMEOUT = timedelta(milliseconds=40)
+ASSIGNMENT_TIMEOUT = timedelta(milliseconds=40)
 
 Decoded = TypeVar("Decoded", bound=Struct)
 
@@ -61,7 +61,7 @@
         """Receive the totals over all other gateways."""
 
     def receive_clock(self, name: str, reading: ClockReading) -> None:
-        """Receive a present reading of another gateway's clock."""
+        """Receive a current reading of another gateway's clock."""
 
     def receive_revisions(self, peer: str, revisions: dict[str, int]) -> None:
         """Receive the store revisions that a directly connected gateway knows."""
@@ -71,10 +71,10 @@
     ) -> None:
         """Receive which attempts assigned here are still in flight at a member."""
 
-    def assign(self, ask: AssignmentRequest) -> Assignment | None:
+    def assign(self, request: AssignmentRequest) -> Assignment | None:
         """Return the endpoint for another gateway's attempt."""
 
-    def receive_attempt_report(self, notes: AttemptReport) -> None:
+    def receive_attempt_report(self, report: AttemptReport) -> None:
         """Receive the outcomes of another gateway's attempts."""
 
 
@@ -82,7 +82,7 @@
 class LocalState:
     """Access to the state that this gateway reports.
 
-    :param build: returns its present state for a contact.
+    :param build: returns its current state for a contact.
     :param revisions: returns the last known store revision of each prefix.
     :param usage: returns its own counts, by window and customer.
     :param values_since: returns the raw values below a prefix that changed since a
@@ -128,7 +128,7 @@
         self._roster = roster
         self._clock = clock
         self._clients: dict[str, HttpClient] = {}
-        self._ask_clients: dict[str, HttpClient] = {}
+        self._assignment_clients: dict[str, HttpClient] = {}
 
     def send(
         self, contact: Contact, target: str, message: Struct, decoder: Decoder[Decoded]
@@ -161,23 +161,25 @@
         return self._get(contact, f"{USAGE_TARGET}{window}", USAGE_TOTAL)
 
     def request_assignment(
-        self, contact: Contact, ask: AssignmentRequest
+        self, contact: Contact, request: AssignmentRequest
     ) -> Assignment | None:
         """Return the endpoint assigned by a dispatcher; None if the call failed."""
-        request = Request("POST", ASK_TARGET, body=encode(ask))
+        call = Request("POST", ASSIGNMENT_TARGET, body=encode(request))
         try:
-            response = self._client(contact, self._ask_clients, ASK_TIMEOUT).call(
-                request, ASK_TIMEOUT
-            )
+            response = self._client(
+                contact, self._assignment_clients, ASSIGNMENT_TIMEOUT
+            ).call(call, ASSIGNMENT_TIMEOUT)
             return ASSIGNMENT.decode(response.body) if response.status == 200 else None
         except (HttpError, MessageMalformed) as error:
             log.debug("assignment request failed", peer=contact.name, why=str(error))
             return None
 
-    def send_attempt_report(self, contact: Contact, notes: AttemptReport) -> bool:
+    def send_attempt_report(self, contact: Contact, report: AttemptReport) -> bool:
         """Report outcomes of attempts to a dispatcher; return whether it got them."""
         try:
-            self._call(contact, Request("POST", NOTES_TARGET, body=encode(notes)))
+            self._call(
+                contact, Request("POST", ATTEMPT_REPORT_TARGET, body=encode(report))
+            )
         except HttpError as error:
             log.debug("attempt report failed", peer=contact.name, why=error.message)
             return False
@@ -185,7 +187,7 @@
 
     def close_unlisted(self) -> None:
         """Close the connections to gateways that the roster no longer lists."""
-        for clients in (self._clients, self._ask_clients):
+        for clients in (self._clients, self._assignment_clients):
             for name in list(clients):
                 if self._roster.get(name) is None:
                     clients.pop(name).close()
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -22,7 +22,7 @@
 
 # Bounded on decoding, so that an invalid report cannot make a total negative.
 NonNegative = Annotated[float, Meta(ge=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
 class Message(Struct, frozen=True, array_like=True):
@@ -72,7 +72,8 @@
     :param demand: amount requested per second, refused requests included.
     :param spent: amount admitted since the gateway started.
     :param counted: how much of ``spent`` an aggregator has already counted.
-    :param used: amount missing from the full limit, as the gateway sees it.
+    :param used: amount by which the limit's token bucket is below full, as the gateway
+        sees it.
     :param share: fraction of the limit that it would use if it were partitioned now.
     """
 
@@ -80,7 +81,7 @@
     spent: float
     counted: float
     used: NonNegative
-    share: Part
+    share: Fraction
 
 
 class GroupLimitUsage(Message):
@@ -88,7 +89,8 @@
 
     :param spent: amount admitted since the aggregator began to count the group.
     :param share: fractions of the limit used by the gateways in touch.
-    :param reserved: fractions kept for silent gateways, which may be partitioned.
+    :param reserved: fractions reserved for silent gateways, which may be partitioned
+        and still admit requests.
     """
 
     demand: NonNegative
@@ -120,7 +122,7 @@
     :param follows_store: whether it watches the store and gets responses.
     :param prefill_times: prefill time per prompt token, in seconds and by service,
         where it has enough samples.
-    :param trials: results of canary versions.
+    :param canary_reports: results of canary versions.
     """
 
     contact: Contact
@@ -132,7 +134,7 @@
     duty: DutyClaim | None = None
     follows_store: bool = True
     prefill_times: dict[str, NonNegative] = field(default_factory=dict)
-    trials: tuple[CanaryReport, ...] = ()
+    canary_reports: tuple[CanaryReport, ...] = ()
 
 
 class GroupState(Message):
@@ -148,7 +150,7 @@
     :param follows_store: whether any of them watches the store and gets responses.
     :param prefill_times: means of the values reported by its gateways.
     :param counting_s: time since the counters were reset, in seconds.
-    :param trials: results of canary versions.
+    :param canary_reports: results of canary versions.
     """
 
     aggregator: Contact
@@ -164,7 +166,7 @@
     follows_store: bool
     prefill_times: dict[str, NonNegative] = field(default_factory=dict)
     counting_s: NonNegative = 0.0
-    trials: tuple[CanaryReport, ...] = ()
+    canary_reports: tuple[CanaryReport, ...] = ()
 
     @property
     def counter_id(self) -> tuple[str, int, int]:
@@ -185,9 +187,11 @@
 
     def without_canary_counts(self) -> "ReceivedGroup":
         """Return a copy without the canary counts, which only aggregators need."""
-        if not self.state.trials:
+        if not self.state.canary_reports:
             return self
-        concluded = replace(self.state, trials=without_rows(self.state.trials))
+        concluded = replace(
+            self.state, canary_reports=without_rows(self.state.canary_reports)
+        )
         return ReceivedGroup(concluded, self.age_s)
 
 
@@ -218,7 +222,7 @@
     :param groups: the aggregator's group without that member, then the other groups.
     :param interval_s: time until the next report.
     :param roster: gateways of the zone, if the member's digest differed.
-    :param clocks: present readings of other gateways' clocks.
+    :param clocks: current readings of other gateways' clocks.
     :param strikes: strikes against requests that the member may lack.
     """
 
@@ -281,8 +285,8 @@
     :param changed_revision: revision of the last change among them.
     :param revisions: revision of each value's last change.
     :param deleted: deleted keys with the revisions of their deletion; empty if
-        ``is_whole``.
-    :param is_whole: whether these are all values below the prefix.
+        ``is_complete``.
+    :param is_complete: whether these are all values below the prefix.
     """
 
     revision: int
@@ -290,7 +294,7 @@
     values: dict[str, bytes]
     revisions: dict[str, int] = field(default_factory=dict)
     deleted: dict[str, int] = field(default_factory=dict)
-    is_whole: bool = True
+    is_complete: bool = True
 
 
 encode = Encoder().encode
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -23,9 +23,9 @@
 from sassafrasdale.gateway.aggregator import Aggregator
 from sassafrasdale.gateway.dispatcher_messages import ASSIGNMENT_REQUEST, ATTEMPT_REPORT
 from sassafrasdale.gateway.peer_calls import (
-    ASK_TARGET,
-    NEWS_TARGET,
-    NOTES_TARGET,
+    ASSIGNMENT_TARGET,
+    ATTEMPT_REPORT_TARGET,
+    GROUP_UPDATE_TARGET,
     REPORT_TARGET,
     USAGE_TARGET,
     VALUES_TARGET,
@@ -128,8 +128,8 @@
         total = 0.0
         for group in self.groups():
             silence = max(group.age - CONTACT_TIMEOUT, timedelta())
-            part = exp(-(silence / self._context.work_window))
-            total += group.state.engine_time.get(service, 0.0) * part
+            decay = exp(-(silence / self._context.work_window))
+            total += group.state.engine_time.get(service, 0.0) * decay
         return total
 
     def prefill_times(self, service: str) -> list[float]:
@@ -209,9 +209,9 @@
         zone_watchers = self._zone_watchers()
         if own.name not in zone_watchers:
             return None
-        most = max_watchers(self._zones)
+        max_count = max_watchers(self._zones)
         counts = {
-            group.state.aggregator.zone: min(group.state.gateways, most)
+            group.state.aggregator.zone: min(group.state.gateways, max_count)
             for group in in_touch
             if group.state.follows_store
         }
@@ -312,7 +312,7 @@
         if target == REPORT_TARGET:
             reply = self._aggregator.handle_report(REPORT.decode(request.body))
             return Response(200, body=encode(reply))
-        if target == ASK_TARGET:
+        if target == ASSIGNMENT_TARGET:
             assigned = self._context.listener.assign(
                 ASSIGNMENT_REQUEST.decode(request.body)
             )
@@ -321,12 +321,12 @@
                 if assigned is None
                 else Response(200, body=encode(assigned))
             )
-        if target == NOTES_TARGET:
+        if target == ATTEMPT_REPORT_TARGET:
             self._context.listener.receive_attempt_report(
                 ATTEMPT_REPORT.decode(request.body)
             )
             return Response(200)
-        if target == NEWS_TARGET:
+        if target == GROUP_UPDATE_TARGET:
             return self._handle_update(request)
         if target.startswith(USAGE_TARGET):
             total = self._aggregator.usage(int(target.removeprefix(USAGE_TARGET)))
--- a/src/sassafrasdale/gateway/process.py
+++ b/src/sassafrasdale/gateway/process.py
@@ -63,7 +63,7 @@
         self._stop_requested = False
         self._reload_requested = False
         self._drain: Drain | None = None
-        self._parts = GatewayComponents(
+        self._components = GatewayComponents(
             settings,
             self._clock,
             rng or random.Random(),
@@ -76,16 +76,16 @@
         settings = self._settings
         server = HttpServer(
             self._open_listener(settings.address),
-            self._parts.frontend.handle,
+            self._components.frontend.handle,
             self._clock,
             limits=self._caller_limits,
             is_draining=lambda: self._lifecycle.state == "draining",
         )
         spawn(server.serve)
-        self._serve(settings.ready_address, self._answer_ready)
-        self._serve(settings.peer_address, self._parts.peering.handle)
+        self._serve(settings.ready_address, self._handle_ready)
+        self._serve(settings.peer_address, self._components.peering.handle)
         if self._metrics_address is not None:
-            self._serve(self._metrics_address, self._answer_metrics)
+            self._serve(self._metrics_address, self._handle_metrics)
         handle_signals(
             {
                 signal.SIGTERM: self._request_stop,
@@ -93,16 +93,20 @@
                 signal.SIGHUP: self._request_reload,
             }
         )
-        parts = self._parts
-        tasks = parts.store_view.tasks() + parts.duties.tasks()
-        tasks += [parts.registration.run, parts.poller.run]
-        tasks += [parts.peering.run, parts.asking.run, parts.strike_records.run]
+        components = self._components
+        tasks = components.store_view.tasks() + components.duties.tasks()
+        tasks += [components.registration.run, components.poller.run]
+        tasks += [
+            components.peering.run,
+            components.dispatcher_client.run,
+            components.strike_records.run,
+        ]
         for task in tasks:
             spawn(run_forever, task)
         log.info(
             "gateway started",
             address=str(settings.address),
-            incarnation=self._parts.incarnation,
+            incarnation=self._components.incarnation,
         )
         while not self._stop_requested:
             self._tick()
@@ -122,21 +126,21 @@
         if self._reload_requested:
             self._reload_requested = False
             self._reload()
-        self._parts.fleet.refresh_peer_loads()
-        self._parts.dispatcher.drop_unresponsive()
-        if not self._parts.peering.is_aggregator:
-            self._parts.dispatcher.resign()
-        self._parts.directory.drop_expired()
-        self._parts.time.update()
-        self._parts.suspects.log_changes()
+        self._components.fleet.refresh_peer_loads()
+        self._components.dispatcher.drop_unresponsive()
+        if not self._components.peering.is_aggregator:
+            self._components.dispatcher.resign()
+        self._components.directory.drop_expired()
+        self._components.time.update()
+        self._components.quarantine.log_changes()
         self._may_serve()
 
     def _become_ready(self) -> None:
         self._lifecycle.fire("prepare")
         log.notice(
             "gateway ready",
-            version=self._parts.store_view.configuration.version,
-            endpoints=len(self._parts.directory.records),
+            version=self._components.store_view.configuration.version,
+            endpoints=len(self._components.directory.records),
         )
 
     def _has_required_state(self) -> bool:
@@ -144,20 +148,20 @@
         # whole limit of each customer. Without the stored strikes, a request that
         # crashes endpoints would crash as many again.
         return (
-            self._parts.store_view.is_loaded
-            and self._parts.registration.has_listed
-            and self._parts.strike_records.is_loaded
+            self._components.store_view.is_loaded
+            and self._components.registration.has_read_list
+            and self._components.strike_records.is_loaded
         )
 
     def _stop(self, server: HttpServer) -> None:
         self._lifecycle.fire("leave")
-        self._parts.peering.leave()
+        self._components.peering.leave()
         log.notice("gateway stopping", busy=server.busy_connections)
         spawn(self._release_leases)
-        spawn(self._parts.peering.report_now)
+        spawn(self._components.peering.report_now)
         self._drain = Drain(server, self._settings.bounds.stop_grace, self._clock)
         self._drain.run()
-        self._parts.peering.report_now()
+        self._components.peering.report_now()
         self._lifecycle.fire("drained")
         log.notice("gateway stopped", busy=server.busy_connections)
 
@@ -171,8 +175,8 @@
         return self._drain.last_end if self._drain else None
 
     def _release_leases(self) -> None:
-        self._parts.duties.release()
-        self._parts.registration.release()
+        self._components.duties.release()
+        self._components.registration.release()
 
     def _request_stop(self) -> None:
         self._stop_requested = True
@@ -191,7 +195,7 @@
         log.notice("settings reloaded")
 
     def _caller_limits(self) -> ServerLimits:
-        limits = self._parts.store_view.caller_limits
+        limits = self._components.store_view.caller_limits
         return ServerLimits(
             limits.header_bytes,
             limits.body_bytes,
@@ -199,32 +203,34 @@
             limits.idle_timeout,
         )
 
-    def _answer_ready(self, connection: ServerConnection, request: Request) -> None:
+    def _handle_ready(self, connection: ServerConnection, request: Request) -> None:
         ready = self._lifecycle.state == "ready"
         connection.answer(200 if ready else 503)
 
-    def _answer_metrics(self, connection: ServerConnection, request: Request) -> None:
+    def _handle_metrics(self, connection: ServerConnection, request: Request) -> None:
         if request.target.startswith(QUARANTINE_TARGET):
-            self._answer_operator(connection, request)
+            self._handle_quarantine(connection, request)
             return
         if request.target == ROLLOUTS_TARGET:
-            self._answer_document(connection, self._parts.rollouts.describe())
+            self._respond_json(connection, self._components.rollouts.describe())
             return
-        headers = [("content-type", self._parts.metrics.content_type)]
-        connection.answer(200, headers, self._parts.metrics.metrics_page())
+        headers = [("content-type", self._components.metrics.content_type)]
+        connection.answer(200, headers, self._components.metrics.metrics_page())
 
-    def _answer_operator(self, connection: ServerConnection, request: Request) -> None:
+    def _handle_quarantine(
+        self, connection: ServerConnection, request: Request
+    ) -> None:
         """List the requests with strikes, or lift the quarantine of one."""
-        suspects = self._parts.suspects
+        quarantine = self._components.quarantine
         name = request.target.removeprefix(QUARANTINE_TARGET).removeprefix("/")
         if request.method == "GET" and not name:
-            self._answer_document(connection, suspects.describe())
+            self._respond_json(connection, quarantine.describe())
         elif request.method == "DELETE" and name:
-            connection.answer(204 if suspects.release(name) else 404)
+            connection.answer(204 if quarantine.release(name) else 404)
         else:
             connection.answer(405)
 
-    def _answer_document(
+    def _respond_json(
         self, connection: ServerConnection, document: list[dict[str, object]]
     ) -> None:
         headers = [("content-type", "application/json")]
--- a/src/sassafrasdale/gateway/registration.py
+++ b/src/sassafrasdale/gateway/registration.py
@@ -22,8 +22,8 @@
 log = Logger("registration")
 
 GATEWAYS_PREFIX = "sassafrasdale/gateways/"
-# TTL of the entry: how long a gateway stays listed after it has failed.
-ENTRY_TTL = timedelta(seconds=15)
+# TTL of the registration: how long a gateway stays listed after it has failed.
+REGISTRATION_TTL = timedelta(seconds=15)
 RENEWALS_PER_TTL = 3
 RETRY_DELAY = timedelta(milliseconds=500)
 
@@ -50,31 +50,31 @@
         self._clock = clock
         self._rng = rng
         self._lease: Lease | None = None
-        self._list_read = False
+        self._has_read_list = False
 
     @property
-    def has_listed(self) -> bool:
+    def has_read_list(self) -> bool:
         """Whether the list of gateways has been read since the start."""
-        return self._list_read
+        return self._has_read_list
 
     def run(self) -> None:
         """Keep this gateway registered until the task is killed."""
         while True:
-            pause = ENTRY_TTL / RENEWALS_PER_TTL
+            delay = REGISTRATION_TTL / RENEWALS_PER_TTL
             sent_at = self._clock.elapsed()
             try:
                 self._step()
                 self._dependency.succeeded(sent_at)
             except LeaseNotFound:
                 self._lease = None
-                pause = timedelta()
+                delay = timedelta()
             except StoreError as error:
                 self._dependency.failed(error, sent_at)
-                pause = RETRY_DELAY
-            sleep(pause * self._rng.uniform(0.8, 1.0))
+                delay = RETRY_DELAY
+            sleep(delay * self._rng.uniform(0.8, 1.0))
 
     def release(self) -> None:
-        """Remove this gateway's entry."""
+        """Remove this gateway's registration."""
         lease, self._lease = self._lease, None
         if lease is None:
             return
@@ -91,13 +91,13 @@
             if self._peering.reaches_all_zones():
                 return
         else:
-            lease = self._store.grant_lease(ENTRY_TTL)
+            lease = self._store.grant_lease(REGISTRATION_TTL)
             key = GATEWAYS_PREFIX + self._own.name
             self._store.put(key, encode(self._own), lease)
             self._lease = lease
         for item in self._store.list(GATEWAYS_PREFIX):
             self._add_peer(item)
-        self._list_read = True
+        self._has_read_list = True
 
     def _add_peer(self, item: StoredValue) -> None:
         try:
--- a/src/sassafrasdale/gateway/rollout.py
+++ b/src/sassafrasdale/gateway/rollout.py
@@ -16,11 +16,12 @@
 )
 from sassafrasdale.gateway.directory import EndpointRecord
 
-# Replaced endpoints are stopped at once; after this time their entries are deleted.
+# Replaced endpoints are stopped at once; their registrations are deleted after this
+# time.
 DELISTING_TIME = timedelta(seconds=10)
 # Routes with separate outcome counts; all further routes share one row per group.
 MAX_ROUTES = 64
-RULE = SequentialTest()
+SEQUENTIAL_TEST = SequentialTest()
 
 
 class Rollout:
@@ -30,7 +31,7 @@
     :param allowance: limits the requests that the canary version gets.
     :param in_force: whether all listed endpoints already had its version when the
         order arrived.
-    :param since: cluster time at which it was first seen, in seconds since 1970.
+    :param first_seen: cluster time at which it was first seen, in seconds since 1970.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         order: RolloutOrder,
         revision: int,
         allowance: CanaryAllowance,
-        since: float,
+        first_seen: float,
         *,
         in_force: bool,
     ) -> None:
@@ -47,7 +48,7 @@
         self.revision = revision
         self.allowance = allowance
         self.in_force = in_force
-        self.since = since
+        self.first_seen = first_seen
         self.status_revision = 0
         self.ended_at = timedelta()
         self.full_load_at: timedelta | None = None
@@ -56,7 +57,7 @@
         self.has_full_load = False
         self.is_sampled = False
         self.table: OutcomeTable = {}
-        self.trial = CanaryAnalysis(RULE)
+        self.analysis = CanaryAnalysis(SEQUENTIAL_TEST)
 
     @property
     def state(self) -> str:
@@ -69,7 +70,7 @@
         return self.state not in ("complete", "rolled_back")
 
     @property
-    def is_condemned(self) -> bool:
+    def is_rejected(self) -> bool:
         """Whether its version was rejected as faulty."""
         return self.state == "condemned"
 
@@ -109,13 +110,13 @@
             key = (group, "")
         return self.table.setdefault(key, Outcomes())
 
-    def news(self) -> CanaryReport:
+    def report(self) -> CanaryReport:
         """Return the report to send to the other gateways."""
         return CanaryReport(
             self.order.service,
             self.revision,
             rows_of(self.table),
-            self.is_condemned,
+            self.is_rejected,
             self.is_suspect,
             self.full_load_at is not None,
         )
--- a/src/sassafrasdale/gateway/rollout_duty.py
+++ b/src/sassafrasdale/gateway/rollout_duty.py
@@ -72,7 +72,7 @@
         self._rollouts = rollouts
         # Revisions of the orders whose record was read in this term.
         self._records_read: set[int] = set()
-        self._term = 0
+        self._fencing_number = 0
 
     def run(self) -> None:
         """Advance the open orders until the task is killed."""
@@ -90,12 +90,12 @@
         """Advance each open order.
 
         :raises LeaseNotHeld: if this gateway is not the leader.
-        :raises StoreError: if the store does not answer.
+        :raises StoreError: if the store does not respond.
         """
         for rollout in self._rollouts.open():
             permit = self._lease.permit(checks_fencing=True)
-            if permit.fencing_number != self._term:
-                self._term = permit.fencing_number
+            if permit.fencing_number != self._fencing_number:
+                self._fencing_number = permit.fencing_number
                 self._records_read.clear()
             self._advance(rollout)
 
@@ -116,23 +116,23 @@
 
     def _read_record(self, rollout: Rollout) -> None:
         """Restore the time at which a former leader first saw the order."""
-        held = self._store.get(RECORDS_PREFIX + rollout.order.service)
+        stored = self._store.get(RECORDS_PREFIX + rollout.order.service)
         self._records_read.add(rollout.revision)
-        if held is None:
+        if stored is None:
             return
         try:
-            record = _DECODER.decode(held.value)
+            record = _DECODER.decode(stored.value)
         except DecodeError as error:
-            log.error("rollout record malformed", key=held.key, why=str(error))
+            log.error("rollout record malformed", key=stored.key, why=str(error))
             return
         if record.order == rollout.revision:
-            rollout.since = min(rollout.since, record.since)
+            rollout.first_seen = min(rollout.first_seen, record.since)
 
     def _write_status(self, rollout: Rollout, state: RolloutState) -> None:
         order = rollout.order
         status = RolloutStatus(order.service, order.target, state)
         key = status_key(order.service)
-        record = RolloutRecord(rollout.revision, rollout.since)
+        record = RolloutRecord(rollout.revision, rollout.first_seen)
         swap = self._store.compare_and_swap(
             key,
             encode_status(status),
@@ -147,22 +147,22 @@
             target=order.target,
             state=str(state),
             written=bool(swap),
-            fencing_number=self._term,
+            fencing_number=self._fencing_number,
             age_s=round(view.age.total_seconds(), 3),
             targets=view.targets,
             others=view.others,
             suspect=view.is_suspect,
         )
         if swap:
-            self._rollouts.take_status(status, swap.revision)
+            self._rollouts.apply_status(status, swap.revision)
         elif swap.current is not None:
             self._apply_stored_status(rollout, swap.current)
 
-    def _apply_stored_status(self, rollout: Rollout, held: StoredValue) -> None:
+    def _apply_stored_status(self, rollout: Rollout, stored: StoredValue) -> None:
         """Apply the stored status, written by another leader or another writer."""
         try:
-            status = decode_status(held.key, held.value)
-            self._rollouts.take_status(status, held.mod_revision)
+            status = decode_status(stored.key, stored.value)
+            self._rollouts.apply_status(status, stored.mod_revision)
         except ValueMalformed as error:
-            log.error("rollout status malformed", key=held.key, why=error.message)
-        rollout.status_revision = held.mod_revision
+            log.error("rollout status malformed", key=stored.key, why=error.message)
+        rollout.status_revision = stored.mod_revision
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -3,8 +3,8 @@
 An order names a target version, whose endpoints start beside the others as canaries.
 They get a sample of the requests, limited by :mod:`sassafrasdale.decisions.exposure`,
 until the leader completes the rollout or rolls it back. The outcomes of the sample are
-summed over all gateways. A gateway that rejects the version stops sending to it and
-reports that to its peers, even if the store is unreachable.
+summed over all gateways. A gateway that rejects the version stops sending requests to
+it and reports that to its peers, even if the store is unreachable.
 """
 
 from collections.abc import Callable, Sequence
@@ -91,14 +91,14 @@
         """Return the orders that are neither completed nor rolled back."""
         return [rollout for rollout in self._rollouts.values() if rollout.is_open]
 
-    def take_order(self, order: RolloutOrder, revision: int, *, is_news: bool) -> None:
+    def add_order(self, order: RolloutOrder, revision: int, *, is_live: bool) -> None:
         """Add an order; a later one for the same service replaces it.
 
-        :param is_news: whether it arrived while this gateway was watching the store.
+        :param is_live: whether it arrived while this gateway was watching the store.
             The endpoints listed at a start say nothing about those before the order.
         """
-        held = self._rollouts.get(order.service)
-        if held is not None and revision <= held.revision:
+        known = self._rollouts.get(order.service)
+        if known is not None and revision <= known.revision:
             return
         listed_versions = {
             record.endpoint.version for record in self._listed(order.service)
@@ -108,7 +108,7 @@
             revision,
             CanaryAllowance(self._share, self._rng),
             self._time.seconds,
-            in_force=is_news and listed_versions == {order.target},
+            in_force=is_live and listed_versions == {order.target},
         )
         self._rollouts[order.service] = rollout
         ordered, self._next_order = self._next_order, Event()
@@ -121,9 +121,9 @@
             revision=revision,
             listed=sorted(listed_versions),
         )
-        self._apply_status(order.service)
+        self._apply_current_status(order.service)
 
-    def drop_order(self, service: str) -> None:
+    def withdraw_order(self, service: str) -> None:
         """Roll back an order that was withdrawn.
 
         Endpoints of its version may go on running, but the version was never accepted.
@@ -132,14 +132,14 @@
         if rollout is not None and rollout.fire("roll_back"):
             self._log_state(rollout, reason="withdrawn")
 
-    def take_status(self, status: RolloutStatus, revision: int) -> None:
+    def apply_status(self, status: RolloutStatus, revision: int) -> None:
         """Apply the stored status of a service's order."""
-        _, held = self._statuses.get(status.service, (None, 0))
-        if revision > held:
+        _, known = self._statuses.get(status.service, (None, 0))
+        if revision > known:
             self._statuses[status.service] = (status, revision)
-            self._apply_status(status.service)
+            self._apply_current_status(status.service)
 
-    def _apply_status(self, service: str) -> None:
+    def _apply_current_status(self, service: str) -> None:
         rollout = self._rollouts.get(service)
         status, revision = self._statuses.get(service, (None, 0))
         if rollout is None or status is None:
@@ -177,12 +177,12 @@
             return targets
         others = len(records) - len(targets)
         count = max(1, round(others * self._share * SAMPLED_FRACTION))
-        turn = int(self._time.seconds / ROTATION_PERIOD.total_seconds())
-        first = turn * count % len(targets)
+        rotation = int(self._time.seconds / ROTATION_PERIOD.total_seconds())
+        first = rotation * count % len(targets)
         return (targets + targets)[first : first + min(count, len(targets))]
 
     def note_send(self, record: EndpointRecord, route: str) -> None:
-        """Count the first send of a request."""
+        """Count the first attempt of a request."""
         rollout = self._rollouts.get(record.endpoint.service)
         if rollout is None or not rollout.is_open:
             return
@@ -192,14 +192,14 @@
             self._count("request to a version on trial")
 
     def note_first(self, record: EndpointRecord, route: str, took: timedelta) -> None:
-        """Record the time to the first byte of an endpoint's answer."""
-        rollout = self._order_under_test(record)
+        """Record the time to the first byte of an endpoint's response."""
+        rollout = self._rollout_under_test(record)
         if rollout is not None:
             rollout.outcomes(record, route).times[latency_bucket(took)] += 1
 
     def note_end(self, record: EndpointRecord, route: str, *, ok: bool) -> None:
-        """Count a request as completely answered or as failed by its endpoint."""
-        rollout = self._order_under_test(record)
+        """Count a request as completed or as failed by its endpoint."""
+        rollout = self._rollout_under_test(record)
         if rollout is None:
             return
         outcomes = rollout.outcomes(record, route)
@@ -210,7 +210,7 @@
         if rollout.is_target(record):
             self._count("failure of a version on trial")
 
-    def _order_under_test(self, record: EndpointRecord) -> Rollout | None:
+    def _rollout_under_test(self, record: EndpointRecord) -> Rollout | None:
         """Return the order whose canary test covers an endpoint now."""
         rollout = self._rollouts.get(record.endpoint.service)
         if rollout is None or not rollout.is_sampled or rollout.state != "running":
@@ -219,27 +219,27 @@
 
     def canary_reports(self) -> tuple[CanaryReport, ...]:
         """Return the canary reports to send to the other gateways."""
-        return tuple(rollout.news() for rollout in self.open())
+        return tuple(rollout.report() for rollout in self.open())
 
-    def hear_groups(self, groups: Sequence[ReceivedGroup]) -> None:
+    def receive_groups(self, groups: Sequence[ReceivedGroup]) -> None:
         """Merge the reports of the other gateways, and evaluate the canaries."""
         for rollout in self.open():
             reports = [
                 report
                 for group in groups
-                for report in group.state.trials
+                for report in group.state.canary_reports
                 if report.service == rollout.order.service
                 and report.order == rollout.revision
             ]
             rollout.has_full_load = rollout.full_load_at is not None or any(
-                report.full for report in reports
+                report.is_full_load for report in reports
             )
             self._evaluate(rollout, reports)
 
     def _evaluate(self, rollout: Rollout, reports: Sequence[CanaryReport]) -> None:
-        if rollout.is_condemned:
+        if rollout.is_rejected:
             return
-        if any(report.condemned for report in reports):
+        if any(report.rejected for report in reports):
             self._reject(rollout, "found by another gateway")
             return
         table: OutcomeTable = {}
@@ -248,9 +248,9 @@
             add_rows(table, report.rows)
         now = self._clock.elapsed()
         # A version that is rejected during the test would be rejected at its end, too.
-        at_end = rollout.trial.evaluate(table, now, final=True)
+        at_end = rollout.analysis.evaluate(table, now, final=True)
         if at_end.is_rejected:
-            verdict = rollout.trial.evaluate(table, now)
+            verdict = rollout.analysis.evaluate(table, now)
             if verdict.is_rejected:
                 self._reject(rollout, verdict.reason)
                 return
@@ -275,7 +275,7 @@
             target=rollout.order.target,
             state=rollout.state,
             revision=rollout.revision,
-            age_s=round(self._time.seconds - rollout.since, 3),
+            age_s=round(self._time.seconds - rollout.first_seen, 3),
             sent=rollout.allowance.sent,
             tried=rollout.allowance.canary_requests,
             **reason,
@@ -298,9 +298,9 @@
             duration=rollout.order.duration,
             is_started=rollout.state != "ordered",
             in_force=rollout.in_force,
-            is_condemned=rollout.is_condemned,
+            is_condemned=rollout.is_rejected,
             is_suspect=rollout.is_suspect or rollout.is_suspected_elsewhere,
-            age=timedelta(seconds=self._time.seconds - rollout.since),
+            age=timedelta(seconds=self._time.seconds - rollout.first_seen),
             filled_for=filled_for,
             targets=targets,
             others=len(listed) - targets,
@@ -315,7 +315,7 @@
             "service": rollout.order.service,
             "target": rollout.order.target,
             "state": rollout.state,
-            "age_s": round(self._time.seconds - rollout.since, 3),
+            "age_s": round(self._time.seconds - rollout.first_seen, 3),
             "duration_s": rollout.order.duration.total_seconds(),
             "sent": rollout.allowance.sent,
             "tried": rollout.allowance.canary_requests,
--- a/src/sassafrasdale/gateway/store_view.py
+++ b/src/sassafrasdale/gateway/store_view.py
@@ -160,20 +160,20 @@
                 prefix=follower.prefix,
                 revision=values.revision,
                 held=since,
-                whole=values.is_whole,
+                whole=values.is_complete,
             )
             follower.apply_peer_values(values, since)
         finally:
             self._fetching.discard(follower.prefix)
 
     def _apply_operator_changes(self, changes: PrefixChanges) -> None:
-        is_news = self._routes is not None
+        is_live = self._routes is not None
         for key, value in changes.written.items():
             if key.startswith(ORDERS_PREFIX):
-                self._apply_order(key, value, is_news=is_news)
+                self._apply_order(key, value, is_live=is_live)
         for key in changes.deleted:
             if key.startswith(ORDERS_PREFIX):
-                self._rollouts.drop_order(ordered_service(key))
+                self._rollouts.withdraw_order(ordered_service(key))
         value = changes.written.get(CONFIGURATION_KEY)
         if value is None:
             return
@@ -200,14 +200,14 @@
             customers=len(configuration.customers),
         )
 
-    def _apply_order(self, key: str, value: bytes, *, is_news: bool) -> None:
+    def _apply_order(self, key: str, value: bytes, *, is_live: bool) -> None:
         try:
             order = decode_order(key, value)
         except ValueMalformed as error:
             log.error("rollout not taken", key=key, why=error.message)
             return
         revision = self._followers[OPERATORS_PREFIX].revision_of(key)
-        self._rollouts.take_order(order, revision, is_news=is_news)
+        self._rollouts.add_order(order, revision, is_live=is_live)
         self._watch_rollouts()
 
     def _watch_rollouts(self) -> None:
@@ -220,7 +220,7 @@
         for key, value in changes.written.items():
             revision = self._followers[STATUS_PREFIX].revision_of(key)
             try:
-                self._rollouts.take_status(decode_status(key, value), revision)
+                self._rollouts.apply_status(decode_status(key, value), revision)
             except ValueMalformed as error:
                 log.error("rollout status malformed", key=key, why=error.message)
 
--- a/tests/gateway/test_duties.py
+++ b/tests/gateway/test_duties.py
@@ -135,6 +135,6 @@
     sleep()
     assert not runs
     order = RolloutOrder("records", "v2", SECOND)
-    duties._rollouts.take_order(order, 5, is_news=True)
+    duties._rollouts.add_order(order, 5, is_live=True)
     sleep()
     assert runs
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -151,7 +151,7 @@
     store.changes = [Changes((Change("p/b", 12, b"3"), Change("p/a", 13, None)), 14)]
     follower.step()
     sent = follower.changes_since(10)
-    assert not sent.is_whole
+    assert not sent.is_complete
     assert (sent.values, sent.deleted) == ({"p/b": b"3"}, {"p/a": 13})
     assert follower.changes_since(13).values == {}
 
@@ -160,7 +160,7 @@
     """Keys that were deleted before this gateway's listing are unknown to it."""
     list_values(store, follower, item("p/a", b"1", 3))
     sent = follower.changes_since(2)
-    assert sent.is_whole
+    assert sent.is_complete
     assert sent.values == {"p/a": b"1"}
 
 
@@ -214,7 +214,7 @@
     last.apply_peer_values(middle.changes_since(since), since)
     assert last.values == middle.values == {"p/b": b"2"}
     sent = middle.changes_since(12)
-    assert (sent.is_whole, sent.deleted) == (False, {"p/a": 13})
+    assert (sent.is_complete, sent.deleted) == (False, {"p/a": 13})
 
 
 def test_deleted_keys_are_not_kept_forever(store, follower):
@@ -225,7 +225,7 @@
         store.changes = [Changes((change,), 20 + number)]
         follower.step()
     assert len(follower.changes_since(100).deleted) <= MAX_DELETED_KEYS
-    assert follower.changes_since(15).is_whole
+    assert follower.changes_since(15).is_complete
 
 
 def test_a_gateway_that_need_not_watch_only_lists(store):
--- a/tests/gateway/test_rollout_model.py
+++ b/tests/gateway/test_rollout_model.py
@@ -35,7 +35,7 @@
 SEEDS = range(int(os.environ.get("ROLLOUT_SEEDS", "12")))
 SECOND = timedelta(seconds=1)
 STEP = timedelta(milliseconds=50)
-NEWS_STEPS = 6
+EXCHANGE_STEPS = 6
 SHARE = 0.1
 SLACK = 50
 MAX_FAILURES = 50
@@ -108,7 +108,7 @@
 class Fleet:
     """Simulated gateways that run one order.
 
-    :param failure_share: fraction of the new version's answers that fail.
+    :param failure_share: fraction of the new version's responses that fail.
     :param faulty_from: time after the order at which it becomes faulty.
     """
 
@@ -123,7 +123,7 @@
         self.faults = faults
         self.records = [record(f"o-{n}", "v1") for n in range(6)]
         self.gateways = [
-            self.start(is_news=True) for _ in range(self.rng.choice([3, 9, 24]))
+            self.start(is_live=True) for _ in range(self.rng.choice([3, 9, 24]))
         ]
         self.sent = self.sampled = 0
         self.failures_at = []
@@ -135,7 +135,7 @@
         self.completed_at = None
         self.failures_at_completion = 0
 
-    def start(self, *, is_news):
+    def start(self, *, is_live):
         rollouts = Rollouts(
             SHARE,
             lambda service: list(self.records),
@@ -143,7 +143,7 @@
             self.clock,
             Random(self.rng.random()),
         )
-        rollouts.take_order(ORDER, ORDERED, is_news=is_news)
+        rollouts.add_order(ORDER, ORDERED, is_live=is_live)
         lease = Lease()
         return Gateway(rollouts, lease, RolloutDuty(lease, self.store, rollouts))
 
@@ -162,7 +162,7 @@
             self.serve()
             if step % 4 == 0:
                 self.do_duties()
-            if step % NEWS_STEPS == 0:
+            if step % EXCHANGE_STEPS == 0:
                 self.exchange()
             if self.state() == "complete":
                 self.records = [rec for rec in self.records if rec.name[0] == "n"]
@@ -199,7 +199,7 @@
 
     def kill(self, number):
         now = self.clock.elapsed()
-        gateway = self.start(is_news=False)
+        gateway = self.start(is_live=False)
         gateway.down_until = now + self.rng.uniform(0.3, 2) * SECOND
         gateway.connected_from = gateway.down_until + RECOVERY_TIME
         self.gateways[number] = gateway
@@ -269,16 +269,16 @@
         stored = None if self.store.is_down else self.store.status()
         for gateway in reachable:
             if stored is not None:
-                gateway.rollouts.take_status(stored[0], stored[1].mod_revision)
-        news = [gateway.rollouts.canary_reports() for gateway in reachable]
+                gateway.rollouts.apply_status(stored[0], stored[1].mod_revision)
+        reports = [gateway.rollouts.canary_reports() for gateway in reachable]
         for number, gateway in enumerate(reachable):
             states = [
-                member(f"g-{other}", trials=trials)
-                for other, trials in enumerate(news)
+                member(f"g-{other}", canary_reports=sent)
+                for other, sent in enumerate(reports)
                 if other != number
             ]
             groups = [ReceivedGroup(group_of(*states))] if states else []
-            gateway.rollouts.hear_groups(groups)
+            gateway.rollouts.receive_groups(groups)
 
 
 def record(name, version):
@@ -319,7 +319,7 @@
     first.duty.step()
     stored = fleet.store.status()[0]
     assert stored.state is RolloutState.RUNNING
-    second.rollouts.take_status(stored, fleet.store.revision)
+    second.rollouts.apply_status(stored, fleet.store.revision)
     rollback = RolloutStatus("models", "v2", RolloutState.ROLLED_BACK)
     second.duty._write_status(second.rollouts.get("models"), rollback.state)
     first.duty._write_status(first.rollouts.get("models"), RolloutState.COMPLETE)
--- a/tests/gateway/test_rollouts.py
+++ b/tests/gateway/test_rollouts.py
@@ -47,10 +47,10 @@
             self.add(f"n-{number}", "records", endpoint, "v2")
 
     def order(self, revision=5, order=ORDER, **fields):
-        self.rollouts.take_order(order, revision, is_news=True, **fields)
+        self.rollouts.add_order(order, revision, is_live=True, **fields)
 
     def set_status(self, state, revision=6):
-        self.rollouts.take_status(status(state), revision)
+        self.rollouts.apply_status(status(state), revision)
 
     def ask_repeatedly(self, count=ENOUGH):
         return [self.ask(request(PATH, f"r-{n}", method="GET")) for n in range(count)]
@@ -84,9 +84,9 @@
     served.order()
     served.set_status(RolloutState.RUNNING)
     served.start_new()
-    answers = served.ask_repeatedly()
+    responses = served.ask_repeatedly()
     assert 0 < served.sampled <= ENOUGH * 0.1
-    assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
+    assert all(response.startswith(b"HTTP/1.1 200") for response in responses)
 
 
 def test_a_failed_canary_request_is_retried_at_the_baseline_version():
@@ -95,9 +95,9 @@
     served.order()
     served.set_status(RolloutState.RUNNING)
     served.start_new()
-    answers = served.ask_repeatedly()
+    responses = served.ask_repeatedly()
     assert served.sampled > 0
-    assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
+    assert all(response.startswith(b"HTTP/1.1 200") for response in responses)
 
 
 def test_a_rejected_version_gets_no_more_requests(served):
@@ -108,8 +108,8 @@
     served.start_new()
     for _ in range(8):
         served.ask_repeatedly(100)
-        served.rollouts.hear_groups(())
-    assert served.rollout.is_condemned
+        served.rollouts.receive_groups(())
+    assert served.rollout.is_rejected
     before = served.sampled
     served.ask_repeatedly(100)
     assert served.sampled == before < 50
@@ -119,9 +119,9 @@
     served.order()
     served.set_status(RolloutState.RUNNING)
     served.start_new()
-    news = CanaryReport("records", 5, condemned=True)
-    heard = group_of(member("b-1", trials=(news,)))
-    served.rollouts.hear_groups([ReceivedGroup(heard)])
+    report = CanaryReport("records", 5, rejected=True)
+    received = group_of(member("b-1", canary_reports=(report,)))
+    served.rollouts.receive_groups([ReceivedGroup(received)])
     served.ask_repeatedly(100)
     assert served.sampled == 0
 
@@ -130,9 +130,9 @@
     """Guards against a verdict on the first order that rejects the second."""
     served.order(revision=9)
     served.set_status(RolloutState.RUNNING, 10)
-    news = CanaryReport("records", 5, condemned=True)
-    served.rollouts.hear_groups(
-        [ReceivedGroup(group_of(member("b-1", trials=(news,))))]
+    report = CanaryReport("records", 5, rejected=True)
+    served.rollouts.receive_groups(
+        [ReceivedGroup(group_of(member("b-1", canary_reports=(report,))))]
     )
     assert served.rollout.state == "running"
 
@@ -144,8 +144,8 @@
     served.start_new()
     for number in range(2):
         served.directory.remove(f"i-{number}")
-    [answer] = served.ask_repeatedly(1)
-    assert answer.startswith(b"HTTP/1.1 503")
+    [response] = served.ask_repeatedly(1)
+    assert response.startswith(b"HTTP/1.1 503")
     assert served.sampled == 0
 
 
@@ -154,7 +154,7 @@
     served.order()
     served.set_status(RolloutState.RUNNING)
     served.start_new()
-    served.rollouts.drop_order("records")
+    served.rollouts.withdraw_order("records")
     served.ask_repeatedly(60)
     assert served.sampled == 0
 
@@ -185,8 +185,8 @@
 def test_the_baseline_version_still_gets_requests(served):
     """Guards against a service left without endpoints by an order for its version."""
     served.order(order=RolloutOrder("records", "v1", 20 * SECOND))
-    [answer] = served.ask_repeatedly(1)
-    assert answer.startswith(b"HTTP/1.1 200")
+    [response] = served.ask_repeatedly(1)
+    assert response.startswith(b"HTTP/1.1 200")
     assert served.rollouts.view(served.rollout).in_force
 
 
@@ -195,10 +195,10 @@
     for number in range(2):
         served.directory.remove(f"i-{number}")
     served.start_new()
-    served.rollouts.take_order(ORDER, 5, is_news=False)
+    served.rollouts.add_order(ORDER, 5, is_live=False)
     assert not served.rollouts.view(served.rollout).in_force
-    [answer] = served.ask_repeatedly(1)
-    assert answer.startswith(b"HTTP/1.1 503")
+    [response] = served.ask_repeatedly(1)
+    assert response.startswith(b"HTTP/1.1 503")
 
 
 def test_the_status_of_an_earlier_order_is_ignored(served):
@@ -207,7 +207,7 @@
     served.set_status(RolloutState.ROLLED_BACK, 6)
     served.order(revision=8)
     assert served.rollout.state == "ordered"
-    served.rollouts.take_status(status(RolloutState.COMPLETE, "v1"), 9)
+    served.rollouts.apply_status(status(RolloutState.COMPLETE, "v1"), 9)
     assert served.rollout.state == "ordered"
     served.set_status(RolloutState.RUNNING, 10)
     assert served.rollout.state == "running"
@@ -254,9 +254,11 @@
     served.set_status(RolloutState.RUNNING)
     served.start_new()
     served.ask_repeatedly(200)
-    news = served.rollout.news()
-    total = group_of(member("a-1", trials=(news,)), member("a-2", trials=(news,)))
-    [summed] = total.trials
+    report = served.rollout.report()
+    total = group_of(
+        member("a-1", canary_reports=(report,)), member("a-2", canary_reports=(report,))
+    )
+    [summed] = total.canary_reports
     assert sum(row.answered for row in summed.rows) == 2 * sum(
         row.answered for row in rows_of(served.rollout.table)
     )
@@ -264,7 +266,7 @@
 
 
 def test_requests_abandoned_by_their_callers_count_as_slow():
-    """Guards against a version so slow that all callers leave before it answers."""
+    """Guards against a version so slow that all callers leave before it responds."""
     served = ServedWorld(lambda sock, _request: sock.recv(100))
     served.order()
     served.set_status(RolloutState.RUNNING)
@@ -287,8 +289,8 @@
     served.start_new()
     served.ask_repeatedly(60)
     group = Group(5 * SECOND, ManualClock())
-    group.record_report(member("a-2", trials=(served.rollout.news(),)))
-    [report] = group.totals(contact("a-1"), concise=True).trials
+    group.record_report(member("a-2", canary_reports=(served.rollout.report(),)))
+    [report] = group.totals(contact("a-1"), concise=True).canary_reports
     assert report.rows == ()
     assert report.order == 5
 
