--- a/src/sassafrasdale/gateway/components.py
+++ b/src/sassafrasdale/gateway/components.py
@@ -319,7 +319,7 @@
         )
 
     def _follows_store(self) -> bool:
-        return self._store_health.is_reached and self.peering.should_watch()
+        return self._store_health.is_reachable and self.peering.should_watch()
 
     def _load(self, service: str) -> float:
         own = self.fleet.work().get(service, 0.0)
--- a/src/sassafrasdale/gateway/dependencies.py
+++ b/src/sassafrasdale/gateway/dependencies.py
@@ -32,7 +32,7 @@
         self._last_success_sent_at: timedelta | None = None
 
     @property
-    def is_reached(self) -> bool:
+    def is_reachable(self) -> bool:
         """Whether the last call got a response."""
         return self._last_success_sent_at is not None and self._lost_at is None
 
--- a/src/sassafrasdale/gateway/metering.py
+++ b/src/sassafrasdale/gateway/metering.py
@@ -26,7 +26,7 @@
 USAGE_RECORD = "sassafrasdale/usage"
 # Counts by customer, by window.
 USAGE_ADAPTER = TypeAdapter(dict[int, dict[str, int]])
-# Longest wait for peers' counts of a window's last moments. The window is reported as
+# Maximum wait for peers' counts of a window's last moments. The window is reported as
 # soon as all peers have reported theirs, since an unreported window is lost if all
 # gateways are killed at once.
 GATHER_TIMEOUT = timedelta(seconds=2)
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -312,17 +312,17 @@
     """Return the total load of the groups at each endpoint."""
     in_flight: Counter[str] = Counter()
     prefill: Counter[str] = Counter()
-    aged: Counter[str] = Counter()
+    weighted_ages: Counter[str] = Counter()
     for group in groups:
         for endpoint, load in group.state.loads.items():
             in_flight[endpoint] += load.in_flight
             prefill[endpoint] += load.prefill_tokens
-            aged[endpoint] += load.prefill_tokens * group.age_s
+            weighted_ages[endpoint] += load.prefill_tokens * group.age_s
     return {
         endpoint: ReportedLoad(
             count,
             prefill[endpoint],
-            timedelta(seconds=aged[endpoint] / max(prefill[endpoint], 1)),
+            timedelta(seconds=weighted_ages[endpoint] / max(prefill[endpoint], 1)),
         )
         for endpoint, count in in_flight.items()
     }
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -92,7 +92,7 @@
         ]
 
     def in_touch(self) -> list[ReceivedGroup]:
-        """Return the groups that were received within the expiry timeout."""
+        """Return the groups that have not expired."""
         return [group for group in self.groups() if group.age <= EXPIRY_TIMEOUT]
 
     def knows_leader(self) -> bool:
@@ -155,7 +155,10 @@
         return 1 + reported + unreported
 
     def reaches_all_zones(self) -> bool:
-        """Return whether others are in touch, for an aggregator from every zone."""
+        """Return whether unexpired totals of other gateways are known.
+
+        An aggregator needs those of every zone.
+        """
         groups = self.in_touch()
         zones = {group.state.aggregator.zone for group in groups}
         if self.is_aggregator and len(zones) < self._zones:
--- a/src/sassafrasdale/gateway/planning.py
+++ b/src/sassafrasdale/gateway/planning.py
@@ -31,14 +31,14 @@
             service.scale,
             _running(directory, service.name, rollouts),
             load(service.name),
-            has_canary=_is_changing(rollouts, service.name),
+            has_canary=_has_open_rollout(rollouts, service.name),
         )
         for service in configuration.services.values()
         if service.scale is not None
     )
 
 
-def _is_changing(rollouts: Rollouts, service: str) -> bool:
+def _has_open_rollout(rollouts: Rollouts, service: str) -> bool:
     rollout = rollouts.get(service)
     return rollout is not None and rollout.is_open
 
--- a/src/sassafrasdale/gateway/scaling.py
+++ b/src/sassafrasdale/gateway/scaling.py
@@ -45,14 +45,14 @@
 MAX_ORDER_DELAY = timedelta(seconds=7)
 # Scale-down delay, as a multiple of the start time of an endpoint. Load comes in waves:
 # an endpoint released in a trough is missing in the next rise until another starts.
-SCALE_DOWN_STARTS = 4
-# Scale-down delay of endpoints that can't be reclaimed. Each costs as much as several
+SCALE_DOWN_FACTOR = 4
+# The same for endpoints that can't be reclaimed. Each costs as much as several
 # reclaimable ones, and is released only while the rest can carry the load without any
-# one zone. One start time instead of two saves 0.01 of worth in the prices of a day.
-SCALE_DOWN_STARTS_ON_DEMAND = 1
-# Scale-down delay of a new leader. It doesn't know how long ago the load fell, and what
+# single zone. One start time instead of two saves 0.01 of worth in the prices of a day.
+ON_DEMAND_SCALE_DOWN_FACTOR = 1
+# The same for a new leader. It doesn't know how long ago the load fell, and what
 # its predecessor ordered must have had time to start.
-SCALE_DOWN_STARTS_NEW_LEADER = 1.5
+NEW_LEADER_SCALE_DOWN_FACTOR = 1.5
 # Time from the first listed endpoint of a service until all running ones are listed.
 LISTING_TIME = timedelta(seconds=2.5)
 # A service without a listed endpoint for this long has none running.
@@ -63,7 +63,7 @@
 MIN_LOAD = 0.05
 # Time from the start of a load until its average can be extrapolated.
 LOAD_WARMUP = timedelta(seconds=1.2)
-# Until then, endpoints found running count as loaded to this fraction of the planned
+# Until then, endpoints that already ran count as loaded to this fraction of the planned
 # utilization.
 ASSUMED_UTILIZATION = 1.0
 
@@ -273,11 +273,11 @@
         now = self._clock.elapsed()
         start_time = service.bounds.start_time
         delay = start_time * (
-            SCALE_DOWN_STARTS if key.reclaimable else SCALE_DOWN_STARTS_ON_DEMAND
+            SCALE_DOWN_FACTOR if key.reclaimable else ON_DEMAND_SCALE_DOWN_FACTOR
         )
         if service.service not in self._services_ordered:
             self._scale_down_since[key] = (
-                now - delay + start_time * SCALE_DOWN_STARTS_NEW_LEADER
+                now - delay + start_time * NEW_LEADER_SCALE_DOWN_FACTOR
             )
         since = self._scale_down_since.setdefault(key, now)
         return now - since >= delay
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -152,15 +152,15 @@
     def _state(self, own: Contact) -> MemberState:
         counted = self.peering.counted_usage("lab")
         limit = limit_usage(self.demand, self.spent, counted=counted, share=self.share)
-        spent = {"lab": limit} if self.demand or self.spent else {}
+        usage = {"lab": limit} if self.demand or self.spent else {}
         if self.limits is not None:
-            spent = self.limits.report()
+            usage = self.limits.report()
         return MemberState(
             own,
             self.time.reading(),
             revisions={"p/": self.revision},
             loads=dict(self.loads),
-            limit_usage=spent,
+            limit_usage=usage,
             engine_time=dict(self.engine_time),
             duty=self.duty,
             follows_store=self.follows_store,
--- a/tests/gateway/test_dependencies.py
+++ b/tests/gateway/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Health of a dependency, derived from failed and answered calls."""
+"""Health of a dependency, derived from failed and successful calls."""
 
 from datetime import timedelta
 
@@ -16,43 +16,43 @@
 
 
 @pytest.fixture
-def regained():
+def recoveries():
     return []
 
 
 @pytest.fixture
-def store(clock, regained):
-    dependency = Dependency("store", clock, lambda: regained.append(clock.elapsed()))
+def store(clock, recoveries):
+    dependency = Dependency("store", clock, lambda: recoveries.append(clock.elapsed()))
     dependency.succeeded(clock.elapsed())
     return dependency
 
 
-def test_an_outage_and_its_end(clock, store, regained):
+def test_an_outage_and_its_end(clock, store, recoveries):
     clock.advance(SECOND)
     store.failed(OSError("no answer"), SECOND)
-    assert not store.is_reached
-    assert regained == []
+    assert not store.is_reachable
+    assert recoveries == []
     clock.advance(SECOND)
     store.succeeded(2 * SECOND)
-    assert store.is_reached
-    assert regained == [2 * SECOND]
+    assert store.is_reachable
+    assert recoveries == [2 * SECOND]
     assert store.since_failure == SECOND
 
 
-def test_a_call_from_before_the_recovery_is_no_second_outage(clock, store, regained):
+def test_a_call_from_before_the_recovery_is_no_second_outage(clock, store, recoveries):
     """Guards against peers that stop relying on a gateway that follows the store.
 
     A call is sent during an outage and times out seconds after the store has recovered
-    and has answered a call that was sent later.
+    and has responded to a call that was sent later.
     """
     clock.advance(SECOND)
     store.failed(OSError("no answer"), SECOND)
     store.succeeded(3 * SECOND)
     store.failed(OSError("no answer in time"), 2 * SECOND)
-    assert store.is_reached
-    assert len(regained) == 1
+    assert store.is_reachable
+    assert len(recoveries) == 1
 
 
-def test_answers_without_an_outage_call_nothing(store, regained):
+def test_responses_without_an_outage_call_nothing(store, recoveries):
     store.succeeded(SECOND)
-    assert regained == []
+    assert recoveries == []
--- a/tests/gateway/test_duty_model.py
+++ b/tests/gateway/test_duty_model.py
@@ -38,13 +38,13 @@
         self.orders = []
 
     def report_usage(self, window, counts, number):
-        self._call("usage", number, lambda: self._take_usage(window, dict(counts)))
+        self._call("usage", number, lambda: self._record_usage(window, dict(counts)))
 
     def order_endpoints(self, service, zone, count, number, *, reclaimable):
-        taken = (number, zone, reclaimable, count)
-        self._call(zone, number, lambda: self.orders.append(taken))
+        order = (number, zone, reclaimable, count)
+        self._call(zone, number, lambda: self.orders.append(order))
 
-    def _take_usage(self, window, counts):
+    def _record_usage(self, window, counts):
         self.usage.setdefault(window, []).append(counts)
 
     def _call(self, subject, number, effect):
@@ -209,8 +209,8 @@
 
     @invariant()
     def one_leader_at_a_time(self):
-        holders = [each for each in self.fleet if each.lease.state != "seeking"]
-        assert len(holders) <= 1
+        leaders = [each for each in self.fleet if each.lease.state != "seeking"]
+        assert len(leaders) <= 1
 
     @invariant()
     def one_count_for_a_window(self):
--- a/tests/gateway/test_follower.py
+++ b/tests/gateway/test_follower.py
@@ -27,10 +27,10 @@
         return self.snapshots.pop(0)
 
     def follow(self, prefix, after, limit):
-        answer = self.changes.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        response = self.changes.pop(0)
+        if isinstance(response, Exception):
+            raise response
+        return response
 
 
 def item(key: str, value: bytes, revision: int) -> StoredValue:
@@ -256,8 +256,8 @@
     clock = SystemClock()
     follower = Follower("p/", store, print, Dependency("s", clock), clock, Random(1))
     store.snapshots = [Snapshot((), 10)]
-    answers = [Changes((), 11)] * 50
-    store.changes = [StoreNotReached("down"), StoreNotReached("down"), *answers]
+    responses = [Changes((), 11)] * 50
+    store.changes = [StoreNotReached("down"), StoreNotReached("down"), *responses]
     logs = LogRecorder()
     with logs.applicationbound():
         task = spawn(follower.run)
--- a/tests/gateway/test_metering.py
+++ b/tests/gateway/test_metering.py
@@ -21,19 +21,19 @@
     """A store of one key, whose responses to writes may be lost."""
 
     def __init__(self):
-        self.held = None
+        self.stored = None
         self.revision = 0
         self.loses_responses = False
 
     def get(self, key):
-        return self.held
+        return self.stored
 
     def compare_and_swap(self, key, value, mod_revision):
         assert key == USAGE_RECORD
-        if mod_revision != (self.held.mod_revision if self.held else 0):
-            return Swap(False, 0, self.held)
+        if mod_revision != (self.stored.mod_revision if self.stored else 0):
+            return Swap(False, 0, self.stored)
         self.revision += 1
-        self.held = StoredValue(key, value, self.revision, 1)
+        self.stored = StoredValue(key, value, self.revision, 1)
         if self.loses_responses:
             raise StoreAnswerLost("lost")
         return Swap(True, self.revision)
@@ -97,7 +97,7 @@
     world.clock.advance(7 * SECOND)
     world.reporters[0].step()
     (window, counts, _) = world.platform.reports[0]
-    assert json.loads(world.store.held.value) == {str(window): counts}
+    assert json.loads(world.store.stored.value) == {str(window): counts}
 
 
 def test_a_later_leader_sends_the_same_counts():
--- a/tests/gateway/test_peering.py
+++ b/tests/gateway/test_peering.py
@@ -103,12 +103,14 @@
     zone's preferred aggregator.
     """
     [first] = fleet.aggregators("a")
-    cut = next(name for name in fleet.nodes if name.startswith("a") and name != first)
-    fleet.cuts |= {(cut, first), (first, cut)}
-    set_load(fleet, cut, 300)
+    separated = next(
+        name for name in fleet.nodes if name.startswith("a") and name != first
+    )
+    fleet.cuts |= {(separated, first), (first, separated)}
+    set_load(fleet, separated, 300)
     set_load(fleet, "c-2", 50)
     fleet.play(4)
-    assert fleet.nodes[cut].known_load("i-1") == 50
+    assert fleet.nodes[separated].known_load("i-1") == 50
     assert fleet.nodes["b-0"].known_load("i-1") == 350
     assert fleet.nodes[first].known_load("i-1") == 350
 
@@ -125,8 +127,10 @@
     fleet.play(3)
     for name, node in fleet.nodes.items():
         assert node.peering.gateway_count() == 10
-        old = [group for group in node.peering.groups() if group.age > CONTACT_TIMEOUT]
-        zones = {group.state.aggregator.zone for group in old}
+        silent = [
+            group for group in node.peering.groups() if group.age > CONTACT_TIMEOUT
+        ]
+        zones = {group.state.aggregator.zone for group in silent}
         assert zones == ({"b", "c"} if name[0] == "a" else {"a"})
     fleet.heal()
     fleet.play(6)
@@ -174,8 +178,8 @@
     assert first not in fleet.aggregators("b")
     fleet.kill(first)
     fleet.play(1)
-    living = [node for name, node in fleet.nodes.items() if name != first]
-    assert {node.peering.gateway_count() for node in living} == {9}
+    remaining = [node for name, node in fleet.nodes.items() if name != first]
+    assert {node.peering.gateway_count() for node in remaining} == {9}
 
 
 def test_invalid_reports_are_refused_and_change_nothing(fleet):
@@ -239,17 +243,17 @@
     An aggregator's response with the last counts of a window came after the timeout.
     The window did not change later, so its counts were not sent again.
     """
-    [asking], [asked] = fleet.aggregators("a"), fleet.aggregators("b")
+    [exchanging], [responding] = fleet.aggregators("a"), fleet.aggregators("b")
     deliver = fleet.deliver
 
     def lose_response(sender, receiver, request):
         response = deliver(sender, receiver, request)
-        if sender in (asking, "c-0", "c-1", "c-2") and receiver == asked:
+        if sender in (exchanging, "c-0", "c-1", "c-2") and receiver == responding:
             raise ResponseTimeout("no answer in time")
         return response
 
     fleet.deliver = lose_response
-    fleet.nodes[asked].usage = {7: {"lab": 5}}
+    fleet.nodes[responding].usage = {7: {"lab": 5}}
     fleet.play(1.2)
     fleet.deliver = deliver
     fleet.play(SETTLE_SECONDS)
@@ -388,11 +392,11 @@
     """Nobody would poll in the slots of gateways that cannot report what they find."""
     large = Fleet({"a": 3, "b": 3, "c": 3})
     large.play(SETTLE_SECONDS)
-    cut_off = [name for name, node in large.nodes.items() if node.zone == "c"]
-    for name in cut_off:
+    partitioned = [name for name, node in large.nodes.items() if node.zone == "c"]
+    for name in partitioned:
         large.cut(name)
     large.play(EXPIRY_TIMEOUT.total_seconds())
-    others = [node for name, node in large.nodes.items() if name not in cut_off]
+    others = [node for name, node in large.nodes.items() if name not in partitioned]
     slots = [node.peering.poll_slot() for node in others]
     assert sorted(slot.index for slot in slots) == list(range(6))
     assert {slot.count for slot in slots} == {6}
@@ -441,11 +445,11 @@
         fleet.play(SETTLE_SECONDS)
         fleet.bytes.clear()
         fleet.play(5)
-        sums = aggregators_of(fleet)
+        aggregators = aggregators_of(fleet)
         member_rates[zone_size] = (
-            max(fleet.bytes[n] for n in fleet.nodes if n not in sums) / 5
+            max(fleet.bytes[n] for n in fleet.nodes if n not in aggregators) / 5
         )
-        aggregator_rates[zone_size] = max(fleet.bytes[name] for name in sums) / 5
+        aggregator_rates[zone_size] = max(fleet.bytes[name] for name in aggregators) / 5
     assert member_rates[60] < 1.2 * member_rates[10] < 20_000
     assert aggregator_rates[60] < 250_000
 
--- a/tests/gateway/test_poller.py
+++ b/tests/gateway/test_poller.py
@@ -135,13 +135,13 @@
         self.follower = Follower(
             "p/", self.client, lambda revised: None, dependency, clock, rng
         )
-        self.polling = Poller(
+        self.poller = Poller(
             [self.follower], self.client, lambda: slot, ClusterTime(clock), DELAY
         )
-        self.tasks = [spawn(self.follower.run), spawn(self.polling.run)]
+        self.tasks = [spawn(self.follower.run), spawn(self.poller.run)]
 
     def fetch_from(self, other):
-        """Apply what another gateway knows later, as reports between gateways do."""
+        """Apply newer changes that another gateway knows, as reports do."""
         since = self.follower.changed_revision
         if other.follower.changed_revision > since:
             self.follower.apply_peer_values(other.follower.changes_since(since), since)
--- a/tests/gateway/test_quotas.py
+++ b/tests/gateway/test_quotas.py
@@ -15,7 +15,7 @@
 
 SECOND = timedelta(seconds=1)
 # Steps of 10 ms: when gateways are partitioned, and when demand moves to other ones.
-CUT, MOVED, END = 600, 700, 2000
+PARTITION_STEP, MOVE_STEP, END_STEP = 600, 700, 2000
 CUSTOMER = Customer(
     "lab", frozenset(), 1000, 500, counts_tokens=True, default_tokens=50
 )
@@ -53,9 +53,9 @@
     clock = ManualClock()
     quotas = Quotas(bounds(), lambda: 1, clock, rng=Random(5))
     assert quotas.admit(CUSTOMER, tokens(2000)) is None
-    pause = quotas.admit(CUSTOMER, tokens(10))
-    assert pause > SECOND
-    clock.advance(pause + timedelta(milliseconds=10))
+    delay = quotas.admit(CUSTOMER, tokens(10))
+    assert delay > SECOND
+    clock.advance(delay + timedelta(milliseconds=10))
     assert quotas.admit(CUSTOMER, tokens(10)) is None
 
 
@@ -73,7 +73,7 @@
         Quotas(bounds(), lambda: gateways, clock, rng=Random(5))
         for _ in range(gateways)
     ]
-    spent = 0.0
+    admitted_tokens = 0.0
     backlogs = [0.0] * gateways
     for step in range(1600):
         clock.advance(timedelta(milliseconds=10))
@@ -82,10 +82,10 @@
             while backlogs[number] >= 20:
                 backlogs[number] -= 20
                 if quotas.admit(CUSTOMER, tokens(20)) is None and step >= 800:
-                    spent += 20
+                    admitted_tokens += 20
         if exchanging and step % 40 == 0:
             _exchange(fleet, clock)
-    return spent
+    return admitted_tokens
 
 
 def test_shares_add_up_to_the_limit():
@@ -94,8 +94,8 @@
     Its requests arrive unevenly at nine gateways, at five times its limit.
     """
     weights = [0.4, 0.2, 0.1, 0.1, 0.1, 0.05, 0.05, 0.0, 0.0]
-    spent = _admitted_tokens(9, True, weights)
-    assert 0.9 * 8000 < spent < 1.1 * 8000 + 500
+    admitted_tokens = _admitted_tokens(9, True, weights)
+    assert 0.9 * 8000 < admitted_tokens < 1.1 * 8000 + 500
 
 
 def test_gateways_without_contact_stay_within_the_limit():
@@ -103,8 +103,8 @@
 
     No reports pass between the gateways; each uses an equal share.
     """
-    spent = _admitted_tokens(9, False, [1 / 9] * 9)
-    assert spent < 1.1 * 8000 + 500
+    admitted_tokens = _admitted_tokens(9, False, [1 / 9] * 9)
+    assert admitted_tokens < 1.1 * 8000 + 500
 
 
 def test_a_customer_below_its_limit_is_served_wherever_it_comes():
@@ -130,13 +130,13 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True)
 @given(
-    cut=st.sets(st.integers(0, 5), max_size=6),
+    partitioned=st.sets(st.integers(0, 5), max_size=6),
     hot=st.lists(st.floats(0, 1), min_size=6, max_size=6),
     later=st.lists(st.floats(0, 1), min_size=6, max_size=6),
 )
-@example(cut={0, 1, 2}, hot=[0.1] * 6, later=[1, 1, 1, 0, 0, 0])
-@example(cut={0, 1, 2}, hot=[0.1] * 6, later=[1] * 6)
-def test_limits_hold_in_partitions(cut, hot, later):
+@example(partitioned={0, 1, 2}, hot=[0.1] * 6, later=[1, 1, 1, 0, 0, 0])
+@example(partitioned={0, 1, 2}, hot=[0.1] * 6, later=[1] * 6)
+def test_limits_hold_in_partitions(partitioned, hot, later):
     """A customer would get several times its limit through partitioned gateways.
 
     Some gateways lose contact with all others, which is detected some time later.
@@ -145,35 +145,37 @@
     """
     clock = ManualClock()
     fleet = [Quotas(bounds(), lambda: 6, clock, rng=Random(5)) for _ in range(6)]
-    spent = []
-    for step in range(END):
+    admitted_tokens = []
+    for step in range(END_STEP):
         clock.advance(timedelta(milliseconds=10))
-        demand = hot if step < MOVED else later
+        demand = hot if step < MOVE_STEP else later
         for number, quotas in enumerate(fleet):
             if step % 2 == 0 and demand[number] > 0.05:
-                asked = tokens(int(60 * demand[number]))
-                if quotas.admit(CUSTOMER, asked) is None:
-                    spent.append((step, asked.prompt_tokens))
+                traits = tokens(int(60 * demand[number]))
+                if quotas.admit(CUSTOMER, traits) is None:
+                    admitted_tokens.append((step, traits.prompt_tokens))
         if step % 40 == 0:
-            _exchange(fleet, clock, cut if step >= CUT else set())
-    for end in range(800, END + 1, 50):
-        in_window = sum(size for step, size in spent if end - 800 <= step < end)
+            _exchange(fleet, clock, partitioned if step >= PARTITION_STEP else set())
+    for end in range(800, END_STEP + 1, 50):
+        in_window = sum(
+            size for step, size in admitted_tokens if end - 800 <= step < end
+        )
         allowed = (8 * CUSTOMER.rate + CUSTOMER.burst) * 1.1 + 400
         assert in_window <= allowed
 
 
-def _exchange(fleet, clock, cut=frozenset()):
+def _exchange(fleet, clock, partitioned=frozenset()):
     """Give each gateway the totals of the others, one group per gateway.
 
-    :param cut: numbers of the partitioned gateways; the others still get their last
-        totals, with the age.
+    :param partitioned: numbers of the partitioned gateways; the others still get their
+        last totals, with the age.
     """
     for number, quotas in enumerate(fleet):
-        if number not in cut:
+        if number not in partitioned:
             state = member(str(number), zone=str(number), limit_usage=quotas.report())
             quotas.last_totals = (group_of(state), clock.elapsed())
     for number, quotas in enumerate(fleet):
-        if number in cut:
+        if number in partitioned:
             continue
         quotas.receive_groups(
             [
@@ -289,7 +291,7 @@
             rng,
         )
         node.limits = quotas[name]
-    admitted = refused = asked = 0
+    admitted = refused = requests = 0
     fleet.play(3)
     backlog = 0.0
     while fleet.clock.elapsed().total_seconds() < seconds:
@@ -299,12 +301,12 @@
             size = rng.choice([900, 1800, 2400, 9000, 30_000])
             backlog -= size
             name = rng.choice(list(quotas))
-            pause = quotas[name].admit(customer, tokens(size))
+            delay = quotas[name].admit(customer, tokens(size))
             if fleet.clock.elapsed().total_seconds() > 8:
-                asked += 1
-                refused += pause is not None
-                admitted += size if pause is None else 0
-    return admitted / (seconds - 8), refused / asked
+                requests += 1
+                refused += delay is not None
+                admitted += size if delay is None else 0
+    return admitted / (seconds - 8), refused / requests
 
 
 def test_sixty_gateways_share_one_limit():
--- a/tests/gateway/test_records.py
+++ b/tests/gateway/test_records.py
@@ -39,21 +39,21 @@
     assert second.read() == {2: "b"}
 
 
-def test_a_record_is_read_again_after_a_lost_answer(store):
-    held = record(store)
-    held.read()
+def test_a_record_is_read_again_after_a_lost_response(store):
+    duty_record = record(store)
+    duty_record.read()
     store.faults = ["lost_after"]
     with pytest.raises(StoreAnswerLost):
-        held.write({1: "a"})
-    assert not held.is_known
-    assert held.read() == {1: "a"}
+        duty_record.write({1: "a"})
+    assert not duty_record.is_known
+    assert duty_record.read() == {1: "a"}
 
 
 @pytest.mark.parametrize("value", [b"", b"{", b"[1]", b'{"a": 1}'])
 def test_a_malformed_record_is_replaced(store, value):
     """Guards against a duty that stops for good as each new leader fails to start."""
     store.compare_and_swap("duty", value, 0)
-    held = record(store)
-    assert held.read() is None
-    held.write({1: "a"})
-    assert held.read() == {1: "a"}
+    duty_record = record(store)
+    assert duty_record.read() is None
+    duty_record.write({1: "a"})
+    assert duty_record.read() == {1: "a"}
--- a/tests/gateway/test_rollout_model.py
+++ b/tests/gateway/test_rollout_model.py
@@ -131,7 +131,7 @@
         self.number = 0
         self.store_down_until = timedelta()
         self.store_back_at = timedelta()
-        self.began = self.clock.elapsed()
+        self.started_at = self.clock.elapsed()
         self.completed_at = None
         self.failures_at_completion = 0
 
@@ -149,7 +149,7 @@
 
     @property
     def age(self):
-        return self.clock.elapsed() - self.began
+        return self.clock.elapsed() - self.started_at
 
     def run(self):
         steps = int((ORDER.duration + 8 * SECOND) / STEP)
@@ -166,9 +166,9 @@
                 self.exchange()
             if self.state() == "complete":
                 self.records = [rec for rec in self.records if rec.name[0] == "n"]
-                self.note_completed()
+                self.record_completion()
 
-    def note_completed(self):
+    def record_completion(self):
         if self.completed_at is None:
             self.completed_at = self.age
             self.failures_at_completion = len(self.failures_at)
@@ -220,9 +220,9 @@
             return
         chosen = rng.choice(candidates)
         rollouts.note_send(chosen, route)
-        on_trial = chosen.endpoint.version == "v2"
+        is_canary = chosen.endpoint.version == "v2"
         fails = (
-            on_trial
+            is_canary
             and self.age >= self.faulty_from
             and rng.random() < self.failure_share
         )
@@ -231,8 +231,8 @@
         if self.age > ORDER.duration:
             return
         self.sent += 1
-        self.sampled += on_trial
-        if on_trial and len(self.failures_at) >= MAX_FAILURES:
+        self.sampled += is_canary
+        if is_canary and len(self.failures_at) >= MAX_FAILURES:
             self.record_late_request(gateway)
         if fails:
             self.failures_at.append(self.clock.elapsed())
--- a/tests/gateway/test_scaling.py
+++ b/tests/gateway/test_scaling.py
@@ -32,7 +32,9 @@
         self.orders.append((zone, reclaimable, count, number))
 
     def wanted(self):
-        return {(zone, spot): count for zone, spot, count, _ in self.orders}
+        return {
+            (zone, reclaimable): count for zone, reclaimable, count, _ in self.orders
+        }
 
 
 class Record:
@@ -112,14 +114,16 @@
     scaled.cloud.unavailable = {"a", "b"}
     scaled.load = 2.0
     scaled.pass_time(4 * SECOND)
-    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    on_demand = sum(
+        n for (_, reclaimable), n in scaled.cloud.wanted().items() if not reclaimable
+    )
     assert on_demand >= 4
     scaled.cloud.unavailable = set()
     scaled.pass_time(4 * SECOND)
-    assert any(spot for _, spot in scaled.cloud.wanted())
+    assert any(reclaimable for _, reclaimable in scaled.cloud.wanted())
 
 
-def test_a_new_term_repeats_all_orders():
+def test_a_new_term_resends_all_orders():
     scaled = ScaledService()
     scaled.load = 1.0
     scaled.pass_time(2 * SECOND)
@@ -184,7 +188,9 @@
     scaled.pass_time(SECOND)
     scaled.load = 3.0 * 0.45
     scaled.pass_time(2 * SECOND)
-    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    on_demand = sum(
+        n for (_, reclaimable), n in scaled.cloud.wanted().items() if not reclaimable
+    )
     assert on_demand >= 4
 
 
@@ -197,7 +203,9 @@
     scaled.scaler = scaled.new_scaler()
     scaled.cloud.orders.clear()
     scaled.pass_time(6 * SECOND)
-    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    on_demand = sum(
+        n for (_, reclaimable), n in scaled.cloud.wanted().items() if not reclaimable
+    )
     # No more than are running.
     assert on_demand <= 4
 
@@ -229,8 +237,11 @@
     writes = scaled.record.writes
     scaled.pass_time(6 * SECOND)
     assert scaled.record.writes == writes
-    held = {(zone, spot): count for _, zone, spot, count in scaled.record.document}
-    assert held == scaled.cloud.wanted()
+    recorded = {
+        (zone, reclaimable): count
+        for _, zone, reclaimable, count in scaled.record.document
+    }
+    assert recorded == scaled.cloud.wanted()
 
 
 def test_orders_continue_while_the_record_cannot_be_written():
@@ -245,7 +256,9 @@
         scaled.pass_time(SECOND)
     scaled.record.failing = False
     scaled.pass_time(SECOND)
-    on_demand = sum(n for (_, spot), n in scaled.cloud.wanted().items() if not spot)
+    on_demand = sum(
+        n for (_, reclaimable), n in scaled.cloud.wanted().items() if not reclaimable
+    )
     assert on_demand >= 6
     assert scaled.record.document
 
@@ -293,7 +306,7 @@
 def test_endpoints_reclaimed_while_others_start_are_replaced_at_once():
     """Guards against a replacement of a reclaimed zone that is six seconds late.
 
-    More endpoints were ordered a moment ago, and the order isn't repeated while they
+    More endpoints were ordered a moment ago, and the order isn't sent again while they
     start. Meanwhile the platform reclaims the running ones.
     """
     scaled = ScaledService()
@@ -309,10 +322,10 @@
     assert ("a", True) in scaled.cloud.wanted()
 
 
-def test_orders_are_repeated_if_the_platform_checks_no_fencing_numbers():
+def test_orders_are_resent_if_the_platform_checks_no_fencing_numbers():
     """Guards against the permanent loss of half of the endpoints.
 
-    A former leader's order got no answer and is carried out after the new leader's.
+    A former leader's order got no response and is carried out after the new leader's.
     The platform doesn't check fencing numbers and follows the older order.
     """
     scaled = ScaledService()
@@ -333,8 +346,11 @@
     """
     scaled = ScaledService()
     scaled.load = 0.5
-    on_demand, spots = OrderKey("models", "a", False), OrderKey("models", "a", True)
-    scaled.running = {on_demand: 1, spots: 7}
+    on_demand, reclaimable_key = (
+        OrderKey("models", "a", False),
+        OrderKey("models", "a", True),
+    )
+    scaled.running = {on_demand: 1, reclaimable_key: 7}
     scaled.pass_time(40 * SECOND)
     scaled.load = 2.0
     scaled.pass_time(SECOND / 2)
--- a/tests/gateway/test_stale_load_reports.py
+++ b/tests/gateway/test_stale_load_reports.py
@@ -13,8 +13,8 @@
 SETTING = RunSettings(slowness=(1, 1, 1.3, 1, 1), load=1.3, seconds=40)
 
 
-def late_share(ways: Mechanisms) -> float:
-    rows = [play(SETTING, seed, ways) for seed in SEEDS]
+def late_share(mechanisms: Mechanisms) -> float:
+    rows = [play(SETTING, seed, mechanisms) for seed in SEEDS]
     return fmean(row.late["report"] for row in rows)
 
 
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -213,12 +213,12 @@
         )
         peering = single_peering(CLOCK, self.rng)
         cache = CacheEstimate()
-        paces = EngineStepTimes()
+        step_times = EngineStepTimes()
         self.fleet = Fleet(
             self.directory,
-            Placement("a", cache, paces, self.rng),
+            Placement("a", cache, step_times, self.rng),
             cache,
-            paces,
+            step_times,
             peering,
             self.usage,
             lambda: self.routes.configuration,
