--- a/src/sassafrasdale/gateway/canary_reports.py
+++ b/src/sassafrasdale/gateway/canary_reports.py
@@ -45,7 +45,7 @@
     :param rows: outcomes since the order.
     :param rejected: whether the version was rejected as faulty.
     :param suspect: whether it would be rejected if the test ended now.
-    :param is_full_load: whether the leader runs the canary at full load.
+    :param is_full_share: whether the leader gives the canary its full share.
     """
 
     service: str
@@ -53,7 +53,7 @@
     rows: tuple[OutcomeRow, ...] = ()
     rejected: bool = False
     suspect: bool = False
-    is_full_load: bool = False
+    is_full_share: bool = False
 
 
 def group_of(endpoint: str) -> str:
@@ -83,11 +83,11 @@
     for report in reports:
         key = (report.service, report.order)
         add_rows(tables.setdefault(key, {}), report.rows)
-        rejected, suspect, full_load = flags.get(key, (False, False, False))
+        rejected, suspect, full_share = flags.get(key, (False, False, False))
         flags[key] = (
             rejected or report.rejected,
             suspect or report.suspect,
-            full_load or report.is_full_load,
+            full_share or report.is_full_share,
         )
     return tuple(
         CanaryReport(service, order, rows_of(table), *flags[service, order])
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -240,7 +240,7 @@
 class GroupUpdate(Message):
     """State that two aggregators exchange, as request and as response.
 
-    :param aggregators: other aggregators that the sender heard from recently.
+    :param aggregators: other aggregators whose updates the sender got recently.
     :param usage: rows that the receiver may lack.
     :param usage_complete_since: time up to which these rows are complete, in seconds
         since 1970; None if the update has no rows.
--- a/src/sassafrasdale/gateway/rollout.py
+++ b/src/sassafrasdale/gateway/rollout.py
@@ -51,10 +51,10 @@
         self.first_seen = first_seen
         self.status_revision = 0
         self.ended_at = timedelta()
-        self.full_load_at: timedelta | None = None
+        self.full_share_at: timedelta | None = None
         self.is_suspect = False
         self.is_suspected_elsewhere = False
-        self.has_full_load = False
+        self.has_full_share = False
         self.is_sampled = False
         self.table: OutcomeTable = {}
         self.analysis = CanaryAnalysis(SEQUENTIAL_TEST)
@@ -118,5 +118,5 @@
             rows_of(self.table),
             self.is_rejected,
             self.is_suspect,
-            self.full_load_at is not None,
+            self.full_share_at is not None,
         )
--- a/src/sassafrasdale/gateway/rollout_duty.py
+++ b/src/sassafrasdale/gateway/rollout_duty.py
@@ -106,7 +106,7 @@
             case RolloutAction.WAIT:
                 return
             case RolloutAction.FULL_SHARE:
-                self._rollouts.start_full_load(rollout)
+                self._rollouts.start_full_share(rollout)
             case RolloutAction.START:
                 self._write_status(rollout, RolloutState.RUNNING)
             case RolloutAction.COMPLETE:
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -171,9 +171,9 @@
         if not targets:
             return ()
         rollout.is_sampled = True
-        if not rollout.allowance.may_try(route, full=rollout.has_full_load):
+        if not rollout.allowance.may_try(route, full=rollout.has_full_share):
             return ()
-        if rollout.has_full_load:
+        if rollout.has_full_share:
             return targets
         others = len(records) - len(targets)
         count = max(1, round(others * self._share * SAMPLED_FRACTION))
@@ -186,9 +186,9 @@
         rollout = self._rollouts.get(record.endpoint.service)
         if rollout is None or not rollout.is_open:
             return
-        on_trial = rollout.is_target(record)
-        rollout.allowance.note(route, on_trial=on_trial)
-        if on_trial:
+        is_canary = rollout.is_target(record)
+        rollout.allowance.note(route, on_trial=is_canary)
+        if is_canary:
             self._count("request to a version on trial")
 
     def note_first(self, record: EndpointRecord, route: str, took: timedelta) -> None:
@@ -231,8 +231,8 @@
                 if report.service == rollout.order.service
                 and report.order == rollout.revision
             ]
-            rollout.has_full_load = rollout.full_load_at is not None or any(
-                report.is_full_load for report in reports
+            rollout.has_full_share = rollout.full_share_at is not None or any(
+                report.is_full_share for report in reports
             )
             self._evaluate(rollout, reports)
 
@@ -281,10 +281,10 @@
             **reason,
         )
 
-    def start_full_load(self, rollout: Rollout) -> None:
-        """Start the full load on the canary, as the leader."""
-        rollout.full_load_at = self._clock.elapsed()
-        rollout.has_full_load = True
+    def start_full_share(self, rollout: Rollout) -> None:
+        """Give the canary its full share from now on, as the leader."""
+        rollout.full_share_at = self._clock.elapsed()
+        rollout.has_full_share = True
         self._log_state(rollout, reason="at full load")
 
     def view(self, rollout: Rollout) -> RolloutView:
@@ -292,8 +292,8 @@
         listed = self._listed(rollout.order.service)
         targets = len(rollout.targets(listed))
         filled_for = None
-        if rollout.full_load_at is not None:
-            filled_for = self._clock.elapsed() - rollout.full_load_at
+        if rollout.full_share_at is not None:
+            filled_for = self._clock.elapsed() - rollout.full_share_at
         return RolloutView(
             duration=rollout.order.duration,
             is_started=rollout.state != "ordered",
--- a/src/sassafrasdale/gateway/usage.py
+++ b/src/sassafrasdale/gateway/usage.py
@@ -223,15 +223,15 @@
         if window <= self._dropped_up_to:
             return
         self._drop_up_to(window - RETAINED_WINDOWS)
-        held = self._rows.setdefault(key, {})
+        known = self._rows.setdefault(key, {})
         grown = {
             customer: count
             for customer, count in counts.items()
-            if count > held.get(customer, 0)
+            if count > known.get(customer, 0)
         }
         if not grown:
             return
-        held.update(grown)
+        known.update(grown)
         self._version += 1
         self._changed[key] = self._version
 
