--- a/tests/gateway/test_duty_model.py
+++ b/tests/gateway/test_duty_model.py
@@ -15,7 +15,7 @@
 from sassafrasdale.gateway.metering import USAGE_ADAPTER, USAGE_RECORD, UsageReporter
 from sassafrasdale.gateway.peer_states import UsageTotal
 from sassafrasdale.gateway.records import DutyRecord
-from sassafrasdale.gateway.scaling import ORDERS_FORM, ORDERS_RECORD, Scaler
+from sassafrasdale.gateway.scaling import ORDERS_ADAPTER, ORDERS_RECORD, Scaler
 from sassafrasdale.gateway.usage import ClusterTime
 from sassafrasdale.platform.exceptions import DutyCallFailed, DutyCallRefused
 from tests.coordination.fakes import FakeStore
@@ -38,13 +38,13 @@
         self.orders = []
 
     def report_usage(self, window, counts, number):
-        self._call("usage", number, lambda: self._take_usage(window, dict(counts)))
+        self._call("usage", number, lambda: self._record_usage(window, dict(counts)))
 
     def order_endpoints(self, service, zone, count, number, *, reclaimable):
-        taken = (number, zone, reclaimable, count)
-        self._call(zone, number, lambda: self.orders.append(taken))
+        order = (number, zone, reclaimable, count)
+        self._call(zone, number, lambda: self.orders.append(order))
 
-    def _take_usage(self, window, counts):
+    def _record_usage(self, window, counts):
         self.usage.setdefault(window, []).append(counts)
 
     def _call(self, subject, number, effect):
@@ -100,7 +100,7 @@
         self.scaler = Scaler(
             self.lease,
             platform,
-            DutyRecord(store, ORDERS_RECORD, ORDERS_FORM),
+            DutyRecord(store, ORDERS_RECORD, ORDERS_ADAPTER),
             self.view,
             clock,
         )
@@ -209,8 +209,8 @@
 
     @invariant()
     def one_leader_at_a_time(self):
-        holders = [each for each in self.fleet if each.lease.state != "seeking"]
-        assert len(holders) <= 1
+        leaders = [each for each in self.fleet if each.lease.state != "seeking"]
+        assert len(leaders) <= 1
 
     @invariant()
     def one_count_for_a_window(self):
