--- a/src/sassafrasdale/decisions/admission.py
+++ b/src/sassafrasdale/decisions/admission.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Constants of admission control; docs/ADMISSION.md has the sweep of each.
+    """Constants of admission control; docs/ADMISSION.md has a parameter sweep of each.
 
     :param queue_per_slot: queued requests allowed per request in flight.
     :param latency_smoothing: weight of a new latency in the moving averages.
@@ -111,8 +111,8 @@
             case Shed(retry_after=after, reason=reason): ...
 
     After each ``offer``, ``finish``, ``refuse`` and ``cancel``, and periodically, the
-    caller drains ``expire`` (requests shed while they waited) and then
-    ``next_admitted``.
+    caller answers the requests that ``expire`` returns (shed while they waited), and
+    calls ``next_admitted`` until it returns None.
 
     :param limit: concurrency limit, owned by this admission.
     :param rng: source of randomness for the retry-after jitter.
@@ -146,7 +146,7 @@
         self._running_by_customer: Counter[str] = Counter()
         self._evicted: dict[int, Shed] = {}
         self._offered = 0
-        self._empty_at = timedelta()
+        self._last_empty_at = timedelta()
         self._paused_until = timedelta()
 
     @property
@@ -198,9 +198,9 @@
         name = self._customers.name(customer)
         ticket = Ticket(self._offered, name, priority, now, now + remaining)
         self._demand.add(ticket, self._demand_window)
-        exceeded = self._customers.try_take(name, now)
-        if exceeded is not None:
-            return Shed(ticket, exceeded, ShedReason.RATE_LIMIT)
+        wait = self._customers.try_take(name, now)
+        if wait is not None:
+            return Shed(ticket, wait, ShedReason.RATE_LIMIT)
         if not self._queue and self._has_free_slot(now) and self._may_start(name, now):
             self._start(ticket, now)
             return Admit(ticket)
@@ -209,7 +209,7 @@
     def next_admitted(self, now: timedelta) -> Ticket | None:
         """Return the next queued request that may be sent, if any."""
         if not self._queue:
-            self._empty_at = now
+            self._last_empty_at = now
         if not self._has_free_slot(now):
             return None
         ticket = self._queue.take(lambda name: self._may_start(name, now))
@@ -287,11 +287,11 @@
         self._queue.add(ticket, position)
         if len(self._queue) <= self._max_queue_length():
             return Wait(ticket, position)
-        worst = self._queue.evict()
-        shed = self._shed(worst, now, ShedReason.QUEUE_FULL)
-        if worst is ticket:
+        evicted = self._queue.evict()
+        shed = self._shed(evicted, now, ShedReason.QUEUE_FULL)
+        if evicted is ticket:
             return shed
-        self._evicted[worst.number] = shed
+        self._evicted[evicted.number] = shed
         return Wait(ticket, position)
 
     def _has_free_slot(self, now: timedelta) -> bool:
@@ -318,27 +318,32 @@
 
     def _max_wait(self, ticket: Ticket, now: timedelta) -> timedelta:
         if not self._queue:
-            self._empty_at = now
+            self._last_empty_at = now
         return self._wait_bound(now).of(ticket)
 
     def _wait_bound(self, now: timedelta) -> "_WaitBound":
         quantile = self._settings.latency_quantile
         return _WaitBound(
             needed=self._occupancy.quantile(quantile),
-            standing_for=now - self._empty_at,
+            standing_for=now - self._last_empty_at,
             settings=self._settings,
         )
 
     def _expected_wait(self, ticket: Ticket, ahead: int) -> timedelta:
-        """Return the expected wait of a request, with later, more urgent arrivals."""
+        """Return the expected wait of a request.
+
+        More urgent requests of its customer that arrive while it waits go first, so the
+        wait is unbounded if they use up the customer's share.
+        """
         cost = self._occupancy.of(ticket.customer).total_seconds()
-        share = self._limit.value / cost * self._queue.share(ticket.customer)
-        urgent = self._demand.more_urgent_rate(ticket, self._demand_window)
-        if urgent >= share:
+        customer_rate = self._limit.value / cost * self._queue.share(ticket.customer)
+        urgent_rate = self._demand.more_urgent_rate(ticket, self._demand_window)
+        if urgent_rate >= customer_rate:
             return timedelta.max
         work = self._queue.work_before(ticket, ahead, self._cost) + cost
-        seconds = work / self._limit.value / (1 - urgent / share)
-        # If almost no share is left, the quotient exceeds timedelta's range.
+        seconds = work / self._limit.value / (1 - urgent_rate / customer_rate)
+        # If more urgent requests use almost all of the customer's rate, the quotient
+        # exceeds timedelta's range.
         if seconds >= timedelta.max.total_seconds():
             return timedelta.max
         return timedelta(seconds=seconds)
--- a/src/sassafrasdale/decisions/limits.py
+++ b/src/sassafrasdale/decisions/limits.py
@@ -73,7 +73,10 @@
         return self._share
 
     def set_share(self, capacity: int, live_entries: int) -> None:
-        """Set the capacity and the number of entries; keep the learned ratio."""
+        """Set the capacity and the number of entries.
+
+        The ratio of the limit to the share, which was learned, stays the same.
+        """
         share = max(capacity / max(live_entries, 1), self._settings.smallest)
         self._value *= share / self._share
         self._share = share
--- a/src/sassafrasdale/decisions/quotas.py
+++ b/src/sassafrasdale/decisions/quotas.py
@@ -5,12 +5,12 @@
 occasionally. A fixed fraction of the limit per gateway refuses a customer far below its
 limit; and if a fraction may be overdrawn by one request, two hundred gateways admit two
 hundred requests too many. Each gateway therefore tracks the whole limit: it subtracts
-its own usage immediately and that of the other groups when their totals arrive, and
-extrapolates each group's rate until its next report. While more remains than may be
-used before it is reported, any gateway admits requests as long as its own unreported
-usage is within its share of what remains. Near the limit every gateway admits the same
-fraction of its requests, whatever their size, such that together they use what the
-limit is refilled by.
+its own usage immediately and that of the other groups (a group is the gateways that
+report to one aggregator) when their totals arrive, and extrapolates each group's rate
+until its next report. While more remains than may be used before it is reported, any
+gateway admits requests as long as its own unreported usage is within its share of what
+remains. Near the limit every gateway admits the same fraction of its requests, whatever
+their size, such that together they use what the limit is refilled by.
 
 Fixed fractions refused 6.5 of 100 requests of a customer at half of its limit, this
 scheme refuses none (eight gateways, 600 requests of 1,000 to 50,000 tokens). For a
@@ -64,7 +64,7 @@
 class _GroupUsage:
     """A group's total usage at its last report, and its rate until then."""
 
-    spent: float
+    total: float
     reported_at: timedelta
     rate: float = 0.0
 
@@ -90,7 +90,7 @@
         self._used = used
         # Remainder of the initial deficit that has not been refilled yet.
         self._initial_deficit = used
-        self._spent = 0.0
+        self._admitted = 0.0
         self._updated = now
         self._rate = 0.0
         self._unreported: deque[tuple[timedelta, float]] = deque()
@@ -102,7 +102,7 @@
     @property
     def admitted(self) -> float:
         """Tokens admitted here since the start."""
-        return self._spent
+        return self._admitted
 
     def used(self, now: timedelta) -> float:
         """Return the deficit, in tokens: what is missing from a full limit."""
@@ -122,8 +122,8 @@
         """Return what remains of a fraction of the limit; negative if overdrawn.
 
         The initial deficit reduces each fraction proportionally. Usage since then
-        counts in full: a gateway without contact to others has admitted all of it
-        itself.
+        counts in full: a gateway that is not in contact with others has admitted all
+        of it itself.
 
         :param depth: tokens of a full limit.
         :param fraction: fraction of the limit that belongs to the gateways in contact.
@@ -134,7 +134,7 @@
     def record_admitted(self, amount: float, now: timedelta) -> None:
         """Subtract what is admitted here; a negative amount returns it."""
         self._used += amount
-        self._spent += amount
+        self._admitted += amount
         self._unreported.append((now, amount))
 
     def unreported(
@@ -167,18 +167,21 @@
             self._requested.popleft()
         if len(self._requested) < MIN_SURGE_REQUESTS:
             return 0.0
-        # Callers send in bursts, each of which looks like a surge over its short
-        # duration.
+        # Callers send in bursts, whose rate over their own short duration looks like a
+        # surge; hence the minimum.
         span = max(now - self._requested[0][0], propagation_time / 3).total_seconds()
         amounts = [amount for _, amount in self._requested]
         # Leaves out the largest request: one prompt may be as large as forty others.
         return max((sum(amounts) - max(amounts)) / span - average, 0.0)
 
     def add_group_report(
-        self, counter: UsageCounter, spent: float, now: timedelta
+        self, counter: UsageCounter, total: float, now: timedelta
     ) -> None:
         """Subtract the usage of a group since its last report.
 
+        :param counter: the counter that the report is from.
+        :param total: the group's usage since that counter was reset.
+
         The first report of a counter only sets its baseline: earlier usage is part of
         the reported deficit. But a counter that started after the last report of its
         zone has replaced another one, and its whole total is new. Without this
@@ -190,15 +193,15 @@
         self._zone_reported_at[counter.zone] = max(now, reported_at or now)
         if last is None:
             is_successor = reported_at is not None and counter.began_at >= reported_at
-            last = _GroupUsage(0.0 if is_successor else spent, now)
-        delta = spent - last.spent
+            last = _GroupUsage(0.0 if is_successor else total, now)
+        delta = total - last.total
         self._used += delta
         decayed = last.rate * exp(-((now - last.reported_at) / USAGE_WINDOW))
         rate = decayed + delta / USAGE_WINDOW.total_seconds()
-        self._groups[counter.key] = _GroupUsage(spent, now, max(rate, 0.0))
-        self._forget_silent_groups(now)
+        self._groups[counter.key] = _GroupUsage(total, now, max(rate, 0.0))
+        self._forget_old_groups(now)
 
-    def _forget_silent_groups(self, now: timedelta) -> None:
+    def _forget_old_groups(self, now: timedelta) -> None:
         for key, group in list(self._groups.items()):
             if now - group.reported_at > FORGET:
                 del self._groups[key]
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -151,13 +151,16 @@
     assert not fits_unreported(amount=9000, unreported=1, refill=250)
 
 
-def test_burst_is_not_a_surge():
-    """Guards against refusing a customer at half its limit for a burst of three."""
+def test_burst_is_averaged_over_a_minimum_duration():
+    """Guards against refusing a customer at half its limit for a burst of three.
+
+    Over its own duration of two milliseconds the burst would be a large surge.
+    """
     limit = SharedLimit(0.0, ZERO)
     for step in range(3):
         limit.record_request(2000, SECOND * step / 1000)
-    rise = limit.surge(SECOND / 500, SECOND / 2, 3000.0)
-    assert rise == pytest.approx(21_000, rel=0.001)
+    surge = limit.surge(SECOND / 500, SECOND / 2, 3000.0)
+    assert surge == pytest.approx(21_000, rel=0.001)
 
 
 def test_one_large_request_is_not_a_surge():
