--- a/src/sassafrasdale/decisions/affinity.py
+++ b/src/sassafrasdale/decisions/affinity.py
@@ -117,6 +117,7 @@
         self._max_blocks = max_blocks
         self._endpoints: dict[str, _CachedBlocks] = {}
         self._names: dict[int, str] = {}
+        # Endpoints that have each block, one bit for each.
         self._bits_by_block: dict[int, int] = {}
 
     def blocks(self, messages_text: str) -> tuple[int, ...]:
@@ -152,19 +153,19 @@
         return found
 
     def matched_tokens(self, endpoint: str, prefix: Sequence[int]) -> int:
-        """Return the tokens of a prompt that ``endpoint`` is expected to cache."""
+        """Return the tokens of a prompt expected in the cache of ``endpoint``."""
         return self.matches(prefix).get(endpoint, 0)
 
-    def stored(self, endpoint: str, prefix: int) -> None:
+    def stored(self, endpoint: str, block: int) -> None:
         """Apply the event that ``endpoint`` cached a block."""
-        self._add(self._cached(endpoint), prefix)
+        self._add(self._cached(endpoint), block)
 
-    def removed(self, endpoint: str, prefix: int) -> None:
+    def removed(self, endpoint: str, block: int) -> None:
         """Apply the event that ``endpoint`` evicted a block."""
         cached = self._endpoints.get(endpoint)
-        if cached is not None and prefix in cached.order:
-            del cached.order[prefix]
-            self._clear_bit(prefix, cached.bit)
+        if cached is not None and block in cached.order:
+            del cached.order[block]
+            self._clear_bit(block, cached.bit)
 
     def forget(self, endpoint: str) -> None:
         """Remove an endpoint that is gone or was restarted."""
@@ -200,9 +201,9 @@
             self._clear_bit(oldest, cached.bit)
 
     def _clear_bit(self, block: int, bit: int) -> None:
-        left = self._bits_by_block[block] & ~bit
-        if left:
-            self._bits_by_block[block] = left
+        others = self._bits_by_block[block] & ~bit
+        if others:
+            self._bits_by_block[block] = others
         else:
             del self._bits_by_block[block]
 
--- a/src/sassafrasdale/decisions/aggregators.py
+++ b/src/sassafrasdale/decisions/aggregators.py
@@ -46,7 +46,7 @@
     smaller instances have.
 
     :param zone: the availability zone.
-    :param cpu_cores: CPU time per second that each may use, by name.
+    :param cpu_cores: CPU cores that each may use, by name.
     """
     return sorted(
         cpu_cores,
--- a/src/sassafrasdale/decisions/capacity.py
+++ b/src/sassafrasdale/decisions/capacity.py
@@ -53,9 +53,11 @@
     zones = _zone_capacities(demand, staying, offers)
     best = _best_offers(demand, offers, refused, policy)
     survives_zone_loss = not _lost_zones(demand, instances, best)
-    wanted = _target_capacities(zones, best, needed, survives_zone_loss)
-    starts = _start_orders(demand, staying, zones, wanted, best, round_id)
-    planned = {zone: max(held, wanted.get(zone, 0.0)) for zone, held in zones.items()}
+    targets = _target_capacities(zones, best, needed, survives_zone_loss)
+    starts = _start_orders(demand, staying, zones, targets, best, round_id)
+    planned = {
+        zone: max(capacity, targets.get(zone, 0.0)) for zone, capacity in zones.items()
+    }
     shortfall = max(0.0, needed - _usable_capacity(planned, survives_zone_loss))
     if starts or shortfall:
         return CapacityPlan(starts, shortfall)
@@ -186,7 +188,10 @@
     instances: Sequence[RunningInstance],
     best: Mapping[str, InstanceOffer],
 ) -> set[str]:
-    """Return the zones without instances that are reclaimed or have no offers."""
+    """Return the zones that are lost.
+
+    No instance stays there, and either some are leaving or no offer is available.
+    """
     running = {item.availability_zone for item in instances if not item.leaving}
     leaving = {item.availability_zone for item in instances if item.leaving}
     return {
@@ -266,7 +271,7 @@
     needed: float,
     survives_zone_loss: bool,
 ) -> tuple[float, float, float]:
-    """Sort by capacity missing after a zone loss, missing in total, then by price."""
+    """Return the sort key: capacity missing after a zone loss, in total, and price."""
     price = sum(
         (filled[zone] - zones[zone]) / offer.capacity * offer.price_per_hour
         for zone, offer in best.items()
@@ -280,14 +285,14 @@
     demand: ServiceDemand,
     staying: Sequence[RunningInstance],
     zones: Mapping[str, float],
-    wanted: Mapping[str, float],
+    targets: Mapping[str, float],
     best: Mapping[str, InstanceOffer],
     round_id: str,
 ) -> tuple[StartInstance, ...]:
     """Return the starts that bring each zone to its target capacity."""
     orders = []
     for zone, offer in sorted(best.items()):
-        missing = wanted.get(zone, 0.0) - zones[zone]
+        missing = targets.get(zone, 0.0) - zones[zone]
         first = sum(1 for instance in staying if _kind(instance) == _kind(offer))
         for ordinal in range(first, first + max(0, round(missing / offer.capacity))):
             orders.append(_start(offer, demand.service, ordinal, round_id))
@@ -354,6 +359,6 @@
             continue
         offer = prices.best.get(instance.availability_zone) or prices.cheapest()
         if _unit_price(offer) < prices.unit_price(instance):
-            held = sum(1 for other in staying if _kind(other) == _kind(offer))
-            return (_start(offer, demand.service, held, round_id),)
+            running = sum(1 for other in staying if _kind(other) == _kind(offer))
+            return (_start(offer, demand.service, running, round_id),)
     return ()
--- a/src/sassafrasdale/decisions/entitlements.py
+++ b/src/sassafrasdale/decisions/entitlements.py
@@ -10,9 +10,8 @@
 UNKNOWN_CUSTOMER = ""
 """Name under which all customers that the configuration does not list are counted.
 
-They share one place in the fair queue. The caller supplies the customer's name, so that
-with a place for each name a caller could get a larger share of the service by inventing
-names.
+They share one place in the fair queue. The caller supplies the customer's name: if each
+name had a place, a caller could get a larger share of the service by inventing names.
 """
 
 
--- a/src/sassafrasdale/decisions/fetching.py
+++ b/src/sassafrasdale/decisions/fetching.py
@@ -5,8 +5,8 @@
 is a tenth to an eighth of all prefill work. If the link is fast, the cache of another
 engine arrives in a twentieth of the time of the prefill. In the model of engines
 (``bench/placement``, six seeds, a burst of 1.3 times the usual load) 300,000 tokens are
-recomputed on three engines instead of 980,000, and 2.0 of 100 reports are late instead
-of 3.9.
+recomputed on three engines instead of 980,000, and 2.0 of 100 requests of its kind
+``report`` are late instead of 3.9.
 """
 
 from dataclasses import dataclass
--- a/src/sassafrasdale/decisions/load_reports.py
+++ b/src/sassafrasdale/decisions/load_reports.py
@@ -8,8 +8,9 @@
 Reported tokens are therefore assumed to be processed since, and requests are
 distributed over the endpoints whose difference is less than what the others have sent
 there unreported. In the model of engines (``bench/placement``, six seeds, a burst of
-1.3 times the usual load) 2.0 of 100 reports are late on three engines; 3.9 without the
-first measure, 2.3 without the second. On five engines it is 0.3, 0.6 and 1.0.
+1.3 times the usual load) 2.0 of 100 requests of its kind ``report`` are late on three
+engines; 3.9 without the first measure, 2.3 without the second. On five engines it is
+0.3, 0.6 and 1.0.
 """
 
 from dataclasses import dataclass
--- a/src/sassafrasdale/decisions/ordering.py
+++ b/src/sassafrasdale/decisions/ordering.py
@@ -99,7 +99,7 @@
         reserved = MIN_ON_DEMAND if zone == zones[0] else 0
         count = min(on_demand, max(_on_demand_places(service, zone), reserved))
         # Places that reclaimable endpoints do not fill go to on-demand ones. The lower
-        # bound is one of orders: an order counts even if it cannot be filled now.
+        # bound applies to the number ordered, even if the cloud cannot start them now.
         count = max(count, bounds.min_endpoints - per_zone, 0)
         on_demand -= count
         orders[OrderKey(service.service, zone, False)] = count
--- a/src/sassafrasdale/decisions/prefill_speeds.py
+++ b/src/sassafrasdale/decisions/prefill_speeds.py
@@ -46,16 +46,16 @@
         """Prefill time per token."""
         return self._token_time
 
-    def observe(self, unread_tokens: int, took: timedelta) -> None:
+    def observe(self, prefill_tokens: int, took: timedelta) -> None:
         """Record the time to the first token of a request.
 
-        :param unread_tokens: prompt tokens that the engine had to process.
+        :param prefill_tokens: prompt tokens that the engine had to process.
         :param took: time to the first token.
         """
-        if unread_tokens <= MAX_SHORT_PROMPT:
+        if prefill_tokens <= MAX_SHORT_PROMPT:
             self._short.append(took)
-        elif unread_tokens >= MIN_LONG_PROMPT:
-            self._long.append((unread_tokens, took))
+        elif prefill_tokens >= MIN_LONG_PROMPT:
+            self._long.append((prefill_tokens, took))
             self._estimate()
 
     def _estimate(self) -> None:
--- a/src/sassafrasdale/decisions/step_times.py
+++ b/src/sassafrasdale/decisions/step_times.py
@@ -6,7 +6,8 @@
 to estimate it. Prompts ahead of a stream lengthen some gaps, so a low quantile of the
 gaps of each stream is used, and a low quantile over several streams. In the model of
 engines (``bench/placement``, six seeds, a burst of 1.3 times the usual load) 3.3 of 100
-reports are late on three engines without these estimates, and 2.0 with them.
+requests of its kind ``report`` are late on three engines without these estimates, and
+2.0 with them.
 """
 
 from collections import deque
--- a/tests/decisions/test_affinity.py
+++ b/tests/decisions/test_affinity.py
@@ -55,8 +55,8 @@
     keys = [conversation_key((str(n),)) for n in range(500)]
     before = HashRing("abcdef")
     after = HashRing("abcde")
-    homes = [(before.owners(key)[0], after.owners(key)[0]) for key in keys]
-    assert {old for old, new in homes if old != new} == {"f"}
+    owners = [(before.owners(key)[0], after.owners(key)[0]) for key in keys]
+    assert {old for old, new in owners if old != new} == {"f"}
     assert HashRing(()).owners(1) == ("", "")
 
 
