--- a/src/sassafrasdale/decisions/canary.py
+++ b/src/sassafrasdale/decisions/canary.py
@@ -110,9 +110,10 @@
     A mixture of likelihood ratios, valid for any number of responses: the probability
     that a good version ever exceeds the odds is at most the inverse of the odds.
 
-    :param odds: odds that reject a version during the trial.
-    :param final_odds: odds that reject it at the end. A good version that is rolled
-        back can be tried again; a bad one that is completed cannot be taken back.
+    :param odds: odds that reject a version during the rollout.
+    :param final_odds: odds that reject it at the end of the rollout. A good version
+        that is rolled back can be tried again; a bad one that is completed cannot be
+        taken back.
     """
 
     odds: float = 200.0
@@ -148,10 +149,7 @@
 
     def odds(self) -> float:
         """Return the odds that these responses come from a bad version."""
-        logs = [
-            self._log_ratio(self.baseline + excess_share)
-            for excess_share in ALTERNATIVES
-        ]
+        logs = [self._log_ratio(self.baseline + excess) for excess in ALTERNATIVES]
         highest = max(logs)
         mean = sum(exp(value - highest) for value in logs) / len(logs)
         total = highest + log(mean)
@@ -175,7 +173,7 @@
     :param canary: outcomes of the canary version.
     :param baseline: outcomes of the baseline version, over the same time.
     :param rule: evaluation rule.
-    :param final: whether the trial ends now.
+    :param final: whether this is the last evaluation of the rollout.
     """
     finding = _most_significant(canary, baseline, rule, final=final)
     if finding is None:
@@ -217,7 +215,10 @@
 
 
 def _find_check(check: str, rest: OutcomeTable, baseline: OutcomeTable) -> _Comparison:
-    """Return the comparison of a check without the responses of one endpoint."""
+    """Return the comparison of one check.
+
+    :param rest: outcomes of the canary version without those of one endpoint.
+    """
     for comparison in _comparisons(rest, baseline):
         if comparison.check == check:
             return comparison
@@ -231,11 +232,11 @@
     overall = _sum(baseline_routes.values())
     slow = []
     for route, outcomes in canary_routes.items():
-        before = baseline_routes.get(route, overall)
-        enough = before.count >= MIN_BASELINE_RESPONSES
-        yield _failures(f"failures on {route}", outcomes, before if enough else overall)
-        if enough and route in baseline_routes and before.times and outcomes.times:
-            slow.append(_slowness(f"slow on {route}", outcomes, before))
+        usual = baseline_routes.get(route, overall)
+        enough = usual.count >= MIN_BASELINE_RESPONSES
+        yield _failures(f"failures on {route}", outcomes, usual if enough else overall)
+        if enough and route in baseline_routes and usual.times and outcomes.times:
+            slow.append(_slowness(f"slow on {route}", outcomes, usual))
     if len(canary_routes) > 1:
         yield _failures("failures on all routes", _sum(canary_routes.values()), overall)
     yield from slow
@@ -243,8 +244,8 @@
         yield _pooled("slow on all routes", slow)
 
 
-def _failures(check: str, outcomes: Outcomes, known: Outcomes) -> _Comparison:
-    baseline = known.failed / known.count if known.count else 0.0
+def _failures(check: str, outcomes: Outcomes, usual: Outcomes) -> _Comparison:
+    baseline = usual.failed / usual.count if usual.count else 0.0
     return _Comparison(
         check,
         outcomes.failed,
@@ -253,9 +254,9 @@
     )
 
 
-def _slowness(check: str, outcomes: Outcomes, known: Outcomes) -> _Comparison:
-    limit = _slow_bucket(known.times)
-    baseline = known.slower_than(limit) / known.times.total()
+def _slowness(check: str, outcomes: Outcomes, usual: Outcomes) -> _Comparison:
+    limit = _slow_bucket(usual.times)
+    baseline = usual.slower_than(limit) / usual.times.total()
     return _Comparison(
         check,
         outcomes.slower_than(limit),
@@ -281,8 +282,8 @@
     :param times: at least one.
     """
     median = _quantile(times, 0.5)
-    doubled = median + round(log(SLOW_RATIO) / log(BUCKET_RATIO))
-    return max(doubled, _quantile(times, SLOW_QUANTILE))
+    scaled = median + round(log(SLOW_RATIO) / log(BUCKET_RATIO))
+    return max(scaled, _quantile(times, SLOW_QUANTILE))
 
 
 def _quantile(times: Counter[int], share: float) -> int:
@@ -341,7 +342,7 @@
 
         :param rows: outcomes so far; those of the baseline version have an empty group.
         :param now: elapsed time.
-        :param final: whether the trial ends now.
+        :param final: whether this is the last evaluation of the rollout.
         """
         if now - self._latest_at >= RECENT_WINDOW / 2:
             self._earlier = self._latest
@@ -352,7 +353,7 @@
             for key, row in rows.items()
         }
         verdicts = (
-            evaluate(*split_outcomes(part), self._rule, final=final)
-            for part in (rows, recent)
+            evaluate(*split_outcomes(table), self._rule, final=final)
+            for table in (rows, recent)
         )
         return next((verdict for verdict in verdicts if verdict.is_rejected), PASSED)
--- a/src/sassafrasdale/decisions/exposure.py
+++ b/src/sassafrasdale/decisions/exposure.py
@@ -13,8 +13,9 @@
 # end.
 SAMPLED_FRACTION = 0.5
 MAX_FRACTION = 0.9
-# Maximum number of deferred canary requests of a route. While its endpoints start,
-# nothing can be sent to them; what was deferred must not be sent all at once then.
+# Maximum number of canary requests of a route that are deferred. While the canary's
+# endpoints start, nothing can be sent to them; once they have started, the deferred
+# requests must not be sent all at once.
 MAX_DEFERRED = 2.0
 
 
@@ -39,7 +40,7 @@
         self._rounding = rng.random()
         self._deferred: defaultdict[str, float] = defaultdict(rng.random)
         self._sent = 0
-        self._tried = 0
+        self._canary_requests = 0
 
     @property
     def sent(self) -> int:
@@ -49,7 +50,7 @@
     @property
     def canary_requests(self) -> int:
         """Number of these sent to the canary."""
-        return self._tried
+        return self._canary_requests
 
     def may_try(self, route: str, *, full: bool = False) -> bool:
         """Return whether a route's next request may be sent to the canary.
@@ -57,7 +58,7 @@
         :param full: whether the canary gets its full share, so that the rest of it may
             be used at once.
         """
-        if self._tried + 1 > self._sent * self._max_fraction + self._rounding:
+        if self._canary_requests + 1 > self._sent * self._max_fraction + self._rounding:
             return False
         return full or self._deferred[route] >= 1
 
@@ -66,6 +67,6 @@
         self._sent += 1
         deferred = min(self._deferred[route] + self._sampled_fraction, MAX_DEFERRED)
         if on_trial:
-            self._tried += 1
+            self._canary_requests += 1
             deferred -= 1
         self._deferred[route] = deferred
--- a/src/sassafrasdale/decisions/health.py
+++ b/src/sassafrasdale/decisions/health.py
@@ -47,6 +47,13 @@
 
 @dataclass(slots=True)
 class _EndpointRecord:
+    """Health of one endpoint.
+
+    :param until: end of the ejection or of the slow start.
+    :param outcome_at: elapsed time of the last outcome, from which the failure rate
+        decays.
+    """
+
     lifecycle: Lifecycle = field(default_factory=lambda: Lifecycle(_chart()))
     failures: int = 0
     until: timedelta = timedelta()
@@ -116,7 +123,7 @@
             self._eject(record, now)
 
     def may_serve(self, name: str, now: timedelta) -> bool:
-        """Return whether an endpoint has a weight above 0, so is not ejected."""
+        """Return whether an endpoint is not ejected: its weight is above 0."""
         record = self._records.get(name)
         if record is None:
             return True
--- a/src/sassafrasdale/decisions/quarantine.py
+++ b/src/sassafrasdale/decisions/quarantine.py
@@ -47,7 +47,10 @@
 
 
 class StrikeState(IntFlag):
-    """State of a strike. Flags are only ever added."""
+    """State of a strike. Flags are only ever added.
+
+    ``UNSTORED``: it was in the store and has been deleted from it.
+    """
 
     NEW = 0
     STORED = 1
@@ -76,8 +79,9 @@
     def is_same_crash(self, other: "Strike") -> bool:
         """Return whether another strike is about the same crash of an endpoint.
 
-        The endpoint's listed start time cannot tell: a gateway that can't read the
-        list takes a restarted endpoint for the one before.
+        The endpoint's registered start time doesn't tell two crashes apart: a gateway
+        that can't read the registrations takes a restarted endpoint for the one
+        before.
         """
         apart = timedelta(seconds=abs(self.at - other.at))
         return self.endpoint == other.endpoint and apart <= SAME_CRASH_WINDOW
@@ -134,13 +138,13 @@
     def take(self, strike: Strike, state: StrikeState = StrikeState.NEW) -> bool:
         """Add an observed or reported strike, and return whether it is new."""
         strikes = self._by_fingerprint.setdefault(strike.fingerprint, {})
-        held = strikes.get(strike)
-        if held is not None and held.state | state == held.state:
+        tracked = strikes.get(strike)
+        if tracked is not None and tracked.state | state == tracked.state:
             return False
-        if held is None:
-            held = strikes[strike] = TrackedStrike(strike, state, 0)
-        held.state |= state
-        self._record_change(held)
+        if tracked is None:
+            tracked = strikes[strike] = TrackedStrike(strike, state, 0)
+        tracked.state |= state
+        self._record_change(tracked)
         self._evict()
         if len(strikes) >= QUARANTINE_CRASHES:
             self._update_quarantine(strike.fingerprint)
@@ -149,15 +153,15 @@
     def clear(self, fingerprint: str) -> bool:
         """Clear the strikes of a request, and return whether it had any."""
         cleared = [
-            self.take(held.strike, StrikeState.CLEARED)
-            for held in self.open_strikes(fingerprint)
+            self.take(tracked.strike, StrikeState.CLEARED)
+            for tracked in self.open_strikes(fingerprint)
         ]
         return any(cleared)
 
     def open_strikes(self, fingerprint: str) -> list[TrackedStrike]:
         """Return the strikes that count against a request, oldest first."""
-        strikes = [held for held in self._of(fingerprint) if held.is_open]
-        return sorted(strikes, key=lambda held: held.strike.at)
+        strikes = [tracked for tracked in self._of(fingerprint) if tracked.is_open]
+        return sorted(strikes, key=lambda tracked: tracked.strike.at)
 
     def may_retry(self, fingerprint: str) -> bool:
         """Return whether an attempt may be retried on another endpoint.
@@ -167,14 +171,15 @@
         """
         if fingerprint in self._quarantined:
             return False
-        strikes = [held.strike for held in self.open_strikes(fingerprint)]
+        strikes = [tracked.strike for tracked in self.open_strikes(fingerprint)]
         crashes = distinct_crashes(strike for strike in strikes if not strike.begun)
         return len(crashes) < MAX_CRASHES_PER_ATTEMPT
 
     def since(self, version: int, limit: int) -> list[TrackedStrike]:
         """Return strikes that have changed since a version, in order of change."""
         newest_first = takewhile(
-            lambda held: held.changed > version, reversed(self._by_change.values())
+            lambda tracked: tracked.changed > version,
+            reversed(self._by_change.values()),
         )
         return list(newest_first)[::-1][:limit]
 
@@ -191,16 +196,16 @@
     def _of(self, fingerprint: str) -> Iterable[TrackedStrike]:
         return self._by_fingerprint.get(fingerprint, {}).values()
 
-    def _record_change(self, held: TrackedStrike) -> None:
+    def _record_change(self, tracked: TrackedStrike) -> None:
         self._version += 1
-        held.changed = self._version
-        self._by_change.pop(held.strike, None)
-        self._by_change[held.strike] = held
+        tracked.changed = self._version
+        self._by_change.pop(tracked.strike, None)
+        self._by_change[tracked.strike] = tracked
 
     def _update_quarantine(self, changed: str) -> None:
         """Update the quarantine after a change of a request's strikes."""
         strikes = {
-            name: [held.strike for held in self._of(name) if held.is_open]
+            name: [tracked.strike for tracked in self._of(name) if tracked.is_open]
             for name in self._candidates | {changed}
         }
         candidates = {
@@ -215,17 +220,17 @@
         if len(self) <= self._capacity:
             return
         ranked = sorted(self._by_change.values(), key=self._eviction_rank)
-        for held in ranked[: ceil(self._capacity * EVICTED_SHARE)]:
-            fingerprint = held.strike.fingerprint
-            self._dropped.append(held)
-            del self._by_change[held.strike]
-            del self._by_fingerprint[fingerprint][held.strike]
+        for tracked in ranked[: ceil(self._capacity * EVICTED_SHARE)]:
+            fingerprint = tracked.strike.fingerprint
+            self._dropped.append(tracked)
+            del self._by_change[tracked.strike]
+            del self._by_fingerprint[fingerprint][tracked.strike]
             if not self._by_fingerprint[fingerprint]:
                 del self._by_fingerprint[fingerprint]
 
-    def _eviction_rank(self, held: TrackedStrike) -> tuple[int, int]:
-        known = len(self._by_fingerprint[held.strike.fingerprint])
-        return (known if held.is_open else 0, held.changed)
+    def _eviction_rank(self, tracked: TrackedStrike) -> tuple[int, int]:
+        known = len(self._by_fingerprint[tracked.strike.fingerprint])
+        return (known if tracked.is_open else 0, tracked.changed)
 
 
 def distinct_crashes(strikes: Iterable[Strike]) -> list[Strike]:
--- a/src/sassafrasdale/decisions/shares.py
+++ b/src/sassafrasdale/decisions/shares.py
@@ -22,7 +22,7 @@
         shares.add("lab-7", now)  # at each arrival
         peers.send(shares.report(now))  # periodically
         shares.hear("entry-3", report, now)  # from each peer
-        part = shares.share("lab-7", entries, now)
+        share = shares.share("lab-7", entries, now)
     """
 
     def __init__(
--- a/src/sassafrasdale/decisions/structures.py
+++ b/src/sassafrasdale/decisions/structures.py
@@ -274,7 +274,7 @@
 class CapacityPolicy:
     """Constants of capacity planning.
 
-    :param headroom: capacity to provide, as a multiple of the present load.
+    :param headroom: capacity to provide, as a multiple of the current load.
     :param start_time: time from a start order until the instance serves.
     :param refusal_backoff: delay after one refused start; it doubles with each further
         refusal.
--- a/tests/decisions/test_canary.py
+++ b/tests/decisions/test_canary.py
@@ -28,13 +28,13 @@
 
 def bad_responses_until_rejection(kind, seed, rule=RULE):
     """Return the bad responses until a version is rejected; None if it never is."""
-    trial = CanaryAnalysis(rule)
+    analysis = CanaryAnalysis(rule)
     for drawn in simulate_rollout(kind, Random(f"{kind} {seed}"), REQUESTS, DURATION):
-        if trial.evaluate(drawn.rows, drawn.at).is_rejected:
+        if analysis.evaluate(drawn.rows, drawn.at).is_rejected:
             return drawn.bad
     return (
         drawn.bad
-        if trial.evaluate(drawn.rows, DURATION, final=True).is_rejected
+        if analysis.evaluate(drawn.rows, DURATION, final=True).is_rejected
         else None
     )
 
@@ -71,8 +71,8 @@
 
 def test_equal_failure_rates_reject_no_version():
     """Guards against rolling back a good version for a fault of all endpoints."""
-    trial = rows(_0=(60, 20), _1=(70, 22))
-    assert not evaluate(trial, rows(_=(1500, 480)), RULE, final=True).is_rejected
+    canary = rows(_0=(60, 20), _1=(70, 22))
+    assert not evaluate(canary, rows(_=(1500, 480)), RULE, final=True).is_rejected
 
 
 def test_fault_of_one_endpoint_does_not_reject_its_version():
@@ -82,7 +82,7 @@
     assert evaluate(rows(_0=(20, 7), _1=(20, 7)), baseline, RULE).is_rejected
 
 
-def test_single_endpoint_is_judged_after_many_bad_responses():
+def test_single_endpoint_version_is_rejected_after_many_bad_responses():
     """Guards against never rejecting a bad version that has a single endpoint."""
     baseline = rows(_=(1000, 10))
     assert not evaluate(rows(_0=(5, 9)), baseline, RULE).is_rejected
@@ -92,17 +92,17 @@
 
 def test_earlier_good_responses_do_not_hide_recent_bad_ones():
     """Guards against completing the rollout of a version that becomes bad late."""
-    trial = CanaryAnalysis(RULE)
+    analysis = CanaryAnalysis(RULE)
     good = {
         ("0", "r"): Outcomes(300),
         ("1", "r"): Outcomes(300),
         ("", "r"): Outcomes(9),
     }
     for step in range(10):
-        assert not trial.evaluate(good, step * SECOND).is_rejected
+        assert not analysis.evaluate(good, step * SECOND).is_rejected
     bad = {key: Outcomes(row.answered + 9, 4) for key, row in good.items()}
     bad["", "r"] = Outcomes(1000)
-    assert trial.evaluate(bad, 10 * SECOND).is_rejected
+    assert analysis.evaluate(bad, 10 * SECOND).is_rejected
 
 
 def test_few_responses_reject_only_at_the_end():
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -22,7 +22,7 @@
 
 
 def test_gateways_without_contact_keep_the_share_together():
-    """Guards against exceeding the share since each gateway rounds its part up.
+    """Guards against exceeding the share because each gateway rounds its share up.
 
     Seventy gateways see a few requests each, and half of them restart midway.
     """
--- a/tests/decisions/test_poll_slots.py
+++ b/tests/decisions/test_poll_slots.py
@@ -10,7 +10,7 @@
 UNEVEN = {"a": 3, "b": 1, "c": 2}
 
 
-def turns(counts):
+def poll_slots(counts):
     return [
         poll_slot_of(zone, place, counts)
         for zone, count in counts.items()
@@ -21,10 +21,10 @@
 @pytest.mark.parametrize("counts", [{"a": 1}, {"a": 1, "b": 1, "c": 1}, UNEVEN])
 def test_each_step_has_one_polling_gateway(counts):
     """Guards against a change that all watches missed and that no gateway polls for."""
-    found = turns(counts)
-    assert sorted(turn.index for turn in found) == list(range(sum(counts.values())))
+    found = poll_slots(counts)
+    assert sorted(slot.index for slot in found) == list(range(sum(counts.values())))
     now = 1_700_000_000.2
-    times = sorted(turn.time_until(now, STEP) for turn in found)
+    times = sorted(slot.time_until(now, STEP) for slot in found)
     assert times[0] < STEP
     assert all(
         abs(later - earlier - STEP) < STEP / 100
@@ -33,8 +33,8 @@
 
 
 def test_poll_repeats_after_all_others():
-    turn = PollSlot(2, 6)
+    slot = PollSlot(2, 6)
     now = 1_700_000_000.0
-    first = turn.time_until(now, STEP)
-    again = turn.time_until(now + first.total_seconds() + 0.01, STEP)
+    first = slot.time_until(now, STEP)
+    again = slot.time_until(now + first.total_seconds() + 0.01, STEP)
     assert again == pytest.approx(STEP * 6, abs=timedelta(milliseconds=20))
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -79,8 +79,8 @@
 
 
 def test_crashes_not_explained_by_another_request_count():
-    both = strikes_of("late", range(6), begun=True)
-    ledger = ledger_of(*both, *strikes_of("crashing", range(3)))
+    late = strikes_of("late", range(6), begun=True)
+    ledger = ledger_of(*late, *strikes_of("crashing", range(3)))
     assert ledger.quarantined == {"crashing", "late"}
 
 
@@ -140,8 +140,8 @@
     first, second = play(facts), play(shuffled)
     assert first.quarantined == second.quarantined
     for name in "abc":
-        assert {held.strike for held in first.open_strikes(name)} == {
-            held.strike for held in second.open_strikes(name)
+        assert {tracked.strike for tracked in first.open_strikes(name)} == {
+            tracked.strike for tracked in second.open_strikes(name)
         }
 
 
@@ -151,7 +151,7 @@
     ledger.take(strike("b", 1))
     ledger.take(strike("a", 0), StrikeState.STORED)
     changed = ledger.since(version, 10)
-    assert [held.strike.fingerprint for held in changed] == ["b", "a"]
+    assert [tracked.strike.fingerprint for tracked in changed] == ["b", "a"]
     assert ledger.since(version, 1) == changed[:1]
     assert ledger.since(ledger.version, 10) == []
 
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -31,7 +31,7 @@
     assert busy.share("lab", 7, NOW) > 0.9
 
 
-def test_parts_of_all_entries_add_up_to_the_limit():
+def test_shares_of_all_entries_add_up_to_the_limit():
     entries = [make_shares(count) for count in (0, 3, 9)]
     for sender, entry in enumerate(entries):
         for other in entries:
