--- a/src/sassafrasdale/decisions/exposure.py
+++ b/src/sassafrasdale/decisions/exposure.py
@@ -26,7 +26,7 @@
 
         if allowance.may_try("r-lookups"):
             ...
-        allowance.note("r-lookups", on_trial=True)  # when it is sent
+        allowance.record_request("r-lookups", is_canary=True)  # when it is sent
 
     :param share: fraction of all requests that the canary may get.
     :param rng: source of randomness for rounding. A gateway often sees only a fraction
--- a/src/sassafrasdale/decisions/homes.py
+++ b/src/sassafrasdale/decisions/homes.py
@@ -7,7 +7,9 @@
 """Weight of the latest response in the moving average."""
 
 ENOUGH_EVENTS = 0.6
-"""Fraction of the cache events that must arrive for the moving average to be used."""
+"""Fraction of the cache events that must arrive for the moving average to be used
+without a lower bound.
+"""
 
 SHARE_WITHOUT_EVENTS = 0.6
 """Minimum share while too few cache events arrive. The entries must then all use the
@@ -34,12 +36,12 @@
     @property
     def share(self) -> float:
         """Fraction of a prompt expected in its owner's cache."""
-        if self.events_arriving >= ENOUGH_EVENTS:
+        if self.arrived_fraction >= ENOUGH_EVENTS:
             return self._share
         return max(SHARE_WITHOUT_EVENTS, self._share)
 
     @property
-    def events_arriving(self) -> float:
+    def arrived_fraction(self) -> float:
         """Fraction of the published cache events that arrived; 0 before the first."""
         return self._arrived / self._published if self._published else 0.0
 
--- a/src/sassafrasdale/decisions/rollouts.py
+++ b/src/sassafrasdale/decisions/rollouts.py
@@ -79,7 +79,7 @@
     :param is_condemned: whether the target version was rejected.
     :param is_suspect: whether the evidence suffices to reject it at the end.
     :param age: time since the order.
-    :param filled_for: time since the full share began; None before that.
+    :param full_share_for: time since the full share began; None before that.
     :param targets: endpoints of the target version that take requests.
     :param others: endpoints of other versions that take requests.
     """
--- a/src/sassafrasdale/decisions/shares.py
+++ b/src/sassafrasdale/decisions/shares.py
@@ -21,7 +21,7 @@
 
         shares.add("lab-7", now)  # at each arrival
         peers.send(shares.report(now))  # periodically
-        shares.hear("entry-3", report, now)  # from each peer
+        shares.add_report("entry-3", report, now)  # from each peer
         share = shares.share("lab-7", entries, now)
     """
 
--- a/tests/decisions/test_canary.py
+++ b/tests/decisions/test_canary.py
@@ -29,12 +29,14 @@
 def bad_responses_until_rejection(kind, seed, rule=RULE):
     """Return the bad responses until a version is rejected; None if it never is."""
     analysis = CanaryAnalysis(rule)
-    for drawn in simulate_rollout(kind, Random(f"{kind} {seed}"), REQUESTS, DURATION):
-        if analysis.evaluate(drawn.rows, drawn.at).is_rejected:
-            return drawn.bad
+    for snapshot in simulate_rollout(
+        kind, Random(f"{kind} {seed}"), REQUESTS, DURATION
+    ):
+        if analysis.evaluate(snapshot.rows, snapshot.at).is_rejected:
+            return snapshot.bad
     return (
-        drawn.bad
-        if analysis.evaluate(drawn.rows, DURATION, final=True).is_rejected
+        snapshot.bad
+        if analysis.evaluate(snapshot.rows, DURATION, final=True).is_rejected
         else None
     )
 
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -31,15 +31,15 @@
     for allowance in allowances:
         play(allowance, rng, 20)
     sent = sum(allowance.sent for allowance in allowances)
-    tried = sum(allowance.canary_requests for allowance in allowances)
-    assert SHARE * SAMPLED_FRACTION * 0.6 < tried / sent < SHARE
+    sent_to_canary = sum(allowance.canary_requests for allowance in allowances)
+    assert SHARE * SAMPLED_FRACTION * 0.6 < sent_to_canary / sent < SHARE
 
 
 @given(st.integers(0, 2**32), st.lists(st.tuples(st.booleans(), st.integers(1, 300))))
-def test_share_is_never_exceeded_by_more_than_a_request(seed, parts):
+def test_share_is_never_exceeded_by_more_than_a_request(seed, phases):
     rng = Random(seed)
     allowance = CanaryAllowance(SHARE, rng)
-    for full, requests in parts:
+    for full, requests in phases:
         play(allowance, rng, requests, full=full)
         assert allowance.canary_requests <= allowance.sent * SHARE * MAX_FRACTION + 1
 
@@ -48,13 +48,13 @@
     """Guards against a version that fails only on a route that is never sampled."""
     rng = Random(2)
     allowance = CanaryAllowance(SHARE, rng)
-    tried = 0
+    sent_to_canary = 0
     for _ in range(2000):
         play(allowance, rng, 1)
         if allowance.may_try("r-rare"):
             allowance.note("r-rare", on_trial=True)
-            tried += 1
-    assert tried > 0
+            sent_to_canary += 1
+    assert sent_to_canary > 0
 
 
 def test_full_share_uses_the_rest_of_the_share():
--- a/tests/decisions/test_homes.py
+++ b/tests/decisions/test_homes.py
@@ -39,7 +39,7 @@
     estimate.add_events(arrived=0, published=EVENTS_KEPT)
     for _ in range(100):
         estimate.add_events(arrived=EVENTS_KEPT // 10, published=EVENTS_KEPT // 10)
-    assert estimate.events_arriving > 0.9
+    assert estimate.arrived_fraction > 0.9
 
 
 def test_share_follows_the_responses():
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -56,10 +56,11 @@
     The cloud reclaims a zone's reclaimable endpoints, then those of another, and has
     none available; the load stays, and new endpoints take seconds to start.
     """
-    spots = {key(zone, True): count for zone, count in running.items()}
-    wide = ScaleBounds(1, 20, BOUNDS.start_time, 0.22, BOUNDS.zone_prices)
+    reclaimable = {key(zone, True): count for zone, count in running.items()}
+    wide_bounds = ScaleBounds(1, 20, BOUNDS.start_time, 0.22, BOUNDS.zone_prices)
     plan = plan_orders(
-        planned(load, spots, wide), {key(zone, True) for zone in unavailable}
+        planned(load, reclaimable, wide_bounds),
+        {key(zone, True) for zone in unavailable},
     )
     on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
     assert on_demand >= MIN_ON_DEMAND
@@ -70,8 +71,8 @@
 
 def test_few_on_demand_endpoints_while_reclaimable_ones_suffice():
     """On-demand endpoints cost several times as much as reclaimable ones."""
-    spots = {key(zone, True): 2 for zone in "abc"}
-    plan = plan_orders(planned(1.8, spots), ())
+    reclaimable = {key(zone, True): 2 for zone in "abc"}
+    plan = plan_orders(planned(1.8, reclaimable), ())
     assert sum(plan.orders[key(zone, False)] for zone in "abc") == MIN_ON_DEMAND
 
 
@@ -82,8 +83,8 @@
     The cloud reclaims one zone's reclaimable endpoints and has no more; seconds later
     those of the next zone, and then the last ones.
     """
-    spots = {key(zone, True): 2 for zone in "abc"}
-    plan = plan_orders(planned(2.0, spots), {key(zone, True) for zone in zones})
+    reclaimable = {key(zone, True): 2 for zone in "abc"}
+    plan = plan_orders(planned(2.0, reclaimable), {key(zone, True) for zone in zones})
     on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
     assert on_demand >= 2.0 / MAX_UTILIZATION
 
@@ -96,8 +97,8 @@
     fifth of the price each replace one at 1.1 of the price.
     """
     none = PlannedService("models", BOUNDS, {}, 0.1, load_known=False)
-    spots = {key(zone, True): 2 for zone in "abc"}
-    started = PlannedService("models", BOUNDS, spots, 0.1, load_known=False)
+    reclaimable = {key(zone, True): 2 for zone in "abc"}
+    started = PlannedService("models", BOUNDS, reclaimable, 0.1, load_known=False)
     for service, expected in ((none, MIN_ON_DEMAND_ALONE), (started, MIN_ON_DEMAND)):
         plan = plan_orders(service, ())
         on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
@@ -121,10 +122,10 @@
     The load needs as many reclaimable endpoints as fit into the zones. They took the
     last place of the one endpoint that cannot be reclaimed.
     """
-    tight = ScaleBounds(1, 3, timedelta(seconds=4), 0.22, BOUNDS.zone_prices)
-    spots = {key(zone, True): 3 for zone in "abc"}
+    tight_bounds = ScaleBounds(1, 3, timedelta(seconds=4), 0.22, BOUNDS.zone_prices)
+    reclaimable = {key(zone, True): 3 for zone in "abc"}
     for load in (2.2, 4.5):
-        plan = plan_orders(planned(load, spots, tight), ())
+        plan = plan_orders(planned(load, reclaimable, tight_bounds), ())
         assert plan.orders[key("a", False)] == MIN_ON_DEMAND
         assert plan.orders[key("a", True)] == 2
 
@@ -149,10 +150,10 @@
     share three places per zone; five on-demand endpoints run, and four reclaimable ones
     so far.
     """
-    tight = ScaleBounds(1, 3, timedelta(seconds=4), 0.22, BOUNDS.zone_prices)
+    tight_bounds = ScaleBounds(1, 3, timedelta(seconds=4), 0.22, BOUNDS.zone_prices)
     running = {key("a", True): 1, key("b", True): 2, key("c", True): 1}
     running |= {key("a", False): 2, key("b", False): 1, key("c", False): 2}
-    plan = plan_orders(planned(2.7, running, tight), ())
+    plan = plan_orders(planned(2.7, running, tight_bounds), ())
     on_demand = sum(plan.orders[key(zone, False)] for zone in "abc")
     assert on_demand >= 2.7 / MAX_UTILIZATION - 2
 
@@ -167,16 +168,20 @@
 @settings(derandomize=True)
 @given(
     load=st.floats(0, 30),
-    least=st.integers(0, 2),
-    most=st.integers(2, 8),
+    min_endpoints=st.integers(0, 2),
+    max_endpoints=st.integers(2, 8),
     unavailable=st.sets(st.sampled_from("abc")),
     running=st.integers(0, 4),
 )
-def test_bounds_hold_for_both_kinds_together(load, least, most, unavailable, running):
-    bounds = ScaleBounds(least, most, timedelta(4), 0.2, BOUNDS.zone_prices)
+def test_bounds_hold_for_both_kinds_together(
+    load, min_endpoints, max_endpoints, unavailable, running
+):
+    bounds = ScaleBounds(
+        min_endpoints, max_endpoints, timedelta(4), 0.2, BOUNDS.zone_prices
+    )
     view = planned(load, {key("a", True): running}, bounds)
     plan = plan_orders(view, {key(zone, True) for zone in unavailable})
     for zone in "abc":
         both = plan.orders[key(zone, False)] + plan.orders[key(zone, True)]
-        assert least <= both <= max(most, least)
+        assert min_endpoints <= both <= max(max_endpoints, min_endpoints)
         assert plan.orders[key(zone, False)] >= 0
