--- a/src/sassafrasdale/decisions/shares.py
+++ b/src/sassafrasdale/decisions/shares.py
@@ -21,8 +21,8 @@
 
         shares.add("lab-7", now)  # at each arrival
         peers.send(shares.report(now))  # periodically
-        shares.hear("entry-3", report, now)  # from each peer
-        part = shares.share("lab-7", entries, now)
+        shares.add_report("entry-3", report, now)  # from each peer
+        share = shares.share("lab-7", entries, now)
     """
 
     def __init__(
