--- a/bench/admission/rates.py
+++ b/bench/admission/rates.py
@@ -114,4 +114,4 @@
         when, sender, report = reports.popleft()
         for index, entry in enumerate(entries):
             if index != sender:
-                entry.shares.hear(str(sender), report, timedelta(seconds=when))
+                entry.shares.add_report(str(sender), report, timedelta(seconds=when))
--- a/src/sassafrasdale/decisions/exposure.py
+++ b/src/sassafrasdale/decisions/exposure.py
@@ -62,11 +62,11 @@
             return False
         return full or self._deferred[route] >= 1
 
-    def note(self, route: str, *, on_trial: bool) -> None:
+    def record_request(self, route: str, *, is_canary: bool) -> None:
         """Count a request when it is first sent."""
         self._sent += 1
         deferred = min(self._deferred[route] + self._sampled_fraction, MAX_DEFERRED)
-        if on_trial:
+        if is_canary:
             self._canary_requests += 1
             deferred -= 1
         self._deferred[route] = deferred
--- a/src/sassafrasdale/decisions/quarantine.py
+++ b/src/sassafrasdale/decisions/quarantine.py
@@ -135,7 +135,7 @@
         """Fingerprints of the requests that must not be sent to endpoints."""
         return self._quarantined
 
-    def take(self, strike: Strike, state: StrikeState = StrikeState.NEW) -> bool:
+    def add(self, strike: Strike, state: StrikeState = StrikeState.NEW) -> bool:
         """Add an observed or reported strike, and return whether it is new."""
         strikes = self._by_fingerprint.setdefault(strike.fingerprint, {})
         tracked = strikes.get(strike)
@@ -153,7 +153,7 @@
     def clear(self, fingerprint: str) -> bool:
         """Clear the strikes of a request, and return whether it had any."""
         cleared = [
-            self.take(tracked.strike, StrikeState.CLEARED)
+            self.add(tracked.strike, StrikeState.CLEARED)
             for tracked in self.open_strikes(fingerprint)
         ]
         return any(cleared)
--- a/src/sassafrasdale/decisions/quotas.py
+++ b/src/sassafrasdale/decisions/quotas.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class UsageCounter:
+class UsageCounterId:
     """Identity of the counter of a group's usage.
 
     :param zone: the group's availability zone.
@@ -175,7 +175,7 @@
         return max((sum(amounts) - max(amounts)) / span - average, 0.0)
 
     def add_group_report(
-        self, counter: UsageCounter, total: float, now: timedelta
+        self, counter: UsageCounterId, total: float, now: timedelta
     ) -> None:
         """Subtract the usage of a group since its last report.
 
--- a/src/sassafrasdale/decisions/rollouts.py
+++ b/src/sassafrasdale/decisions/rollouts.py
@@ -87,10 +87,10 @@
     duration: timedelta
     is_started: bool
     in_force: bool
-    is_condemned: bool
+    is_rejected: bool
     is_suspect: bool
     age: timedelta
-    filled_for: timedelta | None
+    full_share_for: timedelta | None
     targets: int
     others: int
 
@@ -121,18 +121,18 @@
     """Return the next step of a rollout."""
     if not view.is_started:
         return RolloutAction.COMPLETE if view.in_force else RolloutAction.START
-    if view.is_condemned:
+    if view.is_rejected:
         return RolloutAction.ROLL_BACK
     if not view.has_enough_endpoints:
         return (
             RolloutAction.ROLL_BACK if view.age >= view.duration else RolloutAction.WAIT
         )
-    if view.filled_for is None:
+    if view.full_share_for is None:
         return (
             RolloutAction.FULL_SHARE
             if view.age >= full_share_after(view.duration)
             else RolloutAction.WAIT
         )
-    if view.filled_for < full_share_duration(view.duration) + REPORT_DELAY:
+    if view.full_share_for < full_share_duration(view.duration) + REPORT_DELAY:
         return RolloutAction.WAIT
     return RolloutAction.ROLL_BACK if view.is_suspect else RolloutAction.COMPLETE
--- a/src/sassafrasdale/decisions/shares.py
+++ b/src/sassafrasdale/decisions/shares.py
@@ -53,7 +53,9 @@
         """Return this entry's demand per second by customer."""
         return {name: self.own_rate(name, now) for name in self._rates}
 
-    def hear(self, peer: str, report: Mapping[str, float], now: timedelta) -> None:
+    def add_report(
+        self, peer: str, report: Mapping[str, float], now: timedelta
+    ) -> None:
         """Store the report of a peer."""
         self._reports[peer] = report
         self._reported_at[peer] = now
@@ -74,9 +76,9 @@
             counts with the mean demand of those that have reported.
         """
         total = self.total_rate(customer, live_entries, now)
-        return self.part(self.own_rate(customer, now), total, live_entries)
+        return self.fraction(self.own_rate(customer, now), total, live_entries)
 
-    def part(self, demand: float, total: float, entries: int) -> float:
+    def fraction(self, demand: float, total: float, entries: int) -> float:
         """Return the fraction of a limit that an entry gets for its demand.
 
         :param demand: demand at that entry, per second.
--- a/src/sassafrasdale/gateway/exceptions.py
+++ b/src/sassafrasdale/gateway/exceptions.py
@@ -25,5 +25,5 @@
         self.reason = reason
 
 
-class StreamBrokenOff(SassafrasdaleError):
+class StreamInterrupted(SassafrasdaleError):
     """A stream failed after its caller had received a part of it."""
--- a/src/sassafrasdale/gateway/exchange.py
+++ b/src/sassafrasdale/gateway/exchange.py
@@ -21,7 +21,7 @@
 from sassafrasdale.gateway.attempts import Attempt
 from sassafrasdale.gateway.directory import EndpointRecord
 from sassafrasdale.gateway.events import EventSplitter
-from sassafrasdale.gateway.exceptions import RequestRefused, StreamBrokenOff
+from sassafrasdale.gateway.exceptions import RequestRefused, StreamInterrupted
 from sassafrasdale.gateway.failures import (
     CONNECTION_LOST,
     AttemptFailed,
@@ -416,7 +416,7 @@
                 sends=self._attempts,
             )
             self._caller.abort()
-            raise StreamBrokenOff(failure.reason)
+            raise StreamInterrupted(failure.reason)
         reason = self._last_failure or failure.reason
         if not self._may_have_run:
             raise RequestRefused(503, reason, retry_after=NO_ENDPOINT_RETRY_AFTER)
--- a/src/sassafrasdale/gateway/fleet.py
+++ b/src/sassafrasdale/gateway/fleet.py
@@ -105,7 +105,7 @@
 
     def refresh_peer_loads(self) -> None:
         """Update the peers' loads from their latest reports."""
-        groups = self._peering.in_touch()
+        groups = self._peering.unexpired_groups()
         self._peer_loads = loads_by_endpoint(groups)
         self._peer_work.clear()
         ages = [group.age for group in groups]
@@ -180,7 +180,7 @@
         """
         self._retry_budgets.count_attempt(attempt.service, is_retry=is_retry)
         if not is_retry and self._rollouts:
-            self._rollouts.note_send(attempt.record, attempt.route)
+            self._rollouts.record_request(attempt.record, attempt.route)
 
     def _start_assigned_attempt(
         self, service: str, traits: RequestTraits, tried: Collection[str]
@@ -370,7 +370,7 @@
             return
         took = self._clock.elapsed() - attempt.began_at if is_prefilled else None
         if took is not None:
-            self._rollouts.note_first(attempt.record, attempt.route, took)
+            self._rollouts.record_first_byte(attempt.record, attempt.route, took)
         if attempt.number is None:
             self.record_local_first_token(attempt, took)
         else:
@@ -428,7 +428,7 @@
     def record_response(self, attempt: Attempt, status: int, took: timedelta) -> None:
         """Record an endpoint's response."""
         record = attempt.record
-        self._rollouts.note_end(record, attempt.route, ok=status < 500)
+        self._rollouts.record_outcome(record, attempt.route, ok=status < 500)
         self._directory.health_of(record.endpoint.service).observe(
             record.name, ok=status < 500, now=self._clock.elapsed(), latency=took
         )
@@ -439,7 +439,7 @@
         :param gaps: times between its events.
         """
         attempt.result = AttemptResult.SUCCEEDED
-        self._rollouts.note_end(attempt.record, attempt.route, ok=True)
+        self._rollouts.record_outcome(attempt.record, attempt.route, ok=True)
         attempt.gap = low_gap(gaps)
         if attempt.gap is not None:
             self._step_times.observe_low_gap(attempt.record.name, attempt.gap)
@@ -453,7 +453,7 @@
         Not called if the endpoint itself has crashed: then all its requests fail at
         once.
         """
-        self._rollouts.note_end(attempt.record, attempt.route, ok=False)
+        self._rollouts.record_outcome(attempt.record, attempt.route, ok=False)
 
     def record_failure(self, attempt: Attempt, is_fault: bool) -> None:
         """Record an attempt without a response; a refusal is no fault."""
@@ -475,7 +475,7 @@
         """
         if not attempt.has_first_token:
             waited = self._clock.elapsed() - attempt.began_at
-            self._rollouts.note_first(attempt.record, attempt.route, waited)
+            self._rollouts.record_first_byte(attempt.record, attempt.route, waited)
 
     def count_usage(self, customer: Customer | None) -> None:
         """Count a request that began to run towards its customer's usage."""
--- a/src/sassafrasdale/gateway/frontend.py
+++ b/src/sassafrasdale/gateway/frontend.py
@@ -9,7 +9,7 @@
 from sassafrasdale.clock import Clock, milliseconds
 from sassafrasdale.deployment import Customer, RequestTraits, Route, customer_name
 from sassafrasdale.gateway.attempts import Attempt
-from sassafrasdale.gateway.exceptions import RequestRefused, StreamBrokenOff
+from sassafrasdale.gateway.exceptions import RequestRefused, StreamInterrupted
 from sassafrasdale.gateway.exchange import AdmittedRequest, RequestExchange
 from sassafrasdale.gateway.fleet import Fleet
 from sassafrasdale.gateway.quotas import Quotas
@@ -85,7 +85,7 @@
                 self._run_request(caller, request, record)
             except RequestRefused as refusal:
                 self._refuse(caller, refusal, record)
-            except StreamBrokenOff as error:
+            except StreamInterrupted as error:
                 record.outcome = "broken off"
                 record.reason = error.message
             except CallerDisconnected:
--- a/src/sassafrasdale/gateway/groups.py
+++ b/src/sassafrasdale/gateway/groups.py
@@ -85,8 +85,8 @@
         for customer, usage in state.limit_usage.items():
             known = usage.counted
             if not restarted and customer in last.state.limit_usage:
-                known = last.state.limit_usage[customer].spent
-            delta = usage.spent - known
+                known = last.state.limit_usage[customer].admitted
+            delta = usage.admitted - known
             counted[customer] += delta
             self._spent[customer] += delta
         self._members[name] = _Member(state, self._clock.elapsed(), counted)
--- a/src/sassafrasdale/gateway/peer_states.py
+++ b/src/sassafrasdale/gateway/peer_states.py
@@ -78,7 +78,7 @@
     """
 
     demand: NonNegative
-    spent: float
+    admitted: float
     counted: float
     used: NonNegative
     share: Fraction
@@ -94,7 +94,7 @@
     """
 
     demand: NonNegative
-    spent: float
+    admitted: float
     used: NonNegative
     share: NonNegative
     reserved: NonNegative
--- a/src/sassafrasdale/gateway/peering.py
+++ b/src/sassafrasdale/gateway/peering.py
@@ -91,7 +91,7 @@
             ReceivedGroup(group.state, group.age_s + since) for group in self._groups
         ]
 
-    def in_touch(self) -> list[ReceivedGroup]:
+    def unexpired_groups(self) -> list[ReceivedGroup]:
         """Return the groups that have not expired."""
         return [group for group in self.groups() if group.age <= EXPIRY_TIMEOUT]
 
@@ -159,7 +159,7 @@
 
         An aggregator needs those of every zone.
         """
-        groups = self.in_touch()
+        groups = self.unexpired_groups()
         zones = {group.state.aggregator.zone for group in groups}
         if self.is_aggregator and len(zones) < self._zones:
             return False
--- a/src/sassafrasdale/gateway/quotas.py
+++ b/src/sassafrasdale/gateway/quotas.py
@@ -18,7 +18,7 @@
     PROPAGATION_TIME,
     RequestThinner,
     SharedLimit,
-    UsageCounter,
+    UsageCounterId,
     admitted_fraction,
     fits_unreported,
     has_headroom,
@@ -196,7 +196,7 @@
         for group in groups:
             state = group.state
             reported_at = now - group.age
-            counter = UsageCounter(
+            counter = UsageCounterId(
                 state.aggregator.zone,
                 state.counter_id,
                 reported_at - timedelta(seconds=state.counting_s),
@@ -204,7 +204,7 @@
             for name, usage in state.limit_usage.items():
                 if name in self._limits:
                     self._limits[name].add_group_report(
-                        counter, usage.spent, reported_at
+                        counter, usage.admitted, reported_at
                     )
 
     def _refill(self, now: timedelta) -> None:
@@ -251,7 +251,7 @@
     ) -> float:
         """Return this gateway's fraction of a limit."""
         own = self._shares.own_rate(customer.name, now)
-        by_demand = self._shares.part(own, available.demand, available.gateways)
+        by_demand = self._shares.fraction(own, available.demand, available.gateways)
         rate = customer.rate * available.fraction
         return available.fraction * _add_spare(
             by_demand, available.demand, rate, available.gateways
--- a/src/sassafrasdale/gateway/reporter.py
+++ b/src/sassafrasdale/gateway/reporter.py
@@ -66,7 +66,7 @@
     def mark_counted(self, state: MemberState) -> None:
         """Record that a state was counted, by this or another aggregator."""
         for customer, usage in state.limit_usage.items():
-            self._counted_usage[customer] = usage.spent
+            self._counted_usage[customer] = usage.admitted
 
     def report_to(self, contact: Contact) -> bool:
         """Report to an aggregator, and return whether it replied."""
--- a/src/sassafrasdale/gateway/request_quarantine.py
+++ b/src/sassafrasdale/gateway/request_quarantine.py
@@ -257,5 +257,5 @@
             self._time.seconds - age,
             self._name,
         )
-        self._ledger.take(strike)
+        self._ledger.add(strike)
         self.log_changes()
--- a/src/sassafrasdale/gateway/rollouts.py
+++ b/src/sassafrasdale/gateway/rollouts.py
@@ -181,23 +181,25 @@
         first = rotation * count % len(targets)
         return (targets + targets)[first : first + min(count, len(targets))]
 
-    def note_send(self, record: EndpointRecord, route: str) -> None:
+    def record_request(self, record: EndpointRecord, route: str) -> None:
         """Count the first attempt of a request."""
         rollout = self._rollouts.get(record.endpoint.service)
         if rollout is None or not rollout.is_open:
             return
         is_canary = rollout.is_target(record)
-        rollout.allowance.note(route, on_trial=is_canary)
+        rollout.allowance.record_request(route, is_canary=is_canary)
         if is_canary:
             self._count("request to a version on trial")
 
-    def note_first(self, record: EndpointRecord, route: str, took: timedelta) -> None:
+    def record_first_byte(
+        self, record: EndpointRecord, route: str, took: timedelta
+    ) -> None:
         """Record the time to the first byte of an endpoint's response."""
         rollout = self._rollout_under_test(record)
         if rollout is not None:
             rollout.outcomes(record, route).times[latency_bucket(took)] += 1
 
-    def note_end(self, record: EndpointRecord, route: str, *, ok: bool) -> None:
+    def record_outcome(self, record: EndpointRecord, route: str, *, ok: bool) -> None:
         """Count a request as completed or as failed by its endpoint."""
         rollout = self._rollout_under_test(record)
         if rollout is None:
@@ -298,10 +300,10 @@
             duration=rollout.order.duration,
             is_started=rollout.state != "ordered",
             in_force=rollout.in_force,
-            is_condemned=rollout.is_rejected,
+            is_rejected=rollout.is_rejected,
             is_suspect=rollout.is_suspect or rollout.is_suspected_elsewhere,
             age=timedelta(seconds=self._time.seconds - rollout.first_seen),
-            filled_for=filled_for,
+            full_share_for=filled_for,
             targets=targets,
             others=len(listed) - targets,
         )
--- a/src/sassafrasdale/gateway/store_view.py
+++ b/src/sassafrasdale/gateway/store_view.py
@@ -180,7 +180,7 @@
         try:
             configuration = decode_configuration(value)
         except ValueMalformed as error:
-            log.error("malformed configuration ignored", why=error.message)
+            log.error("configuration not taken, the old one stays", why=error.message)
             return
         self._apply_configuration(configuration)
 
--- a/src/sassafrasdale/gateway/strike_records.py
+++ b/src/sassafrasdale/gateway/strike_records.py
@@ -142,7 +142,7 @@
         except DecodeError as error:
             log.error("strike malformed", key=item.key, why=str(error))
             return
-        self._ledger.take(row.strike, StrikeState.STORED)
+        self._ledger.add(row.strike, StrikeState.STORED)
 
     def _due(self) -> list[TrackedStrike]:
         """Return strikes whose stored state this gateway has to update."""
@@ -191,11 +191,11 @@
         key = _key(strike)
         if tracked.is_open:
             self._store.create(key, _ENCODE(StrikeRow.of(tracked)))
-            self._ledger.take(strike, StrikeState.STORED)
+            self._ledger.add(strike, StrikeState.STORED)
             log.info("strike stored", fingerprint=fingerprint, endpoint=strike.endpoint)
             return
         self._store.delete(key)
-        self._ledger.take(strike, StrikeState.UNSTORED)
+        self._ledger.add(strike, StrikeState.UNSTORED)
         log.info("strike removed", fingerprint=fingerprint, endpoint=strike.endpoint)
 
 
--- a/src/sassafrasdale/gateway/strike_replication.py
+++ b/src/sassafrasdale/gateway/strike_replication.py
@@ -129,7 +129,7 @@
         for row in update.rows:
             # A later version of the program may send more states.
             state = StrikeState(row.state & _KNOWN_STATES)
-            self._ledger.take(row.strike, state)
+            self._ledger.add(row.strike, state)
         if update.since <= peer.received:
             peer.received = max(peer.received, update.version)
         peer.acked = update.received if update.received_from == self._incarnation else 0
--- a/src/sassafrasdale/requests/claim_records.py
+++ b/src/sassafrasdale/requests/claim_records.py
@@ -107,7 +107,7 @@
         try:
             model = _StoredClaim.model_validate_json(value)
         except ValidationError as error:
-            raise StoredValueMalformed(f"malformed claim record: {error}") from error
+            raise StoredValueMalformed(f"not a claim: {error}") from error
         return cls(
             claim_id=model.claim_id,
             fingerprint=model.fingerprint,
--- a/tests/decisions/test_exposure.py
+++ b/tests/decisions/test_exposure.py
@@ -18,7 +18,7 @@
 def play(allowance, rng, requests, *, full=False):
     for _ in range(requests):
         route = ROUTES[0] if rng.random() < 0.9 else ROUTES[1]
-        allowance.note(route, on_trial=allowance.may_try(route, full=full))
+        allowance.record_request(route, is_canary=allowance.may_try(route, full=full))
 
 
 def test_gateways_without_contact_keep_the_share_together():
@@ -52,7 +52,7 @@
     for _ in range(2000):
         play(allowance, rng, 1)
         if allowance.may_try("r-rare"):
-            allowance.note("r-rare", on_trial=True)
+            allowance.record_request("r-rare", is_canary=True)
             sent_to_canary += 1
     assert sent_to_canary > 0
 
@@ -70,9 +70,9 @@
     """Guards against overloading the few endpoints of the canary as they start."""
     allowance = CanaryAllowance(SHARE, Random(4))
     for _ in range(2000):
-        allowance.note("r-reports", on_trial=False)
+        allowance.record_request("r-reports", is_canary=False)
     at_once = 0
     while allowance.may_try("r-reports"):
-        allowance.note("r-reports", on_trial=True)
+        allowance.record_request("r-reports", is_canary=True)
         at_once += 1
     assert at_once <= 3
--- a/tests/decisions/test_quarantine.py
+++ b/tests/decisions/test_quarantine.py
@@ -27,7 +27,7 @@
 def ledger_of(*strikes: Strike) -> StrikeLedger:
     ledger = StrikeLedger()
     for each in strikes:
-        ledger.take(each)
+        ledger.add(each)
     return ledger
 
 
@@ -38,7 +38,7 @@
 def test_request_is_quarantined_after_three_crashes():
     ledger = ledger_of(*strikes_of("crashing", range(2)))
     assert ledger.quarantined == set()
-    ledger.take(strike("crashing", 2, witness="g-2"))
+    ledger.add(strike("crashing", 2, witness="g-2"))
     assert ledger.quarantined == {"crashing"}
 
 
@@ -66,7 +66,7 @@
     """Guards against an old strike that a partitioned gateway reports again."""
     ledger = ledger_of(*strikes_of("hot", range(3)))
     ledger.clear("hot")
-    assert not ledger.take(strike("hot", 1))
+    assert not ledger.add(strike("hot", 1))
     assert ledger.quarantined == set()
 
 
@@ -104,7 +104,7 @@
     """Guards against one attempt that crashes as many endpoints as it may try."""
     ledger = ledger_of(strike("crashing", 0))
     assert ledger.may_retry("crashing")
-    ledger.take(strike("crashing", 1))
+    ledger.add(strike("crashing", 1))
     assert not ledger.may_retry("crashing")
 
 
@@ -132,7 +132,7 @@
     def play(order: list) -> StrikeLedger:
         ledger = StrikeLedger()
         for name, end, begun, at, state in order:
-            ledger.take(strike(name, end, begun=begun, at=at), state)
+            ledger.add(strike(name, end, begun=begun, at=at), state)
         return ledger
 
     shuffled = facts + rng.sample(facts, len(facts) // 2)
@@ -148,8 +148,8 @@
 def test_changes_since_a_version_are_returned_in_order():
     ledger = ledger_of(*strikes_of("a", range(3)))
     version = ledger.version
-    ledger.take(strike("b", 1))
-    ledger.take(strike("a", 0), StrikeState.STORED)
+    ledger.add(strike("b", 1))
+    ledger.add(strike("a", 0), StrikeState.STORED)
     changed = ledger.since(version, 10)
     assert [tracked.strike.fingerprint for tracked in changed] == ["b", "a"]
     assert ledger.since(version, 1) == changed[:1]
@@ -160,9 +160,9 @@
     """Guards against memory exhaustion by ever new crashing requests."""
     ledger = StrikeLedger(max_strikes=100)
     for each in strikes_of("crashing", range(3)):
-        ledger.take(each)
+        ledger.add(each)
     for number in range(1000):
-        ledger.take(strike(f"new-{number}", number))
+        ledger.add(strike(f"new-{number}", number))
     assert len(ledger) <= 100
     assert ledger.quarantined == {"crashing"}
 
@@ -170,10 +170,10 @@
 def test_cleared_strikes_are_evicted_first():
     ledger = StrikeLedger(max_strikes=10)
     for number in range(5):
-        ledger.take(strike(f"old-{number}", number))
+        ledger.add(strike(f"old-{number}", number))
     for number in range(5):
-        ledger.take(strike(f"innocent-{number}", number), StrikeState.CLEARED)
-    ledger.take(strike("new", 1))
+        ledger.add(strike(f"innocent-{number}", number), StrikeState.CLEARED)
+    ledger.add(strike("new", 1))
     assert all(ledger.open_strikes(f"old-{number}") for number in range(5))
 
 
@@ -240,7 +240,7 @@
         for name, run in list(running.items()):
             if run[0] != crashed:
                 continue
-            ledger.take(strike(name, second, begun=True))
+            ledger.add(strike(name, second, begun=True))
             run[0] = rng.choice([n for n in range(ENDPOINTS) if n != crashed])
             if name in ledger.quarantined:
                 refused.add(name)
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -11,7 +11,7 @@
     PROPAGATION_TIME,
     RequestThinner,
     SharedLimit,
-    UsageCounter,
+    UsageCounterId,
     admitted_fraction,
     fits_unreported,
     has_headroom,
@@ -23,7 +23,7 @@
 
 
 def counter(key, began_at=ZERO):
-    return UsageCounter("z", key, began_at)
+    return UsageCounterId("z", key, began_at)
 
 
 def test_group_usage_is_subtracted_once():
--- a/tests/decisions/test_rollouts.py
+++ b/tests/decisions/test_rollouts.py
@@ -20,14 +20,14 @@
     duration=30 * SECOND,
     is_started=True,
     in_force=False,
-    is_condemned=False,
+    is_rejected=False,
     is_suspect=False,
     age=10 * SECOND,
-    filled_for=None,
+    full_share_for=None,
     targets=10,
     others=10,
 )
-LATE = replace(VIEW, age=29 * SECOND, filled_for=10 * SECOND)
+LATE = replace(VIEW, age=29 * SECOND, full_share_for=10 * SECOND)
 
 
 def step(view=VIEW, **changed):
@@ -36,7 +36,7 @@
 
 def test_order_is_reported_as_running_first():
     assert step(is_started=False) is RolloutAction.START
-    assert step(is_started=False, is_condemned=True) is RolloutAction.START
+    assert step(is_started=False, is_rejected=True) is RolloutAction.START
 
 
 def test_deployed_version_is_complete_immediately():
@@ -45,17 +45,17 @@
 
 
 def test_rejected_version_is_rolled_back_at_any_time():
-    assert step(is_condemned=True) is RolloutAction.ROLL_BACK
-    assert step(LATE, is_condemned=True) is RolloutAction.ROLL_BACK
+    assert step(is_rejected=True) is RolloutAction.ROLL_BACK
+    assert step(LATE, is_rejected=True) is RolloutAction.ROLL_BACK
 
 
 def test_good_version_gets_its_full_share_and_is_completed():
     age = full_share_after(VIEW.duration)
     assert step(age=age - SECOND) is RolloutAction.WAIT
     assert step(age=age) is RolloutAction.FULL_SHARE
-    assert step(age=age + SECOND, filled_for=SECOND) is RolloutAction.WAIT
+    assert step(age=age + SECOND, full_share_for=SECOND) is RolloutAction.WAIT
     known = full_share_duration(VIEW.duration) + REPORT_DELAY
-    assert step(age=age + known, filled_for=known) is RolloutAction.COMPLETE
+    assert step(age=age + known, full_share_for=known) is RolloutAction.COMPLETE
 
 
 def test_suspect_version_is_not_completed():
--- a/tests/decisions/test_shares.py
+++ b/tests/decisions/test_shares.py
@@ -27,7 +27,7 @@
     """
     busy = make_shares(9)
     for peer in range(6):
-        busy.hear(f"entry-{peer}", {}, NOW)
+        busy.add_report(f"entry-{peer}", {}, NOW)
     assert busy.share("lab", 7, NOW) > 0.9
 
 
@@ -36,20 +36,20 @@
     for sender, entry in enumerate(entries):
         for other in entries:
             if other is not entry:
-                other.hear(str(sender), entry.report(NOW), NOW)
+                other.add_report(str(sender), entry.report(NOW), NOW)
     total = sum(entry.share("lab", 3, NOW) for entry in entries)
     assert total == pytest.approx(1.0)
 
 
 def test_entry_without_report_counts_with_the_mean():
     shares = make_shares(5)
-    shares.hear("entry-2", make_shares(5).report(NOW), NOW)
+    shares.add_report("entry-2", make_shares(5).report(NOW), NOW)
     assert shares.share("lab", 4, NOW) == pytest.approx(0.25)
 
 
 def test_old_report_is_ignored():
     shares = make_shares(5)
-    shares.hear("entry-2", {}, NOW)
+    shares.add_report("entry-2", {}, NOW)
     later = NOW + REPORT_LIFETIME * 2
     shares.add("lab", later)
     assert shares.share("lab", 2, later) == 0.5
--- a/tests/gateway/fleets.py
+++ b/tests/gateway/fleets.py
@@ -170,7 +170,7 @@
         """Return the other gateways' prefill tokens at an endpoint, as known here."""
         return sum(
             group.state.loads[endpoint].prefill_tokens
-            for group in self.peering.in_touch()
+            for group in self.peering.unexpired_groups()
             if endpoint in group.state.loads
         )
 
--- a/tests/gateway/test_exchange.py
+++ b/tests/gateway/test_exchange.py
@@ -71,9 +71,9 @@
     world = World()
     world.add("i-1", "records", ScriptedEndpoint(reset))
     calls = []
-    failed, lost = world.fleet.record_failure, world.suspects.record_lost_connection
+    failed, lost = world.fleet.record_failure, world.quarantine.record_lost_connection
     world.fleet.record_failure = lambda *args: (calls.append("failed"), failed(*args))
-    world.suspects.record_lost_connection = lambda *args, **also: (
+    world.quarantine.record_lost_connection = lambda *args, **also: (
         calls.append("probed"),
         lost(*args, **also),
     )[1]
@@ -454,7 +454,7 @@
     assert float(header(response, "retry-after")) >= 30
     assert spared.requests == []
     assert world.quotas.report().keys() == limits.keys()
-    assert world.quotas.report()["lab-a"].spent == limits["lab-a"].spent
+    assert world.quotas.report()["lab-a"].admitted == limits["lab-a"].admitted
     innocent = world.ask(request("/reports/8", "r-5", **STREAM))
     assert status_of(innocent) == 200
 
@@ -480,7 +480,7 @@
     response = world.ask(request("/reports/7", **STREAM))
     assert body_of(response) == b"".join(event(number) for number in range(1, 7))
     assert response.endswith(b"0\r\n\r\n")
-    assert world.suspects.describe() == []
+    assert world.quarantine.describe() == []
 
 
 @pytest.mark.parametrize("how", ["draining", "removed"])
@@ -498,7 +498,7 @@
 
     world.add("i-1", "models", CrashingEndpoint(leave))
     assert status_of(world.ask(request("/reports/7", **STREAM))) == 502
-    assert world.suspects.describe() == []
+    assert world.quarantine.describe() == []
 
 
 def test_a_request_is_retried_once_its_endpoint_is_unreachable():
@@ -549,7 +549,7 @@
     world.directory.remove("i-1")
     response = caller.read()
     assert body_of(response) == event(1) + event(2)
-    assert world.suspects.describe() == []
+    assert world.quarantine.describe() == []
 
 
 def test_a_crashed_endpoint_is_used_again_after_its_restart():
--- a/tests/gateway/test_groups.py
+++ b/tests/gateway/test_groups.py
@@ -55,29 +55,29 @@
 def test_usage_grows_by_what_members_admitted_since(reported):
     reported.report_usage("b", 500, counted=500)
     reported.report_usage("c", 90, counted=90)
-    assert reported.lab().spent == 0
+    assert reported.lab().admitted == 0
     reported.report_usage("b", 700, counted=500)
     reported.report_usage("c", 95, counted=90)
-    assert reported.lab().spent == 205
-    assert reported.lab(without="b").spent == 5
+    assert reported.lab().admitted == 205
+    assert reported.lab(without="b").admitted == 5
 
 
 def test_usage_that_no_aggregator_has_counted_is_counted_by_the_next(reported):
     """Uncounted, a customer could use again what it used without an aggregator."""
     reported.report_usage("b", 800, counted=500)
-    assert reported.lab().spent == 300
+    assert reported.lab().admitted == 300
 
 
 def test_a_restarted_member_counts_from_zero(reported):
     reported.report_usage("b", 800, counted=800)
     reported.report_usage("b", 40, incarnation=2)
-    assert reported.lab().spent == 40
+    assert reported.lab().admitted == 40
 
 
 def test_refunds_are_subtracted(reported):
     reported.report_usage("b", 800, counted=800)
     reported.report_usage("b", 300, counted=800)
-    assert reported.lab().spent == -500
+    assert reported.lab().admitted == -500
 
 
 def test_the_share_of_a_silent_member_is_reserved(reported):
--- a/tests/gateway/test_quarantine_model.py
+++ b/tests/gateway/test_quarantine_model.py
@@ -110,7 +110,7 @@
         self.late_attempts += known and self.is_connected(name)
         self.crashes.append(self.now)
         at = self.fleet.nodes[name].time.seconds
-        ledger.take(strike("crashing", len(self.crashes), at=at, witness=name))
+        ledger.add(strike("crashing", len(self.crashes), at=at, witness=name))
         self._strike_innocents(len(self.crashes), at)
 
     def _strike_innocents(self, crash: int, at: float) -> None:
@@ -119,7 +119,7 @@
             witness = self.fleet.nodes[self.rng.choice(self.ready())]
             name = f"innocent-{crash}-{number}"
             witnessed = strike(name, crash, begun=True, at=at, witness=witness.name)
-            witness.strikes.take(witnessed)
+            witness.strikes.add(witnessed)
             if self.rng.random() < 0.8:
                 self.fleet.nodes[self.rng.choice(self.ready())].strikes.clear(name)
 
--- a/tests/gateway/test_request_quarantine.py
+++ b/tests/gateway/test_request_quarantine.py
@@ -142,7 +142,7 @@
 
 def test_another_request_is_not_refused(gateway):
     for crash in range(3):
-        gateway.ledger.take(strike(FINGERPRINT, crash, at=now()))
+        gateway.ledger.add(strike(FINGERPRINT, crash, at=now()))
     other = Request("POST", "/reports/7", CRASHING.headers, b"cube 8")
     assert gateway.verdict().is_refused
     assert not gateway.verdict(other).is_refused
@@ -151,9 +151,9 @@
 def test_a_successful_attempt_clears_the_strikes(gateway):
     """Guards against refusing a frequent request for crashes with other causes."""
     for crash in range(2):
-        gateway.ledger.take(strike(FINGERPRINT, crash, at=now()))
+        gateway.ledger.add(strike(FINGERPRINT, crash, at=now()))
     gateway.quarantine.record_success(CRASHING, "lab-a")
-    gateway.ledger.take(strike(FINGERPRINT, 2, at=now()))
+    gateway.ledger.add(strike(FINGERPRINT, 2, at=now()))
     assert not gateway.verdict().is_refused
 
 
@@ -161,7 +161,7 @@
     """Guards against refusals for good, and against more crashes of old versions."""
     old = gateway.register(accepting_address(), "i-old", version="v1")
     for crash in range(3):
-        gateway.ledger.take(strike(FINGERPRINT, crash, at=now() - 100))
+        gateway.ledger.add(strike(FINGERPRINT, crash, at=now() - 100))
     assert gateway.verdict().is_refused
     gateway.register(accepting_address(), "i-new", version="v2")
     verdict = gateway.verdict()
@@ -172,7 +172,7 @@
 
 def test_an_operator_can_list_and_release_requests(gateway):
     for crash in range(3):
-        gateway.ledger.take(strike(FINGERPRINT, crash, at=now()))
+        gateway.ledger.add(strike(FINGERPRINT, crash, at=now()))
     gateway.quarantine.log_changes()
     shown = gateway.quarantine.describe()
     assert [(row["fingerprint"], row["quarantined"]) for row in shown] == [
--- a/tests/gateway/test_rollout_model.py
+++ b/tests/gateway/test_rollout_model.py
@@ -219,15 +219,17 @@
         if not candidates:
             return
         chosen = rng.choice(candidates)
-        rollouts.note_send(chosen, route)
+        rollouts.record_request(chosen, route)
         is_canary = chosen.endpoint.version == "v2"
         fails = (
             is_canary
             and self.age >= self.faulty_from
             and rng.random() < self.failure_share
         )
-        rollouts.note_first(chosen, route, rng.lognormvariate(0, 0.5) * SECOND / 8)
-        rollouts.note_end(chosen, route, ok=not fails and rng.random() > 0.01)
+        rollouts.record_first_byte(
+            chosen, route, rng.lognormvariate(0, 0.5) * SECOND / 8
+        )
+        rollouts.record_outcome(chosen, route, ok=not fails and rng.random() > 0.01)
         if self.age > ORDER.duration:
             return
         self.sent += 1
--- a/tests/gateway/test_strike_records.py
+++ b/tests/gateway/test_strike_records.py
@@ -57,7 +57,7 @@
     ) -> None:
         for crash in crashes:
             at = self.time.seconds
-            self.ledger.take(strike(name, crash, at=at, witness=witness))
+            self.ledger.add(strike(name, crash, at=at, witness=witness))
 
 
 @pytest.fixture
--- a/tests/gateway/test_strike_replication.py
+++ b/tests/gateway/test_strike_replication.py
@@ -31,7 +31,7 @@
         return {(h.strike.fingerprint, h.strike.endpoint, h.state) for h in held}
 
     def strike(self, number: int) -> None:
-        self.ledger.take(strike(f"{self.name}-{number}", number))
+        self.ledger.add(strike(f"{self.name}-{number}", number))
 
     def send_to(self, other: "Node") -> int:
         """Send an update to another gateway, and return the number of its rows."""
--- a/tests/gateway/test_strikes_in_fleets.py
+++ b/tests/gateway/test_strikes_in_fleets.py
@@ -16,7 +16,7 @@
 def add_strikes(fleet: Fleet, *names: str) -> None:
     """Have each of the gateways witness one crash under the same request."""
     for number, name in enumerate(names):
-        fleet.nodes[name].strikes.take(strike("crashing", number, witness=name))
+        fleet.nodes[name].strikes.add(strike("crashing", number, witness=name))
 
 
 def unaware(fleet: Fleet) -> list[str]:
@@ -106,7 +106,7 @@
     fleet.play(10)
     quiet = sum(fleet.bytes.values())
     for number in range(500):
-        fleet.nodes["a-1"].strikes.take(strike(f"r-{number}", number))
+        fleet.nodes["a-1"].strikes.add(strike(f"r-{number}", number))
     fleet.play(10)
     fleet.bytes.clear()
     fleet.play(10)
--- a/tests/gateway/world.py
+++ b/tests/gateway/world.py
@@ -200,8 +200,8 @@
             CLOCK,
             self.rng,
             self.settings.bounds.endpoint_drain,
-            on_restart=lambda name: self.suspects.record_crash(name),
-            on_expiry=lambda record: self.suspects.handle_expiry(record),
+            on_restart=lambda name: self.quarantine.record_crash(name),
+            on_expiry=lambda record: self.quarantine.handle_expiry(record),
         )
         self.usage = UsageCounts(timedelta(seconds=5), ClusterTime(CLOCK))
         self.rollouts = Rollouts(
@@ -229,7 +229,7 @@
         self.quotas = Quotas(self.settings.bounds, lambda: 1, CLOCK)
         self.strikes = StrikeLedger()
         time = ClusterTime(CLOCK)
-        self.suspects = RequestQuarantine(
+        self.quarantine = RequestQuarantine(
             "front-a-1",
             self.strikes,
             Trials(FakeStore(CLOCK), time, CLOCK),
@@ -241,7 +241,7 @@
             lambda: self.routes,
             self.fleet,
             self.quotas,
-            self.suspects,
+            self.quarantine,
             self.metrics,
             CLOCK,
             self.rng,
